--- /dev/null
+++ b/bench/action_stream/scenarios.h
@@ -0,0 +1,64 @@
+// The scenarios that action_stream plays: settings of the decision module and the traffic, hosts and faults
+// around it. Together they play each line of the module.
+#pragma once
+
+#include <cstddef>
+#include <string_view>
+#include <vector>
+
+#include "thistlepond/control.h"
+
+namespace action_stream {
+
+// How one gateway's surroundings behave. Probabilities are from 0 to 1, times in milliseconds.
+struct Surroundings {
+  thistlepond::Ms start_ms = 14'400'000;  // the clock at the beginning
+  thistlepond::HostId hosts = 12;
+  std::size_t customers = 40;           // of each plan
+  double gateways_per_customer = 4;     // at most
+  thistlepond::Ms request_gap_ms = 40;  // at most, between two requests
+  double rush = 0.3;                    // of the gap, in every third stretch of four seconds
+  double max_units = 4;
+  thistlepond::Ms service_ms = 200;       // the longest service time of an idle host
+  double crowding = 0.2;                  // part of the service time added by each attempt in flight
+  bool cancelling_ends_attempts = false;  // else a cancelled attempt is answered as if it had not been
+  double silent_hosts = 0;                // part of the hosts that answer nothing for a while
+  double error = 0.03;
+  double broken = 0.02;
+  double full = 0.03;
+  double connect_failed = 0.01;
+  double not_sent = 0;
+  double streamed = 0;  // part of the answers that come in pieces
+  double client_leaves = 0.02;
+  double client_retries = 0.1;  // requests marked as a client's retry
+  double malformed = 0;
+  bool full_by_class = false;  // hosts reject the last class only
+  bool full_by_plan = false;   // hosts reject the last plan only
+  double reports_queue = 0.7;
+  double reports_in_flight = 0;
+  double reports_busy = 0.5;
+  double reports_actual_units = 0;
+  double list_fails = 0;
+  double list_is_whole = 0;
+  double all_hosts_leave = 0;         // a whole list that names nobody
+  thistlepond::Ms list_gap_ms = 700;  // at most, between two changes of the list
+};
+
+// What happens to the module itself on the way.
+enum class Succession {
+  kNone,
+  kHandOver,     // a successor takes the state, and its predecessor ends some time later
+  kUnknown,      // a successor finds no state
+  kNewSettings,  // the settings change, with more classes and plans
+};
+
+struct Scenario {
+  std::string_view name;
+  thistlepond::Settings settings;
+  Surroundings surroundings;
+  Succession succession = Succession::kNone;
+};
+
+std::vector<Scenario> scenarios();
+
+}  // namespace action_stream
--- /dev/null
+++ b/bench/action_stream/simulated_day.cpp
@@ -0,0 +1,301 @@
+#include "simulated_day.h"
+
+#include <algorithm>
+#include <bit>
+#include <cmath>
+#include <limits>
+#include <utility>
+
+namespace action_stream {
+
+using namespace thistlepond;
+
+namespace {
+
+constexpr Ms kStretchMs = 4000;  // a rush fills every third of these
+constexpr Ms kFirstListChangeMs = 500;
+constexpr Ms kPredecessorLivesMs = 3000;  // beside its successor
+constexpr Ms kSilenceMs = 3000;           // of a host, in every fifth of such spans
+constexpr Ms kHealthCheckMs = 15;
+constexpr HostId kSlowHost = 3;
+constexpr double kNotANumber = std::numeric_limits<double>::quiet_NaN();
+
+}  // namespace
+
+SimulatedDay::SimulatedDay(const Scenario& scenario, std::uint64_t seed)
+    : settings_(scenario.settings),
+      around_(scenario.surroundings),
+      succession_(scenario.succession),
+      random_(seed),
+      seed_(seed),
+      control_(settings_, seed),
+      now_(around_.start_ms) {}
+
+void SimulatedDay::run(std::size_t requests) {
+  control_.start(now_, *this);
+  for (HostId host = 1; host <= around_.hosts; ++host) list_.push_back(entry(host, HostState::kReady, 0));
+  control_.on_list(now_, ListKind::kCached, list_, *this);
+  push(now_ + 1, {.kind = EventKind::kRequest});
+  push(now_ + kFirstListChangeMs, {.kind = EventKind::kList});
+  const std::size_t succession_at = succession_ == Succession::kNone ? requests : requests / 3;
+  while (!queue_.empty() && asked_ < requests) {
+    const Event event = queue_.top();
+    queue_.pop();
+    now_ = event.at;
+    play(event);
+    if (asked_ == succession_at && event.kind == EventKind::kRequest) succeed();
+  }
+  add(std::uint64_t{control_.avoided(now_)});
+}
+
+HostEntry SimulatedDay::entry(HostId id, HostState state, Ms started_at) const {
+  return {id, state, started_at, id % 3, id % 2, id % 4, 1};
+}
+
+void SimulatedDay::push(Ms at, Event event) {
+  event.at = at;
+  event.order = ++order_;
+  queue_.push(event);
+}
+
+void SimulatedDay::play(const Event& event) {
+  switch (event.kind) {
+    case EventKind::kRequest:
+      return request();
+    case EventKind::kAttemptEnd:
+      in_flight_[event.end.host] -= 1;
+      return control_.on_attempt_end(now_, event.end, *this);
+    case EventKind::kStreamBegun:
+      return control_.on_stream_begun(now_, event.end.request, event.end.attempt, *this);
+    case EventKind::kTimer:
+      return control_.on_timer(now_, event.token, *this);
+    case EventKind::kClientGone:
+      return control_.on_gone(now_, event.token, *this);
+    case EventKind::kList:
+      return change_list();
+    case EventKind::kHealthCheckEnd: {
+      const auto host = static_cast<HostId>(event.token);
+      return control_.on_probe_end(now_, host, kHealthCheckMs, draw() < 0.8, draw_report(host), *this);
+    }
+    case EventKind::kSuccession:
+      return take_over_state();
+    case EventKind::kPredecessorEnd:
+      return control_.predecessor_gone(now_);
+  }
+}
+
+void SimulatedDay::request() {
+  const std::uint64_t id = ++asked_;
+  Request q{id, 0, 0, 0, 0, 1, 1, false};
+  q.class_index = static_cast<std::uint32_t>(draw() * static_cast<double>(settings_.classes.size()));
+  q.plan_index = static_cast<std::uint32_t>(draw() * static_cast<double>(settings_.plans.size()));
+  q.customer = static_cast<CustomerId>(draw() * draw() * static_cast<double>(around_.customers)) +
+               10'000 * q.plan_index;
+  if (chance(0.01)) q.customer = 10'000 + static_cast<CustomerId>(draw() * 4);  // moves to another plan
+  q.expires_at = now_ + 800 + 1200 * draw();
+  q.units = 1 + std::floor(draw() * around_.max_units);
+  q.spread = 1 + std::floor(draw() * around_.gateways_per_customer);
+  q.repeat = draw() < around_.client_retries;
+  if (chance(0.1))
+    q.bounds = {.attempts = 2, .second_copies = false, .attempt_ms = 400, .send_until_ms = 300};
+  if (chance(around_.malformed)) q.class_index = 99;
+  if (chance(around_.malformed)) q.units = q.spread = kNotANumber;
+  if (chance(around_.malformed)) q.expires_at = kNotANumber;
+  if (chance(around_.malformed)) q.id = id - 1;
+  requests_[q.id] = q;
+  control_.on_request(now_, q, *this);
+  if (draw() < around_.client_leaves)
+    push(now_ + 300 * draw(), {.kind = EventKind::kClientGone, .token = id});
+  const bool rush = static_cast<std::uint64_t>(now_ / kStretchMs) % 3 == 2;
+  const Ms gap = around_.request_gap_ms * (rush ? around_.rush : 1.0) * draw();
+  push(now_ + gap, {.kind = EventKind::kRequest});
+}
+
+void SimulatedDay::change_list() {
+  if (chance(around_.list_fails)) {
+    control_.on_list(now_, ListKind::kFailed, {}, *this);
+  } else if (chance(around_.list_is_whole)) {
+    replace_list();
+  } else {
+    HostEntry& changed = list_[static_cast<std::size_t>(draw() * static_cast<double>(list_.size()))];
+    const double what = draw();
+    const HostState state = what < 0.5   ? HostState::kReady
+                            : what < 0.8 ? HostState::kDraining
+                                         : HostState::kGone;
+    changed = entry(changed.id, state, state == HostState::kReady ? now_ : changed.started_at);
+    control_.on_list(now_, ListKind::kChanges, std::span(&changed, 1), *this);
+  }
+  push(now_ + around_.list_gap_ms * draw(), {.kind = EventKind::kList});
+}
+
+void SimulatedDay::replace_list() {
+  if (chance(around_.all_hosts_leave)) {
+    control_.on_list(now_, ListKind::kWhole, {}, *this);
+    return;
+  }
+  std::vector<HostEntry> whole;
+  for (auto& host : list_) {
+    if (chance(0.1)) host = entry(host.id, HostState::kReady, host.started_at > 0 ? 0 : now_);
+    if (draw() < 0.9) whole.push_back(host);
+  }
+  if (chance(0.2)) whole.push_back(HostEntry::gone(around_.hosts + 1));  // never heard of before
+  control_.on_list(now_, ListKind::kWhole, whole, *this);
+}
+
+void SimulatedDay::succeed() {
+  switch (succession_) {
+    case Succession::kNone:
+      return;
+    case Succession::kNewSettings:
+      return use_new_settings();
+    case Succession::kHandOver:
+      // What comes between the hand-over and the successor's start is still this one's.
+      control_.hand_over(now_);
+      push(now_ + kPredecessorLivesMs / 2, {.kind = EventKind::kSuccession});
+      return;
+    case Succession::kUnknown:
+      push(now_, {.kind = EventKind::kSuccession});
+  }
+}
+
+void SimulatedDay::take_over_state() {
+  HandedState state = control_.hand_over(now_);
+  for (const auto& customer : state.customers) {
+    add(customer.id);
+    for (const double value : {customer.spread, customer.parent, customer.whole, customer.ceiling,
+                               customer.demand, customer.unseen, customer.open}) {
+      add(value);
+    }
+    for (const double level : customer.children) add(level);
+  }
+  for (const auto& host : state.hosts) {
+    add(std::uint64_t{host.id});
+    for (const double value :
+         {host.up_for, host.slow, host.fails, host.crowd, host.proven, host.ejected_for}) {
+      add(value);
+    }
+  }
+  for (const double latency : state.class_ms) add(latency);
+  add(state.calm_ms);
+  add(state.age);
+  if (!state.customers.empty()) state.customers.front().plan = 99;  // a plan that is not there any more
+
+  control_ = Control(settings_, seed_ + 1);
+  control_.start(now_, *this);
+  control_.on_list(now_, ListKind::kCached, list_, *this);
+  if (succession_ == Succession::kUnknown) {
+    control_.take_over_unknown(now_);
+  } else {
+    control_.take_over(now_, state);
+  }
+  push(now_ + kPredecessorLivesMs, {.kind = EventKind::kPredecessorEnd});
+}
+
+void SimulatedDay::use_new_settings() {
+  settings_.classes.push_back(settings_.classes.front());
+  settings_.classes.back().worth = 4;
+  settings_.plans.push_back(settings_.plans.front());
+  settings_.plans[0].burst = 30;
+  control_.on_settings(now_, settings_);
+}
+
+bool SimulatedDay::is_silent(HostId host) const {
+  const auto span = static_cast<std::uint64_t>(now_ / kSilenceMs);
+  return host <= around_.silent_hosts * around_.hosts && (span + host) % 5 == 0;
+}
+
+Outcome SimulatedDay::draw_outcome(const Request& request) {
+  double luck = draw();
+  const bool last_class = request.class_index + 1 == settings_.classes.size();
+  const bool last_plan = request.plan_index + 1 == settings_.plans.size();
+  const bool takes_all = !around_.full_by_class && !around_.full_by_plan;
+  const bool may_be_full =
+      takes_all || (around_.full_by_class && last_class) || (around_.full_by_plan && last_plan);
+  const std::pair<Outcome, double> bad[] = {{Outcome::kError, around_.error},
+                                            {Outcome::kBroken, around_.broken},
+                                            {Outcome::kFull, may_be_full ? around_.full : 0},
+                                            {Outcome::kConnectFailed, around_.connect_failed},
+                                            {Outcome::kNotSent, around_.not_sent}};
+  for (const auto& [outcome, probability] : bad) {
+    if (luck < probability) return outcome;
+    luck -= probability;
+  }
+  return Outcome::kOk;
+}
+
+LoadReport SimulatedDay::draw_report(HostId host) {
+  LoadReport report;
+  if (chance(around_.reports_queue)) report.queue = in_flight_[host] / 2;
+  if (chance(around_.reports_in_flight)) report.in_hand = in_flight_[host];
+  if (chance(around_.reports_busy)) report.busy = draw();
+  return report;
+}
+
+void SimulatedDay::add(std::uint64_t word) {
+  fingerprint_ = (fingerprint_ ^ word) * 0x9fb21c651e98df25u;
+  fingerprint_ ^= fingerprint_ >> 29;
+}
+
+void SimulatedDay::add(double number) { add(std::bit_cast<std::uint64_t>(number)); }
+
+void SimulatedDay::count(ActionKind kind, std::uint64_t about, double value) {
+  ++actions_;
+  ++counts_[kind];
+  add(std::uint64_t{kind});
+  add(about);
+  add(value);
+}
+
+void SimulatedDay::send(RequestId request, HostId host, Ms give_up_after) {
+  count(kSend, request << 12 | host, give_up_after);
+  const Request& asked = requests_[request];
+  auto& attempts = attempts_[request];
+  AttemptEnd end{request, static_cast<std::uint32_t>(attempts.size()), host, Outcome::kOk, 0, false, {}, {}};
+  attempts.push_back(host);
+  const double crowd = 1 + around_.crowding * (in_flight_[host] += 1);
+  end.took_ms = (20 + around_.service_ms * draw() * draw()) * crowd * (host == kSlowHost ? 4 : 1);
+  end.outcome = draw_outcome(asked);
+  if (end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotSent) end.took_ms = 2;
+  const Ms most = give_up_after > 0 ? give_up_after : std::max(asked.expires_at - now_, 0.0);
+  if (is_silent(host)) end.took_ms = 60'000;
+  if (end.took_ms > most) {
+    end.took_ms = most;
+    end.outcome = Outcome::kTimedOut;
+  }
+  end.finished = end.outcome == Outcome::kOk;
+  end.load = draw_report(host);
+  if (chance(around_.reports_actual_units)) end.true_units = asked.units * (0.5 + draw());
+  if (end.outcome == Outcome::kOk && chance(around_.streamed)) {
+    push(now_ + end.took_ms / 2, {.kind = EventKind::kStreamBegun, .end = end});
+  }
+  push(now_ + end.took_ms, {.kind = EventKind::kAttemptEnd, .end = end});
+}
+
+void SimulatedDay::cancel(RequestId request, std::uint32_t attempt) {
+  count(kCancel, request << 12 | attempt, 0);
+  if (!around_.cancelling_ends_attempts) return;
+  const HostId host = attempts_[request][attempt];
+  in_flight_[host] += 1;  // taken off twice: here, and where it would have ended
+  AttemptEnd end{request, attempt, host, Outcome::kCancelled, 1, false, {}, {}};
+  push(now_ + 1, {.kind = EventKind::kAttemptEnd, .end = end});
+}
+
+void SimulatedDay::refuse(RequestId request, Ms retry_after, Cause why) {
+  count(kReject, request << 8 | static_cast<std::uint64_t>(why), retry_after);
+}
+
+void SimulatedDay::fail(RequestId request, Cause why) {
+  count(kFail, request << 8 | static_cast<std::uint64_t>(why), 0);
+}
+
+void SimulatedDay::wake(Ms after, std::uint64_t token) {
+  count(kTimer, token, after);
+  push(now_ + after, {.kind = EventKind::kTimer, .token = token});
+}
+
+void SimulatedDay::probe(HostId host) {
+  count(kHealthCheck, host, 0);
+  push(now_ + kHealthCheckMs, {.kind = EventKind::kHealthCheckEnd, .token = host});
+}
+
+}  // namespace action_stream
--- /dev/null
+++ b/bench/action_stream/simulated_day.h
@@ -0,0 +1,117 @@
+// One gateway's decision module on a simulated day: events drawn from a seed go in, and all that the module
+// decides goes into a fingerprint. The day goes on by the module's own actions, so that two builds of the
+// module print alike only if they decide alike from the first event to the last.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <functional>
+#include <map>
+#include <queue>
+#include <random>
+#include <span>
+#include <string_view>
+#include <vector>
+
+#include "scenarios.h"
+#include "thistlepond/control.h"
+
+namespace action_stream {
+
+class SimulatedDay : private thistlepond::Actions {
+ public:
+  SimulatedDay(const Scenario& scenario, std::uint64_t seed);
+
+  // Until so many requests have come.
+  void run(std::size_t requests);
+
+  std::uint64_t fingerprint() const { return fingerprint_; }
+  std::size_t actions() const { return actions_; }
+  std::size_t sends() const { return counts_[kSend]; }
+  std::size_t cancels() const { return counts_[kCancel]; }
+  std::size_t rejections() const { return counts_[kReject]; }
+  std::size_t failures() const { return counts_[kFail]; }
+
+ private:
+  enum ActionKind : std::uint8_t {
+    kSend,
+    kCancel,
+    kReject,
+    kFail,
+    kTimer,
+    kHealthCheck,
+    kWatch,
+    kPoll,
+    kLog,
+    kActionKinds
+  };
+  enum class EventKind : std::uint8_t {
+    kRequest,
+    kAttemptEnd,
+    kStreamBegun,
+    kTimer,
+    kList,
+    kClientGone,
+    kHealthCheckEnd,
+    kSuccession,
+    kPredecessorEnd,
+  };
+  struct Event {
+    thistlepond::Ms at = 0;
+    std::uint64_t order = 0;
+    EventKind kind = EventKind::kRequest;
+    std::uint64_t token = 0;
+    thistlepond::AttemptEnd end{};
+    bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
+  };
+
+  double draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
+  bool chance(double probability) { return probability > 0 && draw() < probability; }
+  void push(thistlepond::Ms at, Event event);
+  void play(const Event& event);
+  void request();
+  void change_list();
+  void replace_list();
+  void succeed();
+  void take_over_state();
+  void use_new_settings();
+  thistlepond::HostEntry entry(thistlepond::HostId id, thistlepond::HostState state,
+                               thistlepond::Ms started_at) const;
+  thistlepond::Outcome draw_outcome(const thistlepond::Request& request);
+  thistlepond::LoadReport draw_report(thistlepond::HostId host);
+  bool is_silent(thistlepond::HostId host) const;
+
+  void count(ActionKind kind, std::uint64_t about, double value);
+  void add(std::uint64_t word);
+  void add(double number);
+
+  void send(thistlepond::RequestId request, thistlepond::HostId host, thistlepond::Ms give_up_after) override;
+  void cancel(thistlepond::RequestId request, std::uint32_t attempt) override;
+  void refuse(thistlepond::RequestId request, thistlepond::Ms retry_after, thistlepond::Cause why) override;
+  void fail(thistlepond::RequestId request, thistlepond::Cause why) override;
+  void wake(thistlepond::Ms after, std::uint64_t token) override;
+  void probe(thistlepond::HostId host) override;
+  void follow_list() override { count(kWatch, 0, 0); }
+  void fetch_list() override { count(kPoll, 0, 0); }
+  void note(std::string_view) override { count(kLog, 0, 0); }
+
+  thistlepond::Settings settings_;
+  Surroundings around_;
+  Succession succession_;
+  std::mt19937_64 random_;
+  std::uint64_t seed_;
+  thistlepond::Control control_;
+  thistlepond::Ms now_;
+  std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
+  std::vector<thistlepond::HostEntry> list_;
+  std::map<thistlepond::RequestId, std::vector<thistlepond::HostId>> attempts_;
+  std::map<thistlepond::RequestId, thistlepond::Request> requests_;
+  std::map<thistlepond::HostId, double> in_flight_;
+  std::uint64_t order_ = 0;
+  std::uint64_t asked_ = 0;
+  std::uint64_t fingerprint_ = 0;
+  std::size_t actions_ = 0;
+  std::size_t counts_[kActionKinds] = {};
+};
+
+}  // namespace action_stream
