--- a/Makefile
+++ b/Makefile
@@ -6,11 +6,11 @@
 
 # Builds the tools and starts one gateway between stand-ins on loopback; Ctrl-C ends it all.
 run: tools
-	@build/cometfold-playground build/cometfold
+	@build/cometfold-demo build/cometfold
 
 # The external processor between a stand-in proxy and stand-in hosts, a few requests, and the end.
 run-extproc: tools
-	@build/stand-in-proxy tour build/cometfold
+	@build/proxy-emulator tour build/cometfold
 
 # Five gateways that know each other: one is killed, two are cut off, all heals; what each believes. Half a minute.
 run-cluster: tools
@@ -22,7 +22,7 @@
 
 # And what developers use beside it.
 tools: install
-	cmake -B build -DCMAKE_BUILD_TYPE=Release -DTHISTLEPOND_TOOLS=ON
+	cmake -B build -DCMAKE_BUILD_TYPE=Release -DCOMETFOLD_TOOLS=ON
 	cmake --build build -j4
 
 # All tests: the deploy file's build and programs as the platform starts them, then everything under sanitizers.
--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -1,10 +1,10 @@
-#include "codec.h"
+#include "adapter/codec.h"
 
 #include <algorithm>
 #include <bit>
 #include <cstring>
 
-namespace thistlepond::wire {
+namespace cometfold::wire {
 namespace {
 
 static_assert(std::endian::native == std::endian::little, "the wire is little-endian");
@@ -252,4 +252,4 @@
   return reply.finish();
 }
 
-}  // namespace thistlepond::wire
+}  // namespace cometfold::wire
--- a/adapter/codec.h
+++ b/adapter/codec.h
@@ -8,10 +8,10 @@
 #include <string_view>
 #include <vector>
 
-#include "settings.h"
-#include "thistlepond/control.h"
+#include "adapter/settings.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::wire {
+namespace cometfold::wire {
 
 using Bytes = std::span<const unsigned char>;
 
@@ -69,4 +69,4 @@
   std::map<std::uint16_t, std::vector<HostEntry>> sheets_;
 };
 
-}  // namespace thistlepond::wire
+}  // namespace cometfold::wire
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -5,10 +5,10 @@
 #include <exception>
 #include <vector>
 
-#include "codec.h"
+#include "adapter/codec.h"
 
 int main() {
-  using namespace thistlepond::wire;
+  using namespace cometfold::wire;
   Gateways gateways;
   std::vector<unsigned char> frame;
   try {
@@ -30,7 +30,7 @@
       }
     }
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "thistlepond_adapter: %s\n", error.what());
+    std::fprintf(stderr, "simulator_adapter: %s\n", error.what());
     return 1;
   }
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -1,11 +1,11 @@
-#include "settings.h"
+#include "adapter/settings.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <cstdint>
 
-namespace thistlepond::wire {
+namespace cometfold::wire {
 namespace {
 
 double number(std::string_view key, std::string_view value) {
@@ -113,4 +113,4 @@
   return s;
 }
 
-}  // namespace thistlepond::wire
+}  // namespace cometfold::wire
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::wire {
+namespace cometfold::wire {
 
 struct WireError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -22,4 +22,4 @@
 Settings read_settings(std::string_view text);  // one `path=value` a line
 LoadField load_field(std::string_view name);
 
-}  // namespace thistlepond::wire
+}  // namespace cometfold::wire
--- a/bench/action_stream/scenarios.cpp
+++ b/bench/action_stream/scenarios.cpp
@@ -5,7 +5,7 @@
 namespace action_stream {
 namespace {
 
-using namespace thistlepond;
+using namespace cometfold;
 
 ClassSettings request_class(Repeat repeat, KeyGroup group, double worth) {
   return {300, 2000, worth, 0.3, repeat, group, 1500};
--- a/bench/action_stream/scenarios.h
+++ b/bench/action_stream/scenarios.h
@@ -6,20 +6,20 @@
 #include <string_view>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
 namespace action_stream {
 
 // How one gateway's surroundings behave. Probabilities are from 0 to 1, times in milliseconds.
 struct Surroundings {
-  thistlepond::Ms start_ms = 14'400'000;  // the clock at the beginning
-  thistlepond::HostId hosts = 12;
-  std::size_t customers = 40;           // of each plan
-  double gateways_per_customer = 4;     // at most
-  thistlepond::Ms request_gap_ms = 40;  // at most, between two requests
-  double rush = 0.3;                    // of the gap, in every third stretch of four seconds
+  cometfold::Ms start_ms = 14'400'000;  // the clock at the beginning
+  cometfold::HostId hosts = 12;
+  std::size_t customers = 40;         // of each plan
+  double gateways_per_customer = 4;   // at most
+  cometfold::Ms request_gap_ms = 40;  // at most, between two requests
+  double rush = 0.3;                  // of the gap, in every third stretch of four seconds
   double max_units = 4;
-  thistlepond::Ms service_ms = 200;       // the longest service time of an idle host
+  cometfold::Ms service_ms = 200;         // the longest service time of an idle host
   double crowding = 0.2;                  // part of the service time added by each attempt in flight
   bool cancelling_ends_attempts = false;  // else a cancelled attempt is answered as if it had not been
   double silent_hosts = 0;                // part of the hosts that answer nothing for a while
@@ -40,8 +40,8 @@
   double reports_actual_units = 0;
   double list_fails = 0;
   double list_is_whole = 0;
-  double all_hosts_leave = 0;         // a whole list that names nobody
-  thistlepond::Ms list_gap_ms = 700;  // at most, between two changes of the list
+  double all_hosts_leave = 0;       // a whole list that names nobody
+  cometfold::Ms list_gap_ms = 700;  // at most, between two changes of the list
 };
 
 // What happens to the module itself on the way.
@@ -54,7 +54,7 @@
 
 struct Scenario {
   std::string_view name;
-  thistlepond::Settings settings;
+  cometfold::Settings settings;
   Surroundings surroundings;
   Succession succession = Succession::kNone;
 };
--- a/bench/action_stream/simulated_day.cpp
+++ b/bench/action_stream/simulated_day.cpp
@@ -8,7 +8,7 @@
 
 namespace action_stream {
 
-using namespace thistlepond;
+using namespace cometfold;
 
 namespace {
 
--- a/bench/action_stream/simulated_day.h
+++ b/bench/action_stream/simulated_day.h
@@ -13,12 +13,12 @@
 #include <string_view>
 #include <vector>
 
+#include "cometfold/admission_controller.h"
 #include "scenarios.h"
-#include "thistlepond/control.h"
 
 namespace action_stream {
 
-class SimulatedDay : private thistlepond::Actions {
+class SimulatedDay : private cometfold::Actions {
  public:
   SimulatedDay(const Scenario& scenario, std::uint64_t seed);
 
@@ -57,17 +57,17 @@
     kPredecessorEnd,
   };
   struct Event {
-    thistlepond::Ms at = 0;
+    cometfold::Ms at = 0;
     std::uint64_t order = 0;
     EventKind kind = EventKind::kRequest;
     std::uint64_t token = 0;
-    thistlepond::AttemptEnd end{};
+    cometfold::AttemptEnd end{};
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
   double draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   bool chance(double probability) { return probability > 0 && draw() < probability; }
-  void push(thistlepond::Ms at, Event event);
+  void push(cometfold::Ms at, Event event);
   void play(const Event& event);
   void request();
   void change_list();
@@ -75,38 +75,38 @@
   void succeed();
   void take_over_state();
   void use_new_settings();
-  thistlepond::HostEntry entry(thistlepond::HostId id, thistlepond::HostState state,
-                               thistlepond::Ms started_at) const;
-  thistlepond::Outcome draw_outcome(const thistlepond::Request& request);
-  thistlepond::LoadReport draw_report(thistlepond::HostId host);
-  bool is_silent(thistlepond::HostId host) const;
+  cometfold::HostEntry entry(cometfold::HostId id, cometfold::HostState state,
+                             cometfold::Ms started_at) const;
+  cometfold::Outcome draw_outcome(const cometfold::Request& request);
+  cometfold::LoadReport draw_report(cometfold::HostId host);
+  bool is_silent(cometfold::HostId host) const;
 
   void count(ActionKind kind, std::uint64_t about, double value);
   void add(std::uint64_t word);
   void add(double number);
 
-  void send(thistlepond::RequestId request, thistlepond::HostId host, thistlepond::Ms give_up_after) override;
-  void cancel(thistlepond::RequestId request, std::uint32_t attempt) override;
-  void refuse(thistlepond::RequestId request, thistlepond::Ms retry_after, thistlepond::Cause why) override;
-  void fail(thistlepond::RequestId request, thistlepond::Cause why) override;
-  void wake(thistlepond::Ms after, std::uint64_t token) override;
-  void probe(thistlepond::HostId host) override;
+  void send(cometfold::RequestId request, cometfold::HostId host, cometfold::Ms give_up_after) override;
+  void cancel(cometfold::RequestId request, std::uint32_t attempt) override;
+  void refuse(cometfold::RequestId request, cometfold::Ms retry_after, cometfold::Cause why) override;
+  void fail(cometfold::RequestId request, cometfold::Cause why) override;
+  void wake(cometfold::Ms after, std::uint64_t token) override;
+  void probe(cometfold::HostId host) override;
   void follow_list() override { count(kWatch, 0, 0); }
   void fetch_list() override { count(kPoll, 0, 0); }
   void note(std::string_view) override { count(kLog, 0, 0); }
 
-  thistlepond::Settings settings_;
+  cometfold::Settings settings_;
   Surroundings around_;
   Succession succession_;
   std::mt19937_64 random_;
   std::uint64_t seed_;
-  thistlepond::Control control_;
-  thistlepond::Ms now_;
+  cometfold::Control control_;
+  cometfold::Ms now_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
-  std::vector<thistlepond::HostEntry> list_;
-  std::map<thistlepond::RequestId, std::vector<thistlepond::HostId>> attempts_;
-  std::map<thistlepond::RequestId, thistlepond::Request> requests_;
-  std::map<thistlepond::HostId, double> in_flight_;
+  std::vector<cometfold::HostEntry> list_;
+  std::map<cometfold::RequestId, std::vector<cometfold::HostId>> attempts_;
+  std::map<cometfold::RequestId, cometfold::Request> requests_;
+  std::map<cometfold::HostId, double> in_flight_;
   std::uint64_t order_ = 0;
   std::uint64_t asked_ = 0;
   std::uint64_t fingerprint_ = 0;
--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -18,15 +18,15 @@
 #include <thread>
 #include <vector>
 
+#include "emulators/h2_peer.h"
+#include "emulators/program.h"
+#include "emulators/words.h"
 #include "external_processor.pb.h"
-#include "h2_peer.h"
-#include "program.h"
-#include "words.h"
 
 namespace {
 
-using namespace thistlepond;
-using namespace thistlepond::stand_ins;
+using namespace cometfold;
+using namespace cometfold::emulators;
 namespace pb = envoy::service::ext_proc::v3;
 using Steady = std::chrono::steady_clock;
 
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -8,15 +8,15 @@
 #include <map>
 #include <thread>
 
-#include "discovery_server.h"
-#include "host_server.h"
-#include "load.h"
-#include "program.h"
-#include "words.h"
+#include "emulators/discovery_emulator.h"
+#include "emulators/host_emulator.h"
+#include "emulators/load.h"
+#include "emulators/program.h"
+#include "emulators/words.h"
 
 namespace {
 
-using namespace thistlepond::stand_ins;
+using namespace cometfold::emulators;
 
 // Time on a core of a process's one thread so far, in microseconds: to the nanosecond, where stat counts
 // ticks of 10 ms.
@@ -44,7 +44,7 @@
 };
 
 struct Setup {
-  std::vector<std::unique_ptr<HostServer>>& hosts;
+  std::vector<std::unique_ptr<HostEmulator>>& hosts;
   const LoadPlan& plan;
   boost::json::object conf;
   std::string relay, settings;
@@ -143,7 +143,7 @@
 
 int main(int argc, char** argv) {
   CLI::App app{"Offered and served load, latency from the intended start, CPU and memory of the gateway."};
-  std::string program = "build/cometfold", other, relay = "build/stand-in", settings;
+  std::string program = "build/cometfold", other, relay = "build/emulator", settings;
   std::vector<double> rates{250, 500, 1000, 2000};
   LoadPlan plan;
   Behaviour behaviour;
@@ -166,10 +166,10 @@
   try {
     boost::asio::io_context io(1);
     const auto work = boost::asio::make_work_guard(io);
-    DiscoveryServer discovery(io);
-    std::vector<std::unique_ptr<HostServer>> hosts;
+    DiscoveryEmulator discovery(io);
+    std::vector<std::unique_ptr<HostEmulator>> hosts;
     for (int i = 1; i <= host_count; ++i) {
-      hosts.push_back(std::make_unique<HostServer>(io, behaviour, static_cast<std::uint64_t>(i)));
+      hosts.push_back(std::make_unique<HostEmulator>(io, behaviour, static_cast<std::uint64_t>(i)));
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
     std::jthread servers([&io] { io.run(); });
--- a/bench/membership_report.cpp
+++ b/bench/membership_report.cpp
@@ -7,13 +7,13 @@
 #include <cstdio>
 #include <set>
 
-#include "membership_model.h"
-#include "wire.h"
+#include "emulators/membership_model.h"
+#include "membership/wire.h"
 
 namespace {
 
-using namespace thistlepond;
-using namespace thistlepond::stand_ins;
+using namespace cometfold;
+using namespace cometfold::emulators;
 using membership::Kind;
 using membership::Record;
 using Draw = membership::Membership::Draw;
--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -3,11 +3,11 @@
 
 #include <memory>
 
-#include "engine.h"
+#include "engine/engine.h"
 
 namespace {
 
-using namespace thistlepond;
+using namespace cometfold;
 
 Settings settings() {
   Settings s;
--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -21,12 +21,12 @@
 #include <string>
 #include <vector>
 
-#include "fleet.h"
+#include "tests/fleet.h"
 
 namespace {
 
-using namespace thistlepond;
-using namespace thistlepond::testing;
+using namespace cometfold;
+using namespace cometfold::testing;
 
 struct Asked {
   Ms at = 0;
--- a/stand_ins/cluster/check.cpp
+++ b/emulators/cluster/check.cpp
@@ -4,11 +4,11 @@
 #include <map>
 #include <set>
 
-#include "config.h"
-#include "history.h"
-#include "rules.h"
+#include "emulators/cluster/history.h"
+#include "net/config.h"
+#include "rules/rules.h"
 
-namespace thistlepond::stand_ins::cluster {
+namespace cometfold::emulators::cluster {
 namespace json = boost::json;
 
 namespace {
@@ -351,4 +351,4 @@
   return all;
 }
 
-}  // namespace thistlepond::stand_ins::cluster
+}  // namespace cometfold::emulators::cluster
--- a/stand_ins/cluster/history.h
+++ b/emulators/cluster/history.h
@@ -22,9 +22,9 @@
 #include <string>
 #include <vector>
 
-#include "schedule.h"
+#include "emulators/cluster/schedule.h"
 
-namespace thistlepond::stand_ins::cluster {
+namespace cometfold::emulators::cluster {
 
 using Line = boost::json::object;
 
@@ -50,4 +50,4 @@
 
 std::vector<Line> read_history(const std::string& path);
 
-}  // namespace thistlepond::stand_ins::cluster
+}  // namespace cometfold::emulators::cluster
--- a/stand_ins/cluster/main.cpp
+++ b/emulators/cluster/main.cpp
@@ -5,15 +5,15 @@
 #include <fstream>
 #include <map>
 
-#include "event_log.h"
-#include "history.h"
+#include "emulators/cluster/history.h"
+#include "net/event_log.h"
 
 namespace {
 
-using namespace thistlepond::stand_ins::cluster;
+using namespace cometfold::emulators::cluster;
 namespace json = boost::json;
-using thistlepond::net::Level;
-using thistlepond::net::log_event;
+using cometfold::net::Level;
+using cometfold::net::log_event;
 
 json::array figures(const std::vector<double>& all) {
   json::array out;
--- a/stand_ins/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -8,14 +8,14 @@
 #include <random>
 #include <set>
 
-#include "discovery_server.h"
-#include "history.h"
-#include "host_server.h"
-#include "program.h"
-#include "resp.h"
-#include "words.h"
+#include "emulators/cluster/history.h"
+#include "emulators/discovery_emulator.h"
+#include "emulators/host_emulator.h"
+#include "emulators/program.h"
+#include "emulators/words.h"
+#include "resp/resp.h"
 
-namespace thistlepond::stand_ins::cluster {
+namespace cometfold::emulators::cluster {
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -192,14 +192,14 @@
 
   void make_hosts() {
     for (std::size_t i = 0; i < schedule_.hosts; ++i) {
-      hosts_.push_back(std::make_unique<HostServer>(io_, Behaviour{.mean_ms = 3}, schedule_.seed + i));
+      hosts_.push_back(std::make_unique<HostEmulator>(io_, Behaviour{.mean_ms = 3}, schedule_.seed + i));
       const auto name = "h" + std::to_string(i);
-      hosts_.back()->set_record([this, name](HostServer::Seen seen, const std::string& id,
+      hosts_.back()->set_record([this, name](HostEmulator::Seen seen, const std::string& id,
                                              std::uint64_t connection, std::string_view value) {
-        const char* what = seen == HostServer::Seen::kCame       ? "came"
-                           : seen == HostServer::Seen::kNeverRan ? "never-ran"
-                           : seen == HostServer::Seen::kMade     ? "made"
-                                                                 : "over";
+        const char* what = seen == HostEmulator::Seen::kCame       ? "came"
+                           : seen == HostEmulator::Seen::kNeverRan ? "never-ran"
+                           : seen == HostEmulator::Seen::kMade     ? "made"
+                                                                   : "over";
         Line line{{"what", what}, {"host", name}, {"connection", connection}, {"request", id}};
         if (!value.empty()) line["value"] = value;
         say(std::move(line));
@@ -455,8 +455,8 @@
   Steady::time_point began_;
   asio::io_context io_{1};
   Network net_;
-  DiscoveryServer discovery_;
-  std::vector<std::unique_ptr<HostServer>> hosts_;
+  DiscoveryEmulator discovery_;
+  std::vector<std::unique_ptr<HostEmulator>> hosts_;
   std::map<std::string, Place> places_;
   asio::steady_timer look_timer_, ask_timer_;
   std::uint64_t last_process_ = 0, asked_ = 0;
@@ -471,4 +471,4 @@
   Run(schedule, program, logs, write).play();
 }
 
-}  // namespace thistlepond::stand_ins::cluster
+}  // namespace cometfold::emulators::cluster
--- a/stand_ins/cluster/schedule.cpp
+++ b/emulators/cluster/schedule.cpp
@@ -1,4 +1,4 @@
-#include "schedule.h"
+#include "emulators/cluster/schedule.h"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
@@ -9,7 +9,7 @@
 #include <random>
 #include <sstream>
 
-namespace thistlepond::stand_ins::cluster {
+namespace cometfold::emulators::cluster {
 
 namespace {
 
@@ -236,4 +236,4 @@
   return parse_schedule(text.str(), path);
 }
 
-}  // namespace thistlepond::stand_ins::cluster
+}  // namespace cometfold::emulators::cluster
--- a/stand_ins/cluster/schedule.h
+++ b/emulators/cluster/schedule.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <vector>
 
-#include "network.h"
+#include "emulators/network/network.h"
 
-namespace thistlepond::stand_ins::cluster {
+namespace cometfold::emulators::cluster {
 
 // One line: the place, what is wrong and what would be right.
 struct ScheduleError : std::runtime_error {
@@ -49,4 +49,4 @@
 // same seed and size, the same schedule.
 std::string random_schedule(std::uint64_t seed, std::size_t gateways);
 
-}  // namespace thistlepond::stand_ins::cluster
+}  // namespace cometfold::emulators::cluster
--- a/stand_ins/playground.cpp
+++ b/emulators/demo.cpp
@@ -6,14 +6,14 @@
 #include <cstdio>
 #include <thread>
 
-#include "discovery_server.h"
-#include "host_server.h"
-#include "program.h"
-#include "words.h"
+#include "emulators/discovery_emulator.h"
+#include "emulators/host_emulator.h"
+#include "emulators/program.h"
+#include "emulators/words.h"
 
 namespace {
 
-using namespace thistlepond::stand_ins;
+using namespace cometfold::emulators;
 
 std::atomic<bool> stop_asked{false};
 
@@ -26,7 +26,7 @@
   return reply.starts_with("value of") || reply.starts_with("-BUSY");
 }
 
-bool tour(const Program& gateway, DiscoveryServer& discovery, boost::asio::io_context& io, int first_host) {
+bool tour(const Program& gateway, DiscoveryEmulator& discovery, boost::asio::io_context& io, int first_host) {
   auto client = gateway.client();
   bool good = true;
   unsigned n = 1;
@@ -59,10 +59,10 @@
   try {
     boost::asio::io_context io(1);
     const auto work = boost::asio::make_work_guard(io);
-    DiscoveryServer discovery(io);
-    std::vector<std::unique_ptr<HostServer>> hosts;
+    DiscoveryEmulator discovery(io);
+    std::vector<std::unique_ptr<HostEmulator>> hosts;
     for (int i = 1; i <= 3; ++i) {
-      hosts.push_back(std::make_unique<HostServer>(io, Behaviour{}, static_cast<std::uint64_t>(i)));
+      hosts.push_back(std::make_unique<HostEmulator>(io, Behaviour{}, static_cast<std::uint64_t>(i)));
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
     const auto conf = config(discovery.whole(), discovery.port());
--- a/stand_ins/discovery_server.cpp
+++ b/emulators/discovery_emulator.cpp
@@ -1,10 +1,10 @@
-#include "discovery_server.h"
+#include "emulators/discovery_emulator.h"
 
 #include <chrono>
 
-#include "words.h"
+#include "emulators/words.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -22,9 +22,9 @@
 
 }  // namespace
 
-class DiscoveryServer::Session : public std::enable_shared_from_this<Session> {
+class DiscoveryEmulator::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(DiscoveryServer& owner, tcp::socket socket)
+  Session(DiscoveryEmulator& owner, tcp::socket socket)
       : owner_(owner), socket_(std::move(socket)), timer_(socket_.get_executor()) {}
 
   void start() {
@@ -84,19 +84,19 @@
     asio::post(socket_.get_executor(), [self = shared_from_this()] { self->owner_.watches_.erase(self); });
   }
 
-  DiscoveryServer& owner_;
+  DiscoveryEmulator& owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   std::string head_;
 };
 
-DiscoveryServer::DiscoveryServer(asio::io_context& io, std::uint16_t port)
+DiscoveryEmulator::DiscoveryEmulator(asio::io_context& io, std::uint16_t port)
     : io_(io), acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), port)) {
   accept();
 }
-DiscoveryServer::~DiscoveryServer() = default;
+DiscoveryEmulator::~DiscoveryEmulator() = default;
 
-void DiscoveryServer::accept() {
+void DiscoveryEmulator::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) std::make_shared<Session>(*this, std::move(socket))->start();
@@ -104,7 +104,7 @@
   });
 }
 
-void DiscoveryServer::set(const std::string& uid, int port, const std::string& state) {
+void DiscoveryEmulator::set(const std::string& uid, int port, const std::string& state) {
   ++revision_;
   const auto entry = target(uid, port, state);
   if (state == "left") {
@@ -117,10 +117,10 @@
   for (const auto& watch : all) watch->tell(list(revision_, false, {entry}) + "\n");
 }
 
-std::string DiscoveryServer::whole() const {
+std::string DiscoveryEmulator::whole() const {
   std::vector<std::string> all;
   for (const auto& [uid, entry] : targets_) all.push_back(entry);
   return list(revision_, true, all);
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/discovery_server.h
+++ b/emulators/discovery_emulator.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
-class DiscoveryServer {
+class DiscoveryEmulator {
  public:
-  explicit DiscoveryServer(boost::asio::io_context& io, std::uint16_t port = 0);
-  ~DiscoveryServer();
+  explicit DiscoveryEmulator(boost::asio::io_context& io, std::uint16_t port = 0);
+  ~DiscoveryEmulator();
 
   int port() const { return acceptor_.local_endpoint().port(); }
   // A host's state: active, leaving or left. Told to all watches at once.
@@ -36,4 +36,4 @@
   bool silent_ = false;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/h2_peer.h
+++ b/emulators/h2_peer.h
@@ -6,10 +6,10 @@
 #include <string>
 #include <string_view>
 
-#include "grpc_client.h"
-#include "peer.h"
+#include "emulators/peer.h"
+#include "http2/grpc_client.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 class H2Peer : private http2::SessionEvents {
  public:
@@ -90,4 +90,4 @@
   http2::Session session_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/host_server.cpp
+++ b/emulators/host_emulator.cpp
@@ -1,12 +1,12 @@
-#include "host_server.h"
+#include "emulators/host_emulator.h"
 
 #include <algorithm>
 #include <chrono>
 #include <deque>
 
-#include "resp.h"
+#include "resp/resp.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -31,9 +31,9 @@
 }  // namespace
 
 // One connection: commands are answered in their order, each after its time.
-class HostServer::Session : public std::enable_shared_from_this<Session> {
+class HostEmulator::Session : public std::enable_shared_from_this<Session> {
  public:
-  Session(HostServer& owner, tcp::socket socket)
+  Session(HostEmulator& owner, tcp::socket socket)
       : owner_(owner), socket_(std::move(socket)), timer_(socket_.get_executor()), number_(owner.accepted_) {}
 
   void read() {
@@ -138,7 +138,7 @@
     while (!open_.empty()) over(std::string(open_.front()));
   }
 
-  HostServer& owner_;
+  HostEmulator& owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   resp::Reader reader_{resp::Limits{}, true};
@@ -148,17 +148,17 @@
   std::vector<std::string> open_;  // ids of what came and is not over
 };
 
-HostServer::HostServer(asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
-                       std::uint16_t port)
+HostEmulator::HostEmulator(asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
+                           std::uint16_t port)
     : io_(io),
       acceptor_(io, tcp::endpoint(asio::ip::address_v4::loopback(), port)),
       behaviour_(behaviour),
       random_(seed) {
   accept();
 }
-HostServer::~HostServer() = default;
+HostEmulator::~HostEmulator() = default;
 
-void HostServer::accept() {
+void HostEmulator::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
     if (!error) {
@@ -170,7 +170,7 @@
   });
 }
 
-void HostServer::ran(const std::string& id) {
+void HostEmulator::ran(const std::string& id) {
   if (++runs_[id] > 1) return;
   if (order_.size() < kRunsKept) {
     order_.push_back(id);
@@ -180,9 +180,9 @@
   }
 }
 
-std::size_t HostServer::runs_of(const std::string& id) const {
+std::size_t HostEmulator::runs_of(const std::string& id) const {
   const auto it = runs_.find(id);
   return it == runs_.end() ? 0 : it->second;
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/host_server.h
+++ b/emulators/host_emulator.h
@@ -11,7 +11,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 // How a host behaves. The parts are of all requests, from 0 to 1, and the rest is answered well.
 struct Behaviour {
@@ -25,7 +25,7 @@
   std::size_t value_bytes = 64;
 };
 
-class HostServer {
+class HostEmulator {
  public:
   // What a host can say of a request, for those who judge by hosts' own record.
   enum class Seen { kCame, kNeverRan, kMade, kOver };
@@ -34,9 +34,9 @@
       std::function<void(Seen seen, const std::string& id, std::uint64_t connection, std::string_view value)>;
 
   // Listens on a port of its own on loopback; port 0: any.
-  HostServer(boost::asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
-             std::uint16_t port = 0);
-  ~HostServer();
+  HostEmulator(boost::asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
+               std::uint16_t port = 0);
+  ~HostEmulator();
 
   int port() const { return acceptor_.local_endpoint().port(); }
   // Called for all that is seen from now on.
@@ -64,4 +64,4 @@
   std::size_t oldest_ = 0;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/load.cpp
+++ b/emulators/load.cpp
@@ -1,12 +1,12 @@
-#include "load.h"
+#include "emulators/load.h"
 
 #include <algorithm>
 #include <deque>
 
-#include "resp.h"
-#include "words.h"
+#include "emulators/words.h"
+#include "resp/resp.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -200,4 +200,4 @@
   return Run(port, plan).play(at_begin, at_end);
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/load.h
+++ b/emulators/load.h
@@ -11,7 +11,7 @@
 #include <string>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 struct LoadPlan {
   double rate = 500;  // requests a second, evenly spaced
@@ -35,4 +35,4 @@
 LoadResult run_load(int port, const LoadPlan& plan, const std::function<void()>& at_begin = {},
                     const std::function<void()>& at_end = {});
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/main.cpp
+++ b/emulators/main.cpp
@@ -6,14 +6,14 @@
 #include <iostream>
 #include <memory>
 
-#include "discovery_server.h"
-#include "host_server.h"
-#include "load.h"
-#include "relay.h"
+#include "emulators/discovery_emulator.h"
+#include "emulators/host_emulator.h"
+#include "emulators/load.h"
+#include "emulators/relay.h"
 
 namespace {
 
-using namespace thistlepond::stand_ins;
+using namespace cometfold::emulators;
 
 void ready(const char* what, int port) { std::fprintf(stderr, "ready: %s 127.0.0.1:%d\n", what, port); }
 
@@ -36,7 +36,7 @@
 }
 
 // Lines `UID PORT active|leaving|left` from standard input change the list.
-void follow_input(boost::asio::io_context& io, DiscoveryServer& discovery) {
+void follow_input(boost::asio::io_context& io, DiscoveryEmulator& discovery) {
   auto input = std::make_shared<boost::asio::posix::stream_descriptor>(io, ::dup(0));
   auto text = std::make_shared<std::string>();
   auto read = std::make_shared<std::function<void()>>();
@@ -101,12 +101,12 @@
   try {
     boost::asio::io_context io(1);
     if (*host) {
-      HostServer server(io, behaviour, seed, port);
+      HostEmulator server(io, behaviour, seed, port);
       ready("host", server.port());
       return run(io);
     }
     if (*discovery) {
-      DiscoveryServer server(io, port);
+      DiscoveryEmulator server(io, port);
       follow_input(io, server);
       ready("discovery", server.port());
       return run(io);
--- a/stand_ins/membership_model.h
+++ b/emulators/membership_model.h
@@ -14,9 +14,9 @@
 #include <utility>
 #include <vector>
 
-#include "membership.h"
+#include "membership/membership.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 using membership::Change;
 using membership::Envelope;
@@ -273,4 +273,4 @@
   std::vector<std::string> breaches_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/network/network.cpp
+++ b/emulators/network/network.cpp
@@ -1,4 +1,4 @@
-#include "network.h"
+#include "emulators/network/network.h"
 
 #include <algorithm>
 #include <array>
@@ -7,7 +7,7 @@
 #include <optional>
 #include <stdexcept>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using asio::ip::udp;
@@ -273,4 +273,4 @@
   });
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/network/network.h
+++ b/emulators/network/network.h
@@ -14,7 +14,7 @@
 #include <utility>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 // What one direction between two processes does. Parts are from 0 to 1, drawn for each datagram; on a
 // stream, for each piece that is read.
@@ -80,4 +80,4 @@
   std::map<std::pair<std::size_t, std::size_t>, std::unique_ptr<Pair>> pairs_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/peer.h
+++ b/emulators/peer.h
@@ -16,7 +16,7 @@
 #include <utility>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 constexpr int kHangMs = 30'000;  // a peer that stays silent for so long hangs
 
@@ -170,4 +170,4 @@
   int port_ = 0;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/program.h
+++ b/emulators/program.h
@@ -13,9 +13,9 @@
 #include <utility>
 #include <vector>
 
-#include "peer.h"
+#include "emulators/peer.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 // A program in a process of its own. Its log is its standard error.
 class Child {
@@ -158,4 +158,4 @@
   int admin_port_, port_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/proxy/http_host.cpp
+++ b/emulators/proxy/http_host.cpp
@@ -1,10 +1,10 @@
-#include "http_host.h"
+#include "emulators/proxy/http_host.h"
 
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 #include <chrono>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 using asio::ip::tcp;
@@ -83,4 +83,4 @@
   }
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/proxy/http_host.h
+++ b/emulators/proxy/http_host.h
@@ -10,7 +10,7 @@
 #include <string>
 #include <thread>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 // Parts of all requests, from 0 to 1; the rest is answered well.
 struct HttpFaults {
@@ -47,4 +47,4 @@
   std::jthread thread_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -14,16 +14,16 @@
 #include <thread>
 #include <vector>
 
-#include "http_host.h"
-#include "program.h"
-#include "proxy.h"
-#include "rules.h"
-#include "words.h"
+#include "emulators/program.h"
+#include "emulators/proxy/http_host.h"
+#include "emulators/proxy/proxy_emulator.h"
+#include "emulators/words.h"
+#include "rules/rules.h"
 
 namespace {
 
-using namespace thistlepond;
-using namespace thistlepond::stand_ins;
+using namespace cometfold;
+using namespace cometfold::emulators;
 namespace http = boost::beast::http;
 using boost::asio::ip::tcp;
 
@@ -162,7 +162,7 @@
 };
 
 struct Bench {
-  Bench(const std::string& program, const HttpFaults& faults, bool ask_again = false) {
+  Bench(const std::string& program, const HttpFaults& faults) {
     std::vector<std::string> listed;
     for (HostId h = 1; h <= 4; ++h) {
       hosts.push_back(std::make_unique<HttpHost>(faults, h, judge.record_of(h)));
@@ -216,7 +216,7 @@
 }
 
 int storm(const std::string& program, std::uint64_t requests, int threads, double misbehaving, int kills) {
-  Bench b(program, {.error = 0.03, .full = 0.03, .broken = 0.02, .mean_ms = 0.5}, kills > 0);
+  Bench b(program, {.error = 0.03, .full = 0.03, .broken = 0.02, .mean_ms = 0.5});
   std::atomic<std::uint64_t> next{0};
   std::mutex mutex;
   std::map<int, std::uint64_t> statuses;
@@ -317,7 +317,7 @@
   try {
     return shown->parsed() ? tour(program) : storm(program, requests, threads, misbehaving, kills);
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "stand-in-proxy: %s\n", error.what());
+    std::fprintf(stderr, "proxy-emulator: %s\n", error.what());
     return 1;
   }
 }
--- a/stand_ins/proxy/proxy.cpp
+++ b/emulators/proxy/proxy_emulator.cpp
@@ -1,4 +1,4 @@
-#include "proxy.h"
+#include "emulators/proxy/proxy_emulator.h"
 
 #include <grpcpp/grpcpp.h>
 
@@ -11,7 +11,7 @@
 
 #include "ext_proc_client.grpc.pb.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 namespace http = boost::beast::http;
 namespace pb = envoy::service::ext_proc::v3;
@@ -289,4 +289,4 @@
   return bad && (may_repeat || request.misbehave == "stubborn");
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/proxy/proxy.h
+++ b/emulators/proxy/proxy_emulator.h
@@ -14,7 +14,7 @@
 class Channel;
 }
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 // What a client asks the proxy to do wrong, by the header x-misbehave.
 //   cancel-asked    cancels the call right behind its question
@@ -68,4 +68,4 @@
   std::jthread thread_;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/relay.cpp
+++ b/emulators/relay.cpp
@@ -1,11 +1,11 @@
-#include "relay.h"
+#include "emulators/relay.h"
 
 #include <memory>
 #include <string>
 
-#include "resp.h"
+#include "resp/resp.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -92,4 +92,4 @@
   });
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/relay.h
+++ b/emulators/relay.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <vector>
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 class Relay {
  public:
@@ -24,4 +24,4 @@
   std::size_t turn_ = 0;
 };
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/stand_ins/words.h
+++ b/emulators/words.h
@@ -8,10 +8,10 @@
 #include <thread>
 #include <vector>
 
-#include "peer.h"
-#include "resp.h"
+#include "emulators/peer.h"
+#include "resp/resp.h"
 
-namespace thistlepond::stand_ins {
+namespace cometfold::emulators {
 
 inline std::string target(const std::string& uid, int port, const std::string& state = "active") {
   return R"({"uid":")" + uid + R"(","endpoint":"127.0.0.1:)" + std::to_string(port) +
@@ -93,4 +93,4 @@
   return "*3\r\n$" + std::to_string(value.size()) + "\r\n" + value + "\r\n$-1\r\n$7\r\ndepth=0\r\n";
 }
 
-}  // namespace thistlepond::stand_ins
+}  // namespace cometfold::emulators
--- a/include/thistlepond/control.h
+++ b/include/cometfold/admission_controller.h
@@ -1,4 +1,4 @@
-// The interface of thistlepond's decision module: settings, events, actions.
+// The interface of cometfold's decision module: settings, events, actions.
 // The module does no I/O and reads no clock: time comes in with each event, randomness from a seed.
 #pragma once
 
@@ -13,7 +13,7 @@
 #include <string_view>
 #include <vector>
 
-namespace thistlepond {
+namespace cometfold {
 
 using Ms = double;  // milliseconds; no particular origin
 using RequestId = std::uint64_t;
@@ -251,4 +251,4 @@
   std::unique_ptr<State> state_;
 };
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/include/thistlepond/send_rules.h
+++ b/include/cometfold/attempt_rules.h
@@ -10,9 +10,9 @@
 #include <optional>
 #include <string_view>
 
-#include "control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 // A process may be held up for so long between reading its clock and writing.
 inline constexpr Ms kHeldUpMs = 150;
@@ -116,4 +116,4 @@
                       [](const auto& a) { return a.out || a.may_have_run; });
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/attempts.cpp
+++ b/src/admission/attempts.cpp
@@ -1,7 +1,7 @@
 // The one choke point that every send passes, further attempts and final answers.
-#include "state.h"
+#include "admission/state.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 // What the request's time, its bounds, its earlier attempts and the site allow now.
 RepeatLimits<Attempt> Control::State::permit(const Held& r) const {
@@ -150,4 +150,4 @@
   }
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/customers.cpp
+++ b/src/admission/customers.cpp
@@ -1,7 +1,7 @@
 // Customers: the paper's buckets at this gateway's slice, lending, and what a customer is taken for.
-#include "state.h"
+#include "admission/state.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 // Volumes and rates as the settings have them for this customer; levels stay, within the volumes.
 void Control::State::shape(Customer& c) {
@@ -229,4 +229,4 @@
   return chance + (1 - chance) * (p.beyond_earns - dearer * p.overrun_cost);
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/events.cpp
+++ b/src/admission/events.cpp
@@ -1,7 +1,7 @@
 // Events in: requests, ends, lists and ticks.
-#include "state.h"
+#include "admission/state.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 void Control::State::admit(Held& r, Actions& out) {
   const Request& q = r.ask;
@@ -386,4 +386,4 @@
   if (it != s.hosts.end()) s.report(it->second, ok ? load : LoadReport{}, true);
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/hosts.cpp
+++ b/src/admission/hosts.cpp
@@ -1,7 +1,7 @@
 // Hosts: their records, what they bear, and what an attempt there would cost.
-#include "state.h"
+#include "admission/state.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 void Control::State::settle(Host& h) {  // lets a host's record fade
   const Ms dt = now - h.touched;
@@ -126,4 +126,4 @@
   note(out, "outlier ejection: a host fails most of its attempts");
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/records.h
+++ b/src/admission/records.h
@@ -3,10 +3,10 @@
 
 #include <vector>
 
-#include "thistlepond/send_rules.h"
-#include "tuning.h"
+#include "admission/tuning.h"
+#include "cometfold/attempt_rules.h"
 
-namespace thistlepond::detail {
+namespace cometfold::detail {
 
 // The paper's token bucket TB(T, rho, mu), equations (1) to (5).
 struct TokenBucket {
@@ -101,4 +101,4 @@
   }
 };
 
-}  // namespace thistlepond::detail
+}  // namespace cometfold::detail
--- a/src/control/shedding.cpp
+++ b/src/admission/shedding.cpp
@@ -1,7 +1,7 @@
 // Load, pressure, and shedding by worth.
-#include "state.h"
+#include "admission/state.h"
 
-namespace thistlepond {
+namespace cometfold {
 
 void Control::State::measure_load() {
   double used = 0, least = 0, room = 0;
@@ -53,4 +53,4 @@
   return floor > 0 && all > 0 && below / all < floor;
 }
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/state.h
+++ b/src/admission/state.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <utility>
 
-#include "records.h"
+#include "admission/records.h"
 
-namespace thistlepond {
+namespace cometfold {
 using namespace detail;
 
 struct Control::State {
@@ -151,4 +151,4 @@
   void size_books();
 };
 
-}  // namespace thistlepond
+}  // namespace cometfold
--- a/src/control/tuning.h
+++ b/src/admission/tuning.h
@@ -5,9 +5,9 @@
 #include <cmath>
 #include <limits>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::detail {
+namespace cometfold::detail {
 
 inline constexpr Ms kTickMs = 100;           // the design's period of lending
 inline constexpr Ms kIdleMs = 60'000;        // the design's time to drop an idle customer
@@ -87,4 +87,4 @@
 
 inline constexpr double kKeptShare = 0.2;  // of each level, when another takes over: for what still comes
 
-}  // namespace thistlepond::detail
+}  // namespace cometfold::detail
--- a/src/engine/digest.h
+++ b/src/engine/digest.h
@@ -6,7 +6,7 @@
 #include <cstdint>
 #include <string_view>
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 
 class Digest {
  public:
@@ -28,4 +28,4 @@
   std::uint64_t value_ = 0x243f6a8885a308d3u;
 };
 
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -1,13 +1,13 @@
-#include "engine.h"
+#include "engine/engine.h"
 
 #include <algorithm>
 #include <cmath>
 #include <exception>
 #include <utility>
 
-#include "faults.h"
+#include "engine/faults.h"
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 
 namespace {
 
@@ -600,4 +600,4 @@
   into.add(stop_at_.value_or(0));
 }
 
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -28,12 +28,12 @@
 #include <unordered_set>
 #include <vector>
 
-#include "digest.h"
-#include "module.h"
-#include "thistlepond/control.h"
-#include "thistlepond/send_rules.h"
+#include "cometfold/admission_controller.h"
+#include "cometfold/attempt_rules.h"
+#include "engine/digest.h"
+#include "engine/module.h"
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 
 using AttemptId = std::uint64_t;
 
@@ -360,4 +360,4 @@
   std::optional<Ms> stop_at_;
 };
 
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/src/engine/faults.h
+++ b/src/engine/faults.h
@@ -1,8 +1,8 @@
 // Deliberate faults, to show that the explorer and the monitors find them. Built in only with
-// THISTLEPOND_MUTANTS, for tools and tests; elsewhere `mutant` is a constant false and costs nothing.
+// COMETFOLD_MUTANTS, for tools and tests; elsewhere `mutant` is a constant false and costs nothing.
 #pragma once
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 
 enum class Mutant : unsigned char {
   kNone,
@@ -28,11 +28,11 @@
 
 constexpr int kMutants = 19;  // with kNone
 
-#ifdef THISTLEPOND_MUTANTS
+#ifdef COMETFOLD_MUTANTS
 inline thread_local Mutant active_mutant = Mutant::kNone;
 inline bool mutant(Mutant which) { return active_mutant == which; }
 #else
 constexpr bool mutant(Mutant) { return false; }
 #endif
 
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/src/engine/module.h
+++ b/src/engine/module.h
@@ -5,9 +5,9 @@
 #include <cstdint>
 #include <span>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 
 // Events go in, in order of time; actions come out through `out` before the call returns. Any call may throw:
 // the engine then goes on without that decision.
@@ -55,4 +55,4 @@
   Control control_;
 };
 
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/src/explore/chooser.h
+++ b/src/explore/chooser.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 using Path = std::vector<std::uint8_t>;  // at each choice, which option
 
@@ -68,4 +68,4 @@
   std::string fault_;
 };
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -1,4 +1,4 @@
-#include "explorer.h"
+#include "explore/explorer.h"
 
 #include <algorithm>
 #include <array>
@@ -11,9 +11,9 @@
 #include <unordered_set>
 #include <utility>
 
-#include "world.h"
+#include "explore/world.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 namespace {
 
@@ -119,7 +119,7 @@
 }
 
 void set_mutant([[maybe_unused]] engine::Mutant mutant) {
-#ifdef THISTLEPOND_MUTANTS
+#ifdef COMETFOLD_MUTANTS
   engine::active_mutant = mutant;
 #else
   if (mutant != engine::Mutant::kNone) throw std::runtime_error("this build has no mutants");
@@ -196,4 +196,4 @@
   return world.breach();
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/explorer.h
+++ b/src/explore/explorer.h
@@ -10,12 +10,12 @@
 #include <string>
 #include <vector>
 
-#include "chooser.h"
-#include "faults.h"
-#include "rules.h"
-#include "scenario.h"
+#include "engine/faults.h"
+#include "explore/chooser.h"
+#include "explore/scenario.h"
+#include "rules/rules.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 struct Result {
   std::size_t states = 0;       // told apart by their fingerprints
@@ -55,4 +55,4 @@
 std::optional<engine::Mutant> mutant_named(const std::string& name);
 void set_mutant(engine::Mutant mutant);  // of this thread; throws if mutants are not built in
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -7,14 +7,14 @@
 #include <stdexcept>
 #include <string>
 
-#include "explorer.h"
-#include "trace.h"
-#include "world.h"
+#include "explore/explorer.h"
+#include "explore/trace.h"
+#include "explore/world.h"
 
 namespace {
 
-using namespace thistlepond::explore;
-using thistlepond::engine::Mutant;
+using namespace cometfold::explore;
+using cometfold::engine::Mutant;
 
 void print_head() {
   std::printf("%-24s %-24s %10s %12s %8s %9s %9s %8s  %s\n", "scenario", "mutant", "states", "transitions",
@@ -82,7 +82,7 @@
     auto all = scenarios(small);
     if (list) {
       for (const auto& s : all) std::printf("%-24s %s\n", s.name.c_str(), s.about.c_str());
-      for (int m = 1; m < thistlepond::engine::kMutants; ++m) {
+      for (int m = 1; m < cometfold::engine::kMutants; ++m) {
         std::printf("mutant %s\n", name_of(static_cast<Mutant>(m)).c_str());
       }
       return 0;
@@ -103,7 +103,7 @@
     std::vector<Mutant> mutants{*mutant};
     if (hunt) {
       mutants.clear();
-      for (int m = 1; m < thistlepond::engine::kMutants; ++m) mutants.push_back(static_cast<Mutant>(m));
+      for (int m = 1; m < cometfold::engine::kMutants; ++m) mutants.push_back(static_cast<Mutant>(m));
     }
     print_head();
     std::size_t missed = 0, broken = 0;
--- a/src/explore/scenario.cpp
+++ b/src/explore/scenario.cpp
@@ -1,8 +1,8 @@
-#include "scenario.h"
+#include "explore/scenario.h"
 
 #include <algorithm>
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 namespace {
 
@@ -101,4 +101,4 @@
   return it == all.end() ? nullptr : &*it;
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/scenario.h
+++ b/src/explore/scenario.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 // What may happen beside the ordinary. Each costs one of `Scenario::faults`.
 struct Menu {
@@ -52,4 +52,4 @@
 std::vector<Scenario> scenarios(bool small);
 const Scenario* find_scenario(const std::vector<Scenario>& all, const std::string& name);
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/sights.cpp
+++ b/src/explore/sights.cpp
@@ -1,6 +1,6 @@
-#include "world.h"
+#include "explore/world.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 const char* name_of(Sight sight) {
   switch (sight) {
@@ -42,4 +42,4 @@
   return "";
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/trace.cpp
+++ b/src/explore/trace.cpp
@@ -1,12 +1,12 @@
-#include "trace.h"
+#include "explore/trace.h"
 
 #include <boost/json.hpp>
 #include <fstream>
 #include <stdexcept>
 
-#include "explorer.h"
+#include "explore/explorer.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 namespace json = boost::json;
 
 std::string to_text(const Trace& trace) {
@@ -83,4 +83,4 @@
   return trace;
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/trace.h
+++ b/src/explore/trace.h
@@ -5,11 +5,11 @@
 #include <string>
 #include <vector>
 
-#include "faults.h"
-#include "rules.h"
-#include "scenario.h"
+#include "engine/faults.h"
+#include "explore/scenario.h"
+#include "rules/rules.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 struct Trace {
   Scenario scenario;
@@ -23,4 +23,4 @@
 // Throws std::runtime_error with the file, the line and what would be right.
 Trace read_trace(const std::string& path);
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/world.cpp
+++ b/src/explore/world.cpp
@@ -1,13 +1,13 @@
 // The run of a world: its peers, the end of the gateway, judgement and fingerprint.
-#include "world.h"
+#include "explore/world.h"
 
 #include <algorithm>
 #include <cstring>
 #include <utility>
 
-#include "world_parts.h"
+#include "explore/world_parts.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 // ---- the run ----
 
@@ -345,4 +345,4 @@
   return d.value();
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -10,15 +10,15 @@
 #include <string>
 #include <vector>
 
-#include "chooser.h"
-#include "client_link.h"
-#include "engine.h"
-#include "front.h"
-#include "host_pool.h"
-#include "rules.h"
-#include "scenario.h"
+#include "engine/engine.h"
+#include "explore/chooser.h"
+#include "explore/scenario.h"
+#include "resp/client_link.h"
+#include "resp/front.h"
+#include "resp/host_pool.h"
+#include "rules/rules.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 // What a run has been through, to tell whether a scenario reaches what it is for.
 enum class Sight : std::uint8_t {
@@ -177,4 +177,4 @@
   std::set<std::pair<std::uint64_t, std::uint64_t>> answered_;  // places at the front end
 };
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/world_events.cpp
+++ b/src/explore/world_events.cpp
@@ -1,7 +1,7 @@
 // What can happen next in a world, and what it does.
-#include "world_parts.h"
+#include "explore/world_parts.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 void World::options(std::vector<Option>& all) {
   all.clear();
@@ -346,4 +346,4 @@
   say("  it is " + std::to_string(static_cast<long>(now_)));
 }
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/explore/world_parts.h
+++ b/src/explore/world_parts.h
@@ -11,10 +11,10 @@
 #include <string>
 #include <utility>
 
-#include "resp.h"
-#include "world.h"
+#include "explore/world.h"
+#include "resp/resp.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 
 using engine::Engine;
 using rules::Event;
@@ -371,4 +371,4 @@
   std::map<std::uint64_t, std::shared_ptr<resp::ClientLink>> links;
 };
 
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/src/extproc/exchange.cpp
+++ b/src/extproc/exchange.cpp
@@ -1,13 +1,13 @@
-#include "exchange.h"
+#include "extproc/exchange.h"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-#include "host_load.h"
-#include "responses.h"
+#include "extproc/host_load.h"
+#include "extproc/responses.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -174,4 +174,4 @@
   call_.finish(status);
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/exchange.h
+++ b/src/extproc/exchange.h
@@ -6,11 +6,11 @@
 #include <string>
 #include <string_view>
 
-#include "messages.h"
-#include "outcomes.h"
-#include "processor.h"
+#include "extproc/messages.h"
+#include "extproc/outcomes.h"
+#include "extproc/processor.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // An answer to the proxy's client; see `Immediate`.
 struct Answer {
@@ -72,4 +72,4 @@
   bool echo_request_ = false, echo_response_ = false, override_modes_ = false;
 };
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/host_load.cpp
+++ b/src/extproc/host_load.cpp
@@ -1,4 +1,4 @@
-#include "host_load.h"
+#include "extproc/host_load.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
@@ -8,7 +8,7 @@
 
 #include "external_processor.pb.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -153,4 +153,4 @@
   return load;
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/host_load.h
+++ b/src/extproc/host_load.h
@@ -4,10 +4,10 @@
 
 #include <string_view>
 
-#include "processor_settings.h"
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
+#include "extproc/processor_settings.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // `TEXT a=1, named_metrics.b=2`, `JSON {...}` or `BIN base64`, as in xds.data.orca.v3.OrcaLoadReport.
 LoadReport read_orca(const LoadMapping& mapping, std::string_view value);
@@ -16,4 +16,4 @@
 // `queue=3,in_flight=5,busy=0.4`
 LoadReport read_plain(std::string_view value);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/mapper.cpp
+++ b/src/extproc/mapper.cpp
@@ -1,12 +1,12 @@
-#include "mapper.h"
+#include "extproc/mapper.h"
 
 #include <algorithm>
 #include <charconv>
 #include <utility>
 
-#include "grpc.h"
+#include "http2/grpc.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -211,4 +211,4 @@
   return {};
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/mapper.h
+++ b/src/extproc/mapper.h
@@ -9,10 +9,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "headers.h"
-#include "processor_settings.h"
+#include "extproc/processor_settings.h"
+#include "http2/headers.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 using http2::HeaderView;
 
@@ -66,4 +66,4 @@
 // customer; any other text is hashed with the seed.
 CustomerId customer_number(std::string_view name, std::uint64_t seed);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -1,9 +1,9 @@
-#include "messages.h"
+#include "extproc/messages.h"
 
 #include <google/protobuf/io/coded_stream.h>
 #include <google/protobuf/wire_format_lite.h>
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -180,4 +180,4 @@
   });
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/messages.h
+++ b/src/extproc/messages.h
@@ -7,9 +7,9 @@
 #include <string_view>
 #include <vector>
 
-#include "mapper.h"
+#include "extproc/mapper.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 struct Message {
   enum Part : std::uint8_t {  // the published numbers of the oneof `request`
@@ -34,4 +34,4 @@
 // one holds. `into` must be fresh or have been read into before; its views last as long as the bytes.
 bool read_message(std::string_view bytes, Message& into);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/outcomes.cpp
+++ b/src/extproc/outcomes.cpp
@@ -1,9 +1,9 @@
-#include "outcomes.h"
+#include "extproc/outcomes.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -132,4 +132,4 @@
   return text;
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/outcomes.h
+++ b/src/extproc/outcomes.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // The end as the proxy shows it. `details` is Envoy's attribute response.code_details ("Response code
 // details" in its manual); empty if the proxy does not send it.
@@ -26,4 +26,4 @@
 // The table as lines of Markdown.
 std::string outcome_table(std::span<const int> not_run);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -1,15 +1,15 @@
-#include "processor.h"
+#include "extproc/processor.h"
 
 #include <algorithm>
 #include <array>
 #include <utility>
 #include <vector>
 
-#include "exchange.h"
-#include "host_load.h"
-#include "responses.h"
+#include "extproc/exchange.h"
+#include "extproc/host_load.h"
+#include "extproc/responses.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 using engine::AttemptId;
 using engine::StartResult;
@@ -493,4 +493,4 @@
   }
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/processor.h
+++ b/src/extproc/processor.h
@@ -27,13 +27,13 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "engine.h"
-#include "grpc_server.h"
-#include "mapper.h"
-#include "messages.h"
-#include "processor_settings.h"
+#include "engine/engine.h"
+#include "extproc/mapper.h"
+#include "extproc/messages.h"
+#include "extproc/processor_settings.h"
+#include "http2/grpc_server.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // The one method's path.
 constexpr std::string_view kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
@@ -152,4 +152,4 @@
   RecordId last_ = 0;
 };
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/processor_settings.h
+++ b/src/extproc/processor_settings.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // Requests known by method and path. The first rule that fits gives what no header says.
 struct Rule {
@@ -83,7 +83,7 @@
 // What the module knows of classes and plans.
 struct Names {
   std::vector<std::string> classes, plans;
-  thistlepond::Settings settings;
+  cometfold::Settings settings;
   std::vector<RequestBounds> bounds = {};  // by class; none: no further bounds
 };
 
@@ -91,4 +91,4 @@
 // named.
 void check(const Settings& settings, const Names& names);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/responses.cpp
+++ b/src/extproc/responses.cpp
@@ -1,4 +1,4 @@
-#include "responses.h"
+#include "extproc/responses.h"
 
 #include <algorithm>
 #include <array>
@@ -6,7 +6,7 @@
 
 #include "external_processor.pb.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 namespace {
 
@@ -146,4 +146,4 @@
   return response.SerializeAsString();
 }
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/extproc/responses.h
+++ b/src/extproc/responses.h
@@ -4,9 +4,9 @@
 #include <string>
 #include <string_view>
 
-#include "processor_settings.h"
+#include "extproc/processor_settings.h"
 
-namespace thistlepond::extproc {
+namespace cometfold::extproc {
 
 // Where a request goes.
 struct Route {
@@ -34,4 +34,4 @@
 // A piece of a body in the mode in which the proxy sends on only what it gets back.
 std::string echo_response(Part part, std::string_view body, bool end);
 
-}  // namespace thistlepond::extproc
+}  // namespace cometfold::extproc
--- a/src/http2/grpc.cpp
+++ b/src/http2/grpc.cpp
@@ -1,9 +1,9 @@
-#include "grpc.h"
+#include "http2/grpc.h"
 
 #include <algorithm>
 #include <charconv>
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 namespace {
 
@@ -120,4 +120,4 @@
   return content_type.empty() || content_type[0] == '+' || content_type[0] == ';';
 }
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/grpc.h
+++ b/src/http2/grpc.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "session.h"
+#include "http2/session.h"
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 // grpc/doc/statuscodes.md
 enum class Code : int {
@@ -66,4 +66,4 @@
 // Is this the content-type of gRPC: application/grpc, with anything behind + or ;
 bool is_grpc(std::string_view content_type);
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_client.cpp
+++ b/src/http2/grpc_client.cpp
@@ -1,11 +1,11 @@
-#include "grpc_client.h"
+#include "http2/grpc_client.h"
 
 #include <charconv>
 #include <optional>
 #include <string>
 #include <utility>
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 namespace {
 
@@ -124,4 +124,4 @@
   return call;
 }
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_client.h
+++ b/src/http2/grpc_client.h
@@ -4,10 +4,10 @@
 #include <memory>
 #include <string_view>
 
-#include "grpc.h"
-#include "session.h"
+#include "http2/grpc.h"
+#include "http2/session.h"
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 class ClientCallEvents {
  public:
@@ -33,4 +33,4 @@
                        const Headers& metadata, std::unique_ptr<ClientCallEvents> events,
                        std::size_t message_bytes = 4 * 1024 * 1024);
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_server.cpp
+++ b/src/http2/grpc_server.cpp
@@ -1,8 +1,8 @@
-#include "grpc_server.h"
+#include "http2/grpc_server.h"
 
 #include <utility>
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 namespace {
 
@@ -141,4 +141,4 @@
   }
 }
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_server.h
+++ b/src/http2/grpc_server.h
@@ -7,10 +7,10 @@
 #include <string>
 #include <string_view>
 
-#include "grpc.h"
-#include "session.h"
+#include "http2/grpc.h"
+#include "http2/session.h"
 
-namespace thistlepond::http2::grpc {
+namespace cometfold::http2::grpc {
 
 class Connection;
 
@@ -82,4 +82,4 @@
   Session session_;             // last: its end is heard by what stands above
 };
 
-}  // namespace thistlepond::http2::grpc
+}  // namespace cometfold::http2::grpc
--- a/src/http2/headers.h
+++ b/src/http2/headers.h
@@ -6,7 +6,7 @@
 #include <string_view>
 #include <vector>
 
-namespace thistlepond::http2 {
+namespace cometfold::http2 {
 
 struct Header {
   std::string name;  // lower case; pseudo-headers begin with a colon
@@ -24,4 +24,4 @@
 // The value of the first header with this name; empty if there is none.
 std::string_view find(HeaderBlock headers, std::string_view name);
 
-}  // namespace thistlepond::http2
+}  // namespace cometfold::http2
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -1,10 +1,10 @@
-#include "session.h"
+#include "http2/session.h"
 
 #include <algorithm>
 #include <cstring>
 #include <utility>
 
-namespace thistlepond::http2 {
+namespace cometfold::http2 {
 
 namespace {
 
@@ -409,4 +409,4 @@
   if (stream->events_) stream->events_->on_closed(now_, code);
 }
 
-}  // namespace thistlepond::http2
+}  // namespace cometfold::http2
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -21,10 +21,10 @@
 #include <unordered_map>
 #include <vector>
 
-#include "headers.h"
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
+#include "http2/headers.h"
 
-namespace thistlepond::http2 {
+namespace cometfold::http2 {
 
 struct Limits {
   std::uint32_t streams = 10'000;        // open at once, begun by the other side
@@ -167,4 +167,4 @@
   ErrorCode ended_for_ = 0;
 };
 
-}  // namespace thistlepond::http2
+}  // namespace cometfold::http2
--- a/src/limits/attempt_limits.cpp
+++ b/src/limits/attempt_limits.cpp
@@ -1,11 +1,11 @@
-#include "attempt_limits.h"
+#include "limits/attempt_limits.h"
 
 #include <algorithm>
 #include <cmath>
 #include <cstdio>
 #include <utility>
 
-namespace thistlepond::limits {
+namespace cometfold::limits {
 namespace {
 
 // Longer than any deadline that a configuration may name.
@@ -235,4 +235,4 @@
   return v;
 }
 
-}  // namespace thistlepond::limits
+}  // namespace cometfold::limits
--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -15,9 +15,9 @@
 #include <string_view>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::limits {
+namespace cometfold::limits {
 
 // A value and the line on which it is written.
 template <class Value>
@@ -92,4 +92,4 @@
 };
 Chain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms patience);
 
-}  // namespace thistlepond::limits
+}  // namespace cometfold::limits
--- a/src/membership/faults.h
+++ b/src/membership/faults.h
@@ -1,8 +1,8 @@
-// Deliberate faults, to show that tests of membership find them. Built in only with THISTLEPOND_MUTANTS, for
+// Deliberate faults, to show that tests of membership find them. Built in only with COMETFOLD_MUTANTS, for
 // tests; elsewhere `mutant` is a constant false and costs nothing.
 #pragma once
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 enum class Mutant : unsigned char {
   kNone,
@@ -21,11 +21,11 @@
 
 constexpr int kMutants = 12;  // with kNone
 
-#ifdef THISTLEPOND_MUTANTS
+#ifdef COMETFOLD_MUTANTS
 inline thread_local Mutant active_mutant = Mutant::kNone;
 inline bool mutant(Mutant which) { return active_mutant == which; }
 #else
 constexpr bool mutant(Mutant) { return false; }
 #endif
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -1,6 +1,6 @@
-#include "membership.h"
+#include "membership/membership.h"
 
-#include "faults.h"
+#include "membership/faults.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -9,7 +9,7 @@
 #include <cmath>
 #include <utility>
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 namespace {
 
@@ -864,4 +864,4 @@
   return sum;
 }
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -19,10 +19,10 @@
 #include <utility>
 #include <vector>
 
-#include "record.h"
-#include "standing.h"
+#include "membership/record.h"
+#include "membership/standing.h"
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 // Times in milliseconds.
 struct Settings {
@@ -240,4 +240,4 @@
   Counts counts_;
 };
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -9,7 +9,7 @@
 #include <tuple>
 #include <vector>
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 // As others are told. Failed and left are for good for that start number.
 enum class Kind : std::uint8_t { kAlive, kFailed, kLeft };
@@ -76,4 +76,4 @@
 std::size_t size_of(const Record& record);
 std::size_t size_of(const Accusation& accusation);
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/standing.cpp
+++ b/src/membership/standing.cpp
@@ -1,8 +1,8 @@
-#include "standing.h"
+#include "membership/standing.h"
 
 #include <algorithm>
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 Standing StandingRule::of(const Hearing& h) {
   if (h.heard <= 1) return Standing::kAlone;
@@ -32,4 +32,4 @@
   return true;
 }
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/standing.h
+++ b/src/membership/standing.h
@@ -20,9 +20,9 @@
 #include <cstdint>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 enum class Standing : std::uint8_t { kTogether, kDoubtful, kCutOff, kAlone };
 
@@ -57,4 +57,4 @@
   Standing worst_lately_ = Standing::kTogether;
 };
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -1,4 +1,4 @@
-#include "wire.h"
+#include "membership/wire.h"
 
 #define XXH_INLINE_ALL
 #include <xxhash.h>
@@ -10,7 +10,7 @@
 
 #include "peer_messages.pb.h"
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 namespace {
 
@@ -135,4 +135,4 @@
   return m;
 }
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <string_view>
 
-#include "record.h"
+#include "membership/record.h"
 
-namespace thistlepond::membership {
+namespace cometfold::membership {
 
 inline constexpr std::size_t kLargestDatagram = 1200;
 
@@ -25,4 +25,4 @@
 // Nothing, with the reason in `why`, if it is not to be read.
 std::optional<Message> decode(std::string_view datagram, std::string_view cluster, Unread& why);
 
-}  // namespace thistlepond::membership
+}  // namespace cometfold::membership
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -1,13 +1,13 @@
-#include "admin_server.h"
+#include "net/admin_server.h"
 
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 #include <chrono>
 #include <utility>
 
-#include "log.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
@@ -142,4 +142,4 @@
   });
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -6,9 +6,9 @@
 #include <list>
 #include <memory>
 
-#include "calls.h"
+#include "ops/calls.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 class AdminServer {
  public:
@@ -33,4 +33,4 @@
   std::list<std::shared_ptr<Caller>> callers_;  // in the order in which they came
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -5,7 +5,7 @@
 #include <chrono>
 #include <cstdint>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // What has become of a watch that is over.
 enum class WatchEnd : std::uint8_t {
@@ -68,4 +68,4 @@
   std::chrono::milliseconds pause_ = kFirst;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -1,4 +1,4 @@
-#include "clients.h"
+#include "net/clients.h"
 
 #include <netinet/in.h>
 #include <netinet/tcp.h>
@@ -9,10 +9,10 @@
 #include <optional>
 #include <utility>
 
-#include "log.h"
-#include "tcp_stream.h"
+#include "net/log.h"
+#include "net/tcp_stream.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -302,4 +302,4 @@
   return connections_.size() + (winding_down_ && acceptor_.is_open() ? 1 : 0);
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -10,11 +10,11 @@
 #include <string_view>
 #include <unordered_map>
 
-#include "client_link.h"
-#include "clock.h"
-#include "front.h"
+#include "net/clock.h"
+#include "resp/client_link.h"
+#include "resp/front.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 using resp::Ticket;
 
@@ -107,4 +107,4 @@
   bool begun_ = false, winding_down_ = false, draining_ = false, looking_for_leavers_ = false;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -4,9 +4,9 @@
 #include <algorithm>
 #include <chrono>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // Read once a batch of events, so that all of a batch happen at one time, as the module expects.
 class Clock {
@@ -51,4 +51,4 @@
   bool read_ = false;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -1,4 +1,4 @@
-#include "config.h"
+#include "net/config.h"
 
 #include <algorithm>
 #include <cctype>
@@ -6,9 +6,9 @@
 #include <fstream>
 #include <iterator>
 
-#include "settings.h"
+#include "adapter/settings.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace json = boost::json;
 
 namespace {
@@ -294,4 +294,4 @@
   return all;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -13,11 +13,11 @@
 #include <string_view>
 #include <vector>
 
-#include "discovery.h"
-#include "own_settings.h"
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
+#include "net/discovery.h"
+#include "net/own_settings.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 struct ConfigError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -60,4 +60,4 @@
 // The bounds of these classes, by their order.
 std::vector<RequestBounds> bounds_of(const Config& config, const std::vector<std::string>& classes);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/decision_log.cpp
+++ b/src/net/decision_log.cpp
@@ -1,8 +1,8 @@
-#include "decision_log.h"
+#include "net/decision_log.h"
 
 #include <cstdio>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -71,4 +71,4 @@
   write_(text);
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/decision_log.h
+++ b/src/net/decision_log.h
@@ -5,9 +5,9 @@
 #include <functional>
 #include <string>
 
-#include "module.h"
+#include "engine/module.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // Stands before a module and changes nothing of what goes in or comes out. `module` and `settings` must
 // outlast it. `write` gets, at the start, what a plan and a class are: "plan=P rate=R burst=B pays=W cost=C
@@ -39,4 +39,4 @@
   Write write_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/departed_hosts.h
+++ b/src/net/departed_hosts.h
@@ -8,9 +8,9 @@
 #include <unordered_map>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 class DepartedHosts {
  public:
@@ -45,4 +45,4 @@
   std::deque<HostId> order_;  // by when each was noted first
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -1,4 +1,4 @@
-#include "discovery.h"
+#include "net/discovery.h"
 
 #include <algorithm>
 #include <array>
@@ -10,10 +10,10 @@
 #include <optional>
 #include <utility>
 
-#include "backoff.h"
-#include "log.h"
+#include "net/backoff.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 namespace beast = boost::beast;
 namespace http = beast::http;
@@ -447,4 +447,4 @@
   }
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -14,7 +14,7 @@
 #include <unordered_map>
 #include <vector>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 enum class TargetState : std::uint8_t { kActive, kLeaving, kLeft };
 
@@ -99,4 +99,4 @@
   boost::asio::steady_timer recheck_, last_words_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/event_log.cpp
+++ b/src/net/event_log.cpp
@@ -1,4 +1,4 @@
-#include "event_log.h"
+#include "net/event_log.h"
 
 #include <spdlog/details/null_mutex.h>
 #include <spdlog/sinks/base_sink.h>
@@ -8,10 +8,10 @@
 #include <memory>
 #include <string>
 
-#include "line_bound.h"
-#include "log.h"
+#include "net/line_bound.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -51,4 +51,4 @@
                std::string_view(text).substr(1, text.size() - 2));
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/event_log.h
+++ b/src/net/event_log.h
@@ -4,11 +4,11 @@
 #include <boost/json.hpp>
 #include <string_view>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 enum class Level { kInfo, kWarning };
 
 // {"time":...,"level":...,"event":EVENT, ...fields}
 void log_event(Level level, std::string_view event, boost::json::object fields);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -1,17 +1,17 @@
-#include "gateway.h"
+#include "net/gateway.h"
 
 #include <algorithm>
 #include <boost/crc.hpp>
 #include <chrono>
 #include <utility>
 
-#include "figures.h"
-#include "handover_state.h"
-#include "log.h"
-#include "request_log.h"
-#include "settings.h"
+#include "adapter/settings.h"
+#include "net/log.h"
+#include "net/request_log.h"
+#include "ops/figures.h"
+#include "ops/handover_state.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 using boost::system::error_code;
 
@@ -574,4 +574,4 @@
   });
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -11,23 +11,23 @@
 #include <string_view>
 #include <vector>
 
-#include "admin_server.h"
-#include "clients.h"
-#include "clock.h"
-#include "config.h"
-#include "decision_log.h"
-#include "departed_hosts.h"
-#include "discovery.h"
-#include "engine.h"
-#include "front.h"
-#include "handover.h"
-#include "hosts.h"
-#include "module.h"
-#include "numbering.h"
-#include "peers.h"
-#include "processor_server.h"
+#include "engine/engine.h"
+#include "engine/module.h"
+#include "net/admin_server.h"
+#include "net/clients.h"
+#include "net/clock.h"
+#include "net/config.h"
+#include "net/decision_log.h"
+#include "net/departed_hosts.h"
+#include "net/discovery.h"
+#include "net/handover.h"
+#include "net/hosts.h"
+#include "net/peers.h"
+#include "net/processor_server.h"
+#include "resp/front.h"
+#include "settings/numbering.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 class Gateway : private ClientEvents, private HostEvents, private DiscoveryEvents, private ops::Operable {
  public:
@@ -137,4 +137,4 @@
 // A host's number, from its uid alone: the same at every gateway and after every restart.
 HostId host_number(std::string_view uid);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -1,4 +1,4 @@
-#include "grpc_listener.h"
+#include "net/grpc_listener.h"
 
 #include <array>
 #include <chrono>
@@ -6,10 +6,10 @@
 #include <string>
 #include <utility>
 
-#include "log.h"
-#include "tcp_stream.h"
+#include "net/log.h"
+#include "net/tcp_stream.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -236,4 +236,4 @@
   for (const auto& [id, c] : all) c->close();
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/grpc_listener.h
+++ b/src/net/grpc_listener.h
@@ -8,10 +8,10 @@
 #include <memory>
 #include <unordered_map>
 
-#include "clock.h"
-#include "grpc_server.h"
+#include "http2/grpc_server.h"
+#include "net/clock.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 struct GrpcLimits {
   std::size_t connections = 64;  // more wait in the kernel
@@ -58,4 +58,4 @@
   bool announced_ = false, draining_ = false, waiting_ = false;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -1,4 +1,4 @@
-#include "handover.h"
+#include "net/handover.h"
 
 #include <poll.h>
 #include <sys/socket.h>
@@ -12,10 +12,10 @@
 #include <stdexcept>
 #include <utility>
 
-#include "handover_state.h"
-#include "log.h"
+#include "net/log.h"
+#include "ops/handover_state.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 using asio::local::stream_protocol;
 using boost::system::error_code;
@@ -235,4 +235,4 @@
   });
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -8,7 +8,7 @@
 #include <memory>
 #include <string>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // A descriptor that is closed with its owner.
 class OwnedFd {
@@ -97,4 +97,4 @@
   bool begun_ = false, taken_ = false;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -1,10 +1,10 @@
-#include "hosts.h"
+#include "net/hosts.h"
 
 #include <chrono>
 
-#include "log.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -29,4 +29,4 @@
   });
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/hosts.h
+++ b/src/net/hosts.h
@@ -3,11 +3,11 @@
 
 #include <boost/asio.hpp>
 
-#include "clock.h"
-#include "host_pool.h"
-#include "tcp_stream.h"
+#include "net/clock.h"
+#include "net/tcp_stream.h"
+#include "resp/host_pool.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 using engine::AttemptId;
 using engine::StartResult;
@@ -31,4 +31,4 @@
   boost::asio::steady_timer sweep_timer_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/line_bound.h
+++ b/src/net/line_bound.h
@@ -7,7 +7,7 @@
 #include <optional>
 #include <utility>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 class LineBound {
  public:
@@ -33,4 +33,4 @@
   std::uint64_t held_back_ = 0;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -1,4 +1,4 @@
-#include "log.h"
+#include "net/log.h"
 
 #include <poll.h>
 #include <unistd.h>
@@ -8,9 +8,9 @@
 #include <cstdint>
 #include <string>
 
-#include "line_bound.h"
+#include "net/line_bound.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -41,4 +41,4 @@
   left_out = write_log(text) ? 0 : left_out + 1;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -3,7 +3,7 @@
 
 #include <string_view>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // One line: `what`, or `what: detail`. Never waits: what nobody takes from standard error now is left out.
 void log_line(std::string_view what, std::string_view detail = {});
@@ -12,4 +12,4 @@
 // takes it now.
 bool write_log(std::string_view line);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -11,16 +11,16 @@
 #include <optional>
 #include <string>
 
-#include "clock.h"
-#include "config.h"
-#include "gateway.h"
-#include "log.h"
-#include "outcomes.h"
+#include "extproc/outcomes.h"
+#include "net/clock.h"
+#include "net/config.h"
+#include "net/gateway.h"
+#include "net/log.h"
 
 namespace {
 
-using namespace thistlepond::net;
-namespace extproc = thistlepond::extproc;
+using namespace cometfold::net;
+namespace extproc = cometfold::extproc;
 
 // The soft limit on descriptors may lie under what the configuration grants.
 void raise_descriptor_limit(std::size_t sockets) {
--- a/src/net/own_settings.cpp
+++ b/src/net/own_settings.cpp
@@ -1,4 +1,4 @@
-#include "own_settings.h"
+#include "net/own_settings.h"
 
 #define TOML_EXCEPTIONS 1
 #include <toml++/toml.h>
@@ -9,7 +9,7 @@
 #include <functional>
 #include <map>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -427,4 +427,4 @@
   return s;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/own_settings.h
+++ b/src/net/own_settings.h
@@ -8,13 +8,13 @@
 #include <stdexcept>
 #include <string>
 
-#include "attempt_limits.h"
-#include "grpc_listener.h"
-#include "peers.h"
-#include "processor_settings.h"
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
+#include "extproc/processor_settings.h"
+#include "limits/attempt_limits.h"
+#include "net/grpc_listener.h"
+#include "net/peers.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // One line: the file, the line, what is wrong and what would be right.
 struct OwnSettingsError : std::runtime_error {
@@ -47,4 +47,4 @@
 // Throws OwnSettingsError. Names that are not known are errors: a slip of the pen must not go unnoticed.
 OwnSettings read_own_settings(const std::string& path);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -1,14 +1,14 @@
-#include "peers.h"
+#include "net/peers.h"
 
 #include <boost/json.hpp>
 #include <chrono>
 #include <cmath>
 #include <random>
 
-#include "event_log.h"
-#include "log.h"
+#include "net/event_log.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 namespace json = boost::json;
 using asio::ip::udp;
@@ -262,4 +262,4 @@
   return f;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "clock.h"
-#include "figures.h"
-#include "membership.h"
-#include "wire.h"
+#include "membership/membership.h"
+#include "membership/wire.h"
+#include "net/clock.h"
+#include "ops/figures.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // [peers] in the gateway's own settings; without an address to listen at there are none.
 struct PeerSettings {
@@ -72,4 +72,4 @@
   std::array<std::vector<std::string>, 4> names_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/processor_server.cpp
+++ b/src/net/processor_server.cpp
@@ -1,11 +1,11 @@
-#include "processor_server.h"
+#include "net/processor_server.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "log.h"
+#include "net/log.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 extproc::Names processor_names(const Config& config) {
   return {config.class_names, config.plan_names, config.settings, bounds_of(config, config.class_names)};
@@ -30,4 +30,4 @@
   processor_.reload(config.own.processor, std::move(names));
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/processor_server.h
+++ b/src/net/processor_server.h
@@ -7,12 +7,12 @@
 #include <optional>
 #include <string>
 
-#include "clock.h"
-#include "config.h"
-#include "grpc_listener.h"
-#include "processor.h"
+#include "extproc/processor.h"
+#include "net/clock.h"
+#include "net/config.h"
+#include "net/grpc_listener.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 extproc::Names processor_names(const Config& config);
 
@@ -39,4 +39,4 @@
   GrpcListener listener_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/request_log.cpp
+++ b/src/net/request_log.cpp
@@ -1,10 +1,10 @@
-#include "request_log.h"
+#include "net/request_log.h"
 
 #include <array>
 #include <cstdio>
 #include <string_view>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 namespace {
 
@@ -38,4 +38,4 @@
   return line;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -4,11 +4,11 @@
 
 #include <string>
 
-#include "engine.h"
+#include "engine/engine.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 // One step as `name=value` words; times in milliseconds of the program's clock.
 std::string to_line(const engine::Transition& step);
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -1,4 +1,4 @@
-#include "tcp_stream.h"
+#include "net/tcp_stream.h"
 
 #include <netinet/tcp.h>
 #include <poll.h>
@@ -6,7 +6,7 @@
 #include <chrono>
 #include <utility>
 
-namespace thistlepond::net {
+namespace cometfold::net {
 namespace asio = boost::asio;
 using asio::ip::tcp;
 using boost::system::error_code;
@@ -175,4 +175,4 @@
   return stream;
 }
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -6,10 +6,10 @@
 #include <memory>
 #include <span>
 
-#include "clock.h"
-#include "stream.h"
+#include "net/clock.h"
+#include "resp/stream.h"
 
-namespace thistlepond::net {
+namespace cometfold::net {
 
 class TcpStream : public resp::Stream {
  public:
@@ -64,4 +64,4 @@
   std::function<bool()> make_room_;
 };
 
-}  // namespace thistlepond::net
+}  // namespace cometfold::net
--- a/src/ops/calls.cpp
+++ b/src/ops/calls.cpp
@@ -1,6 +1,6 @@
-#include "calls.h"
+#include "ops/calls.h"
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 
 Answer call(Operable& gateway, std::string_view method, std::string_view target) {
   const auto path = target.substr(0, target.find('?'));
@@ -26,4 +26,4 @@
   return {200, path == "/_lameduck/on" ? "draining\n" : "taking clients\n"};
 }
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/ops/calls.h
+++ b/src/ops/calls.h
@@ -5,7 +5,7 @@
 #include <string>
 #include <string_view>
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 
 // What operators can ask of a gateway.
 class Operable {
@@ -28,4 +28,4 @@
 // `target` as in the request line; what follows a question mark is ignored.
 Answer call(Operable& gateway, std::string_view method, std::string_view target);
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/ops/figures.cpp
+++ b/src/ops/figures.cpp
@@ -1,9 +1,9 @@
-#include "figures.h"
+#include "ops/figures.h"
 
 #include <map>
 #include <string_view>
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 
 namespace {
 
@@ -68,4 +68,4 @@
   return out;
 }
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/ops/figures.h
+++ b/src/ops/figures.h
@@ -10,9 +10,9 @@
 #include <utility>
 #include <vector>
 
-#include "engine.h"
+#include "engine/engine.h"
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 
 // Of the other gateways; names as shown.
 struct PeerFigures {
@@ -39,4 +39,4 @@
 std::string render(const Figures& figures, std::span<const std::string> labels,
                    std::span<const engine::ClassFigures> classes);
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/ops/handover_state.cpp
+++ b/src/ops/handover_state.cpp
@@ -1,11 +1,11 @@
-#include "handover_state.h"
+#include "ops/handover_state.h"
 
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
 #include <vector>
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 namespace json = boost::json;
 
 namespace {
@@ -170,4 +170,4 @@
   }
 }
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/ops/handover_state.h
+++ b/src/ops/handover_state.h
@@ -7,9 +7,9 @@
 #include <string>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::ops {
+namespace cometfold::ops {
 
 struct HandoverError : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -29,4 +29,4 @@
 // anything that is not a state of this version.
 HandedState decode(std::string_view text, const Names& names);
 
-}  // namespace thistlepond::ops
+}  // namespace cometfold::ops
--- a/src/resp/client_link.cpp
+++ b/src/resp/client_link.cpp
@@ -1,12 +1,12 @@
-#include "client_link.h"
+#include "resp/client_link.h"
 
 #include <algorithm>
 #include <memory>
 #include <utility>
 
-#include "faults.h"
+#include "engine/faults.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 using engine::mutant;
 using engine::Mutant;
 
@@ -438,4 +438,4 @@
   }
 }
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/client_link.h
+++ b/src/resp/client_link.h
@@ -13,12 +13,12 @@
 #include <string_view>
 #include <vector>
 
-#include "close_rules.h"
-#include "engine.h"
-#include "resp.h"
-#include "stream.h"
+#include "engine/engine.h"
+#include "resp/close_rules.h"
+#include "resp/resp.h"
+#include "resp/stream.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 using engine::Ticket;
 
@@ -165,4 +165,4 @@
   bool winding_down_ = false;  // and what idles is closed too
 };
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/close_rules.h
+++ b/src/resp/close_rules.h
@@ -7,9 +7,9 @@
 #include <iterator>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 // Why a client's connection is closed.
 enum class CloseReason : std::uint8_t {
@@ -73,4 +73,4 @@
   return false;
 }
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -1,11 +1,11 @@
-#include "front.h"
+#include "resp/front.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <utility>
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 namespace {
 
@@ -273,4 +273,4 @@
   return load;
 }
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/front.h
+++ b/src/resp/front.h
@@ -11,11 +11,11 @@
 #include <utility>
 #include <vector>
 
-#include "client_link.h"
-#include "engine.h"
-#include "host_pool.h"
+#include "engine/engine.h"
+#include "resp/client_link.h"
+#include "resp/host_pool.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 // How clients name things, and what they may ask.
 struct Names {
@@ -88,4 +88,4 @@
 // can't be read or is out of range is left out.
 LoadReport read_report(std::string_view text, LoadField (*field_of)(std::string_view));
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -1,11 +1,11 @@
-#include "host_pool.h"
+#include "resp/host_pool.h"
 
 #include <algorithm>
 #include <utility>
 
-#include "faults.h"
+#include "engine/faults.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 using engine::mutant;
 using engine::Mutant;
 
@@ -480,4 +480,4 @@
   }
 }
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/host_pool.h
+++ b/src/resp/host_pool.h
@@ -12,11 +12,11 @@
 #include <unordered_map>
 #include <vector>
 
-#include "engine.h"
-#include "resp.h"
-#include "stream.h"
+#include "engine/engine.h"
+#include "resp/resp.h"
+#include "resp/stream.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 using engine::AttemptId;
 using engine::StartResult;
@@ -113,4 +113,4 @@
   std::size_t links_ = 0;
 };
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -1,11 +1,11 @@
-#include "resp.h"
+#include "resp/resp.h"
 
 #include <algorithm>
 #include <charconv>
 #include <cstring>
 #include <optional>
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 namespace {
 
 constexpr std::size_t kFirstBuffer = 2048;
@@ -193,4 +193,4 @@
   out += "\r\n";
 }
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -9,7 +9,7 @@
 #include <string_view>
 #include <vector>
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 struct Limits {
   std::size_t value = 64 * 1024;   // bytes of one bulk string
@@ -100,4 +100,4 @@
 void append_error(std::string& out, std::string_view text);
 void append_simple(std::string& out, std::string_view text);
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/resp/stream.h
+++ b/src/resp/stream.h
@@ -9,9 +9,9 @@
 #include <string>
 #include <string_view>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 
 // Where a host listens, in words: an IP address and a port.
 struct Address {
@@ -71,4 +71,4 @@
   virtual bool make_room() = 0;
 };
 
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/src/rules/rules.cpp
+++ b/src/rules/rules.cpp
@@ -1,12 +1,12 @@
-#include "rules.h"
+#include "rules/rules.h"
 
 #include <algorithm>
 #include <cmath>
 #include <utility>
 
-#include "thistlepond/send_rules.h"
+#include "cometfold/attempt_rules.h"
 
-namespace thistlepond::rules {
+namespace cometfold::rules {
 
 namespace {
 
@@ -87,7 +87,7 @@
   if (a == b || group == KeyGroup::kAll) return true;
   const auto x = hosts_.find(a), y = hosts_.find(b);
   if (x == hosts_.end() || y == hosts_.end() || group == KeyGroup::kNone) return false;
-  return thistlepond::same_group(group, place_of(x->second), place_of(y->second));
+  return cometfold::same_group(group, place_of(x->second), place_of(y->second));
 }
 
 std::optional<Breach> NoRepeat::see(const Event& e) {
@@ -290,4 +290,4 @@
   for (const auto& m : monitors_) m->digest(into);
 }
 
-}  // namespace thistlepond::rules
+}  // namespace cometfold::rules
--- a/src/rules/rules.h
+++ b/src/rules/rules.h
@@ -15,10 +15,10 @@
 #include <string_view>
 #include <vector>
 
-#include "digest.h"
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
+#include "engine/digest.h"
 
-namespace thistlepond::rules {
+namespace cometfold::rules {
 
 using GatewayId = std::uint32_t;
 
@@ -200,4 +200,4 @@
   std::vector<Breach> breaches_;  // the first of them, kMostBreaches at most
 };
 
-}  // namespace thistlepond::rules
+}  // namespace cometfold::rules
--- a/src/settings/numbering.cpp
+++ b/src/settings/numbering.cpp
@@ -1,9 +1,9 @@
-#include "numbering.h"
+#include "settings/numbering.h"
 
 #include <algorithm>
 #include <optional>
 
-namespace thistlepond::settings {
+namespace cometfold::settings {
 
 namespace {
 
@@ -77,4 +77,4 @@
   }
 }
 
-}  // namespace thistlepond::settings
+}  // namespace cometfold::settings
--- a/src/settings/numbering.h
+++ b/src/settings/numbering.h
@@ -8,9 +8,9 @@
 #include <string>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::settings {
+namespace cometfold::settings {
 
 struct Numbered {
   // Names by number; an empty one is withdrawn, and only requests under way still use it.
@@ -31,4 +31,4 @@
 // unknown.
 void extend(std::vector<std::string>& names, const std::vector<std::string>& fresh);
 
-}  // namespace thistlepond::settings
+}  // namespace cometfold::settings
--- a/tests/buckets_test.cpp
+++ b/tests/buckets_test.cpp
@@ -3,7 +3,7 @@
 
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 // Quota 4 a second with burst 8 over 2 gateways: a slice of 2 a second that holds 4.
@@ -152,4 +152,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/client_link_test.cpp
+++ b/tests/client_link_test.cpp
@@ -1,5 +1,5 @@
 // One client connection without sockets: what is owed on it, and what may be closed.
-#include "client_link.h"
+#include "resp/client_link.h"
 
 #include <gtest/gtest.h>
 
@@ -9,9 +9,9 @@
 #include <utility>
 #include <vector>
 
-#include "words.h"
+#include "emulators/words.h"
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 namespace {
 
 // A stream whose bytes the test hands in.
@@ -76,7 +76,7 @@
   HandStream& hand = *stream;
   link->start(std::move(stream));
   std::string all;
-  for (int i = 0; i < 70; ++i) all += stand_ins::command({"PING"});
+  for (int i = 0; i < 70; ++i) all += emulators::command({"PING"});
   hand.arrive(1, all);
   ASSERT_EQ(owner.places.size(), 64u);
   for (const auto place : std::vector(owner.places)) link->answer(2, place, "+PONG\r\n");
@@ -94,7 +94,7 @@
 TEST(ClientLink, ReadsAheadOfAHeldBackClientWithinBounds) {
   constexpr std::size_t kOne = 512 * 1024, kAll = 200 * 1024;
   std::string commands;
-  for (int i = 0; i < 64; ++i) commands += stand_ins::command({"PING"});
+  for (int i = 0; i < 64; ++i) commands += emulators::command({"PING"});
   const std::string more = commands + std::string(2 * kOne, '*');
   for (const bool scarce : {false, true}) {
     Owner owner;
@@ -133,8 +133,8 @@
   HandStream& hand = *stream;
   owner.link->start(std::move(stream));
   std::string all;
-  for (int i = 0; i < 64; ++i) all += stand_ins::command({"PING"});
-  for (int i = 0; i < 20; ++i) all += stand_ins::command({"PING", "large"});
+  for (int i = 0; i < 64; ++i) all += emulators::command({"PING"});
+  for (int i = 0; i < 20; ++i) all += emulators::command({"PING", "large"});
   hand.arrive(1, all);
   ASSERT_EQ(owner.places.size(), 64u);
   for (const auto place : std::vector(owner.places)) owner.link->answer(2, place, "+PONG\r\n");
@@ -184,7 +184,7 @@
   auto stream = std::make_unique<HandStream>(*link);
   HandStream& hand = *stream;
   link->start(std::move(stream));
-  const auto ping = stand_ins::command({"PING"});
+  const auto ping = emulators::command({"PING"});
   hand.waiting = ping.size() - 3;
   hand.arrive(100, ping.substr(0, 3));
   hand.waiting = 0;
@@ -199,4 +199,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "history.h"
-#include "words.h"
+#include "emulators/cluster/history.h"
+#include "emulators/words.h"
 
-namespace thistlepond::stand_ins::cluster::testing {
+namespace cometfold::emulators::cluster::testing {
 namespace {
 
 namespace json = boost::json;
@@ -189,4 +189,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::stand_ins::cluster::testing
+}  // namespace cometfold::emulators::cluster::testing
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,5 +1,5 @@
 // The codec against the framing page's example bytes, and malformed input.
-#include "codec.h"
+#include "adapter/codec.h"
 
 #include <gtest/gtest.h>
 
@@ -8,7 +8,7 @@
 #include <string>
 #include <vector>
 
-namespace thistlepond::wire {
+namespace cometfold::wire {
 namespace {
 
 using Raw = std::vector<unsigned char>;
@@ -164,4 +164,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::wire
+}  // namespace cometfold::wire
--- a/tests/decision_log_test.cpp
+++ b/tests/decision_log_test.cpp
@@ -1,5 +1,5 @@
 // The decision log: a line for each request, nothing changed of what the module hears and decides.
-#include "decision_log.h"
+#include "net/decision_log.h"
 
 #include <gtest/gtest.h>
 
@@ -8,13 +8,13 @@
 
 #include "support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
-using thistlepond::testing::Act;
-using thistlepond::testing::host;
-using thistlepond::testing::plain_settings;
-using thistlepond::testing::Recorder;
+using cometfold::testing::Act;
+using cometfold::testing::host;
+using cometfold::testing::plain_settings;
+using cometfold::testing::Recorder;
 
 TEST(DecisionLog, TellsWhatPlansAreAndWhatBecameOfEachRequestAndChangesNothing) {
   auto s = plain_settings();
@@ -56,4 +56,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/stand_ins_test.cpp
+++ b/tests/emulators_test.cpp
@@ -2,24 +2,24 @@
 #include <future>
 #include <thread>
 
-#include "discovery_server.h"
-#include "host_server.h"
-#include "load.h"
+#include "emulators/discovery_emulator.h"
+#include "emulators/host_emulator.h"
+#include "emulators/load.h"
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 struct Site {
   boost::asio::io_context io{1};
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work{io.get_executor()};
-  DiscoveryServer discovery{io};
-  std::vector<std::unique_ptr<HostServer>> hosts;
+  DiscoveryEmulator discovery{io};
+  std::vector<std::unique_ptr<HostEmulator>> hosts;
   std::jthread thread;
 
   Site(int count, const Behaviour& behaviour) {
     for (int i = 1; i <= count; ++i) {
-      hosts.push_back(std::make_unique<HostServer>(io, behaviour, static_cast<std::uint64_t>(i)));
+      hosts.push_back(std::make_unique<HostEmulator>(io, behaviour, static_cast<std::uint64_t>(i)));
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
     thread = std::jthread([this] { io.run(); });
@@ -129,4 +129,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,6 +1,6 @@
 // The engine's own promises, whatever its module does. Each hard case is played twice: by the engine as it
 // is, and by one with the fault that the case guards against, which must show.
-#include "engine.h"
+#include "engine/engine.h"
 
 #include <gtest/gtest.h>
 
@@ -9,10 +9,10 @@
 #include <set>
 #include <stdexcept>
 
-#include "explorer.h"
-#include "faults.h"
+#include "engine/faults.h"
+#include "explore/explorer.h"
 
-namespace thistlepond::engine {
+namespace cometfold::engine {
 namespace {
 
 struct Bytes : Payload {
@@ -477,4 +477,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::engine
+}  // namespace cometfold::engine
--- a/tests/explore_test.cpp
+++ b/tests/explore_test.cpp
@@ -6,11 +6,11 @@
 #include <fstream>
 #include <set>
 
-#include "explorer.h"
-#include "trace.h"
-#include "world.h"
+#include "explore/explorer.h"
+#include "explore/trace.h"
+#include "explore/world.h"
 
-namespace thistlepond::explore {
+namespace cometfold::explore {
 namespace {
 
 TEST(Explore, EveryScenarioHoldsWithOneTrouble) {
@@ -92,4 +92,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::explore
+}  // namespace cometfold::explore
--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -9,12 +9,12 @@
 #include <string>
 #include <vector>
 
-#include "engine.h"
+#include "engine/engine.h"
+#include "engine/module.h"
 #include "external_processor.pb.h"
-#include "module.h"
-#include "processor.h"
+#include "extproc/processor.h"
 
-namespace thistlepond::extproc::testing {
+namespace cometfold::extproc::testing {
 
 namespace pb = envoy::service::ext_proc::v3;
 using http2::grpc::Code;
@@ -248,4 +248,4 @@
   std::vector<std::unique_ptr<OpenCall>> calls;
 };
 
-}  // namespace thistlepond::extproc::testing
+}  // namespace cometfold::extproc::testing
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -4,11 +4,11 @@
 #include <random>
 #include <set>
 
+#include "extproc/host_load.h"
+#include "extproc/outcomes.h"
 #include "extproc_support.h"
-#include "host_load.h"
-#include "outcomes.h"
 
-namespace thistlepond::extproc::testing {
+namespace cometfold::extproc::testing {
 namespace {
 
 Settings marked() {
@@ -866,4 +866,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::extproc::testing
+}  // namespace cometfold::extproc::testing
--- a/tests/fault_shim.h
+++ b/tests/fault_shim.h
@@ -12,7 +12,7 @@
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 
 enum class Call { kAccept, kSocket, kConnect, kEpollWait, kRecv, kSend, kShortRecv, kShortSend, kBindUnix };
 
@@ -60,4 +60,4 @@
   Plan* plan_;
 };
 
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -14,7 +14,7 @@
 
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 
 // What becomes of an attempt, and when. `kNotSent` here: never answered.
 struct Fate {
@@ -327,4 +327,4 @@
   std::vector<double> rates_;  // requests a second, summed up
 };
 
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -12,10 +12,10 @@
 #include <random>
 #include <string>
 
-#include "membership.h"
-#include "wire.h"
+#include "membership/membership.h"
+#include "membership/wire.h"
 
-using namespace thistlepond::membership;
+using namespace cometfold::membership;
 
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   Settings settings;
--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -9,15 +9,15 @@
 #include <string_view>
 #include <vector>
 
-#include "engine.h"
-#include "grpc_server.h"
-#include "module.h"
-#include "processor.h"
+#include "engine/engine.h"
+#include "engine/module.h"
+#include "extproc/processor.h"
+#include "http2/grpc_server.h"
 
 namespace {
 
-using namespace thistlepond;
-using namespace thistlepond::extproc;
+using namespace cometfold;
+using namespace cometfold::extproc;
 
 struct Nobody : engine::HostSide {
   engine::StartResult start(Ms, engine::AttemptId, HostId, const engine::Payload&, Ms) override {
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -12,8 +12,8 @@
 protobuf=$(find /usr/lib -name libprotobuf-lite.a | head -1)
 case $target in
 processor)
-  sources=("$root"/src/control/*.cpp "$root"/src/engine/engine.cpp "$root"/src/http2/*.cpp "$root"/src/extproc/*.cpp
-           "$root"/src/net/json.cpp "$2/generated/external_processor.pb.cc")
+  sources=("$root"/src/admission/*.cpp "$root"/src/engine/engine.cpp "$root"/src/http2/*.cpp "$root"/src/extproc/*.cpp
+           "$root"/src/json/boost_json.cpp "$2/generated/external_processor.pb.cc")
   libraries=("$nghttp2" "$protobuf")
   ;;
 peers)
@@ -23,8 +23,7 @@
 esac
 sources+=("$here/${target}_fuzz.cpp")
 flags=(-std=c++20 -O1 -g1 -fsanitize=fuzzer,address,undefined -fno-sanitize-recover=all -DBOOST_JSON_NO_LIB
-       -DBOOST_CONTAINER_NO_LIB -I"$root/include" -I"$root/src/engine" -I"$root/src/http2" -I"$root/src/extproc"
-       -I"$root/src/control" -I"$root/src/membership" -isystem "$2/generated")
+       -DBOOST_CONTAINER_NO_LIB -I"$root/include" -I"$root/src" -I"$root" -isystem "$2/generated")
 pids=()
 objects=()
 for source in "${sources[@]}"; do
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -3,12 +3,12 @@
 #include <filesystem>
 #include <fstream>
 
-#include "extproc_support.h"
-#include "http2_support.h"
-#include "wire.h"
+#include "membership/wire.h"
+#include "tests/extproc_support.h"
+#include "tests/http2_support.h"
 
-using namespace thistlepond::http2::testing;
-namespace messages = thistlepond::extproc::testing;
+using namespace cometfold::http2::testing;
+namespace messages = cometfold::extproc::testing;
 
 int main(int, char** argv) {
   const std::filesystem::path folder = argv[1];
@@ -17,7 +17,7 @@
   const auto seed = [&](const std::string& bytes) {
     std::ofstream(folder / ("seed-" + std::to_string(++n)), std::ios::binary) << bytes;
   };
-  const std::string path(thistlepond::extproc::kProcess);
+  const std::string path(cometfold::extproc::kProcess);
   const auto ask = [](const char* id, const char* attempt) {
     return messages::request_headers({{":method", "GET"},
                                       {":path", "/x"},
@@ -41,7 +41,7 @@
            m;
   };
   seed(std::string(1, '\1') + one(ask("a", "1"), 4) + one(report, 0) + one(ask("a", "2"), 1));
-  namespace peers = thistlepond::membership;
+  namespace peers = cometfold::membership;
   const std::filesystem::path datagrams = argv[2];
   std::filesystem::create_directories(datagrams);
   std::ofstream all(datagrams / "all", std::ios::binary);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -7,7 +7,7 @@
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
@@ -588,4 +588,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/held_up_test.cpp
+++ b/tests/held_up_test.cpp
@@ -9,7 +9,7 @@
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -134,4 +134,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/hosts_test.cpp
+++ b/tests/hosts_test.cpp
@@ -1,15 +1,15 @@
 // Attempts and pools against scripted hosts, and what the settings' reader refuses.
-#include "hosts.h"
+#include "net/hosts.h"
 
 #include <cstring>
 #include <map>
 #include <thread>
 
-#include "config.h"
-#include "gateway.h"
+#include "net/config.h"
+#include "net/gateway.h"
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 struct Text : resp::Command {
@@ -246,4 +246,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/http2_support.h
+++ b/tests/http2_support.h
@@ -10,10 +10,10 @@
 #include <string>
 #include <vector>
 
-#include "grpc_client.h"
-#include "grpc_server.h"
+#include "http2/grpc_client.h"
+#include "http2/grpc_server.h"
 
-namespace thistlepond::http2::testing {
+namespace cometfold::http2::testing {
 
 // One frame, as RFC 9113 section 4.1 has it.
 inline std::string frame(unsigned type, unsigned flags, std::uint32_t stream, std::string_view payload = {}) {
@@ -178,4 +178,4 @@
   Session session;
 };
 
-}  // namespace thistlepond::http2::testing
+}  // namespace cometfold::http2::testing
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -4,7 +4,7 @@
 
 #include "http2_support.h"
 
-namespace thistlepond::http2::testing {
+namespace cometfold::http2::testing {
 namespace {
 
 using grpc::Code;
@@ -353,4 +353,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::http2::testing
+}  // namespace cometfold::http2::testing
--- a/tests/late_connections_test.cpp
+++ b/tests/late_connections_test.cpp
@@ -7,7 +7,7 @@
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -90,4 +90,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -7,13 +7,13 @@
 #include <random>
 #include <string>
 
-#include "attempt_limits.h"
-#include "config.h"
-#include "mapper.h"
-#include "own_settings.h"
+#include "extproc/mapper.h"
+#include "limits/attempt_limits.h"
+#include "net/config.h"
+#include "net/own_settings.h"
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 using limits::Chain;
@@ -344,4 +344,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -5,10 +5,10 @@
 #include <thread>
 #include <vector>
 
+#include "emulators/host_emulator.h"
 #include "fault_shim.h"
-#include "host_server.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -73,8 +73,8 @@
     io_.stop();
     thread_.join();
   }
-  HostServer& first() { return first_; }
-  HostServer& second() { return second_; }
+  HostEmulator& first() { return first_; }
+  HostEmulator& second() { return second_; }
   // So many requests, some at a time. Danger: where one is out at a time, and takes no longer than a busy
   // machine may hold it up, all go to the host whose last answers happened to be quicker.
   void ask(Program& program, int requests) {
@@ -91,7 +91,7 @@
   static constexpr int kAtATime = 4;
   boost::asio::io_context io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_{io_.get_executor()};
-  HostServer first_{io_, Behaviour{.mean_ms = 20}, 1}, second_{io_, Behaviour{.mean_ms = 20}, 2};
+  HostEmulator first_{io_, Behaviour{.mean_ms = 20}, 1}, second_{io_, Behaviour{.mean_ms = 20}, 2};
   unsigned last_ = 0;
   std::thread thread_;
 };
@@ -191,4 +191,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/long_values_test.cpp
+++ b/tests/long_values_test.cpp
@@ -2,11 +2,11 @@
 #include <string>
 #include <vector>
 
-#include "client_link.h"
 #include "net_support.h"
-#include "resp.h"
+#include "resp/client_link.h"
+#include "resp/resp.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 constexpr std::size_t kMega = 1024 * 1024;
@@ -323,4 +323,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,22 +1,22 @@
 // Membership in the model: the hard cases one by one, then random schedules of faults.
-#include "membership.h"
+#include "membership/membership.h"
 
 #include <gtest/gtest.h>
 
 #include <cstdlib>
 #include <set>
 
-#include "faults.h"
-#include "membership_model.h"
-#include "wire.h"
+#include "emulators/membership_model.h"
+#include "membership/faults.h"
+#include "membership/wire.h"
 
-namespace thistlepond::membership::testing {
+namespace cometfold::membership::testing {
 namespace {
 
-using stand_ins::MembershipJudge;
-using stand_ins::MembershipModel;
-using stand_ins::Protocol;
-using stand_ins::RealMember;
+using emulators::MembershipJudge;
+using emulators::MembershipModel;
+using emulators::Protocol;
+using emulators::RealMember;
 
 class Cluster {
  public:
@@ -546,4 +546,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::membership::testing
+}  // namespace cometfold::membership::testing
--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -3,11 +3,11 @@
 
 #include <random>
 
+#include "membership/standing.h"
+#include "membership/wire.h"
 #include "peer_messages.pb.h"
-#include "standing.h"
-#include "wire.h"
 
-namespace thistlepond::membership::testing {
+namespace cometfold::membership::testing {
 namespace {
 
 Message full_message() {
@@ -147,4 +147,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::membership::testing
+}  // namespace cometfold::membership::testing
--- a/tests/module_limits.cmake
+++ b/tests/module_limits.cmake
@@ -1,12 +1,12 @@
-# The module's limits: the files that the deploy file lists under `policy` are all of src/control/, hold at most 1,200
+# The module's limits: the files that the deploy file lists under `policy` are all of src/admission/, hold at most 1,200
 # lines that are not blank together, and none past 110 characters.
 file(STRINGS "${ROOT}/deploy/balancer.toml" policy REGEX "^policy = ")
 string(REGEX MATCHALL "src/[a-z_./]+" listed "${policy}")
-file(GLOB present RELATIVE "${ROOT}" "${ROOT}/src/control/*")
+file(GLOB present RELATIVE "${ROOT}" "${ROOT}/src/admission/*")
 list(SORT listed)
 list(SORT present)
 if(NOT "${listed}" STREQUAL "${present}")
-  message(FATAL_ERROR "policy lists ${listed}, and src/control/ holds ${present}")
+  message(FATAL_ERROR "policy lists ${listed}, and src/admission/ holds ${present}")
 endif()
 set(count 0)
 foreach(file IN LISTS listed)
--- a/tests/monitors_test.cpp
+++ b/tests/monitors_test.cpp
@@ -1,16 +1,16 @@
 // The monitors against histories written by hand: each bad one is called, and the nearest good one is not.
 #include <gtest/gtest.h>
 
-#include "rules.h"
+#include "rules/rules.h"
 #include "support.h"
 
-namespace thistlepond::rules {
+namespace cometfold::rules {
 namespace {
 
 using E = Event;
 
 Settings three_kinds(KeyGroup group = KeyGroup::kAll) {
-  Settings s = thistlepond::testing::plain_settings(3);
+  Settings s = cometfold::testing::plain_settings(3);
   s.classes[1].repeat = Repeat::kKeyed;
   s.classes[1].group = group;
   s.classes[1].key_ttl_ms = 500;
@@ -212,4 +212,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::rules
+}  // namespace cometfold::rules
--- a/tests/net_support.h
+++ b/tests/net_support.h
@@ -11,21 +11,21 @@
 #include <utility>
 #include <vector>
 
-#include "peer.h"
-#include "program.h"
-#include "words.h"
+#include "emulators/peer.h"
+#include "emulators/program.h"
+#include "emulators/words.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 
-using namespace stand_ins;
+using namespace emulators;
 
-class Program : public stand_ins::Program {
+class Program : public emulators::Program {
  public:
   explicit Program(const boost::json::object& conf, std::vector<std::string> environment = {})
-      : stand_ins::Program(COMETFOLD_PROGRAM, conf, {}, std::move(environment)) {}
+      : emulators::Program(COMETFOLD_PROGRAM, conf, {}, std::move(environment)) {}
   Program(const boost::json::object& conf, std::vector<std::string> arguments,
           std::vector<std::string> environment)
-      : stand_ins::Program(COMETFOLD_PROGRAM, conf, std::move(arguments), std::move(environment)) {}
+      : emulators::Program(COMETFOLD_PROGRAM, conf, std::move(arguments), std::move(environment)) {}
 };
 
 // A gateway's process that is held up: stopped, and let on when this goes out of scope.
@@ -48,4 +48,4 @@
   pid_t pid_;
 };
 
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -1,5 +1,5 @@
 // The network that breaks: each fault is seen by two processes' sockets, in one direction only.
-#include "network.h"
+#include "emulators/network/network.h"
 
 #include <gtest/gtest.h>
 
@@ -9,9 +9,9 @@
 #include <string>
 #include <thread>
 
-#include "peer.h"
+#include "emulators/peer.h"
 
-namespace thistlepond::stand_ins::testing {
+namespace cometfold::emulators::testing {
 namespace {
 
 namespace asio = boost::asio;
@@ -157,4 +157,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::stand_ins::testing
+}  // namespace cometfold::emulators::testing
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -2,12 +2,12 @@
 #include <string>
 #include <vector>
 
-#include "calls.h"
-#include "figures.h"
 #include "net_support.h"
-#include "numbering.h"
+#include "ops/calls.h"
+#include "ops/figures.h"
+#include "settings/numbering.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 struct Said {
@@ -298,4 +298,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/own_settings_test.cpp
+++ b/tests/own_settings_test.cpp
@@ -1,12 +1,12 @@
 // The gateway's own settings and its command line: what is good is taken, what is bad is named with its
 // place.
-#include "own_settings.h"
+#include "net/own_settings.h"
 
 #include <fstream>
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 struct File {
@@ -173,4 +173,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -3,11 +3,11 @@
 #include <cstdio>
 #include <fstream>
 
-#include "line_bound.h"
+#include "net/line_bound.h"
+#include "net/own_settings.h"
 #include "net_support.h"
-#include "own_settings.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 namespace json = boost::json;
@@ -177,4 +177,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -6,11 +6,11 @@
 #include <string>
 #include <vector>
 
+#include "emulators/h2_peer.h"
 #include "external_processor.pb.h"
-#include "h2_peer.h"
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 namespace pb = envoy::service::ext_proc::v3;
@@ -361,11 +361,11 @@
 TEST(ProcessorProgram, WithoutAnAddressThereIsNoListener) {
   const OwnFile file("[extproc]\nrepeats = \"never\"\n");
   const auto conf = two_hosts();
-  stand_ins::Program program(COMETFOLD_PROGRAM, conf, {"--settings", file.path()});
+  emulators::Program program(COMETFOLD_PROGRAM, conf, {"--settings", file.path()});
   auto client = program.client();
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/quotas_test.cpp
+++ b/tests/quotas_test.cpp
@@ -4,7 +4,7 @@
 #include "fleet.h"
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 constexpr std::size_t kGateways = 300;
@@ -119,4 +119,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -9,11 +9,11 @@
 #include <thread>
 #include <vector>
 
-#include "backoff.h"
+#include "net/backoff.h"
+#include "net/tcp_stream.h"
 #include "net_support.h"
-#include "tcp_stream.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using Steady = std::chrono::steady_clock;
@@ -524,4 +524,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -5,10 +5,10 @@
 #include <string>
 #include <vector>
 
-#include "backoff.h"
+#include "net/backoff.h"
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 std::string at_discovery(boost::json::object conf, const Listener& discovery) {
@@ -169,4 +169,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -1,5 +1,5 @@
 // The RESP2 reader: whole, cut anywhere, too large, malformed.
-#include "resp.h"
+#include "resp/resp.h"
 
 #include <gtest/gtest.h>
 
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-namespace thistlepond::resp {
+namespace cometfold::resp {
 namespace {
 
 void feed(Reader& reader, std::string_view text) {
@@ -121,4 +121,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::resp
+}  // namespace cometfold::resp
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -8,7 +8,7 @@
 
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 TEST(Answers, FinalAnswerBeforeTheRequestsOwnDeadline) {
@@ -398,4 +398,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -8,7 +8,7 @@
 #include "fleet.h"
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 Settings large(double gateways = 400) {
@@ -685,4 +685,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/second_answers_test.cpp
+++ b/tests/second_answers_test.cpp
@@ -7,7 +7,7 @@
 
 #include "net_support.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -61,4 +61,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/succession_test.cpp
+++ b/tests/succession_test.cpp
@@ -5,7 +5,7 @@
 
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 Settings with_ceiling() {
@@ -237,4 +237,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/support.h
+++ b/tests/support.h
@@ -6,9 +6,9 @@
 #include <string>
 #include <vector>
 
-#include "thistlepond/control.h"
+#include "cometfold/admission_controller.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 
 struct Act {
   enum Kind { kSend, kCancel, kRefuse, kFail, kWake, kProbe, kFollow, kFetch, kNote } kind;
@@ -126,4 +126,4 @@
   }
 };
 
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/symptoms_test.cpp
+++ b/tests/symptoms_test.cpp
@@ -5,7 +5,7 @@
 
 #include "support.h"
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 Settings roomy() {
@@ -66,9 +66,9 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
 
-namespace thistlepond::testing {
+namespace cometfold::testing {
 namespace {
 
 // Quota 10 a second, burst 10: a slice of 5 and 5 at each of 2 gateways.
@@ -265,4 +265,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::testing
+}  // namespace cometfold::testing
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -11,7 +11,7 @@
 
 #include "fault_shim.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 using namespace std::chrono_literals;
@@ -168,4 +168,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -7,11 +7,11 @@
 #include <thread>
 #include <vector>
 
-#include "handover_state.h"
-#include "host_server.h"
+#include "emulators/host_emulator.h"
 #include "net_support.h"
+#include "ops/handover_state.h"
 
-namespace thistlepond::net::testing {
+namespace cometfold::net::testing {
 namespace {
 
 struct Directory {
@@ -132,7 +132,7 @@
 // however long it has waited.
 TEST(Upgrade, TheSecondOfOneThatDiesHasAnEmptyCeiling) {
   boost::asio::io_context io;
-  HostServer host(io, Behaviour{.mean_ms = 1}, 1);
+  HostEmulator host(io, Behaviour{.mean_ms = 1}, 1);
   std::thread hosts([&io] { io.run_for(std::chrono::seconds(60)); });
   Beside b;
   b.conf = config(list(7, true, {target("s-1", host.port())}), b.discovery.port());
@@ -245,7 +245,7 @@
 TEST(Upgrade, ADrainThatTheFirstWasToldOfIsKeptByTheSecond) {
   for (const std::string state : {"leaving", "left"}) {
     boost::asio::io_context io;
-    HostServer one(io, Behaviour{.mean_ms = 1}, 1), two(io, Behaviour{.mean_ms = 1}, 2);
+    HostEmulator one(io, Behaviour{.mean_ms = 1}, 1), two(io, Behaviour{.mean_ms = 1}, 2);
     std::thread hosts([&io] { io.run_for(std::chrono::seconds(60)); });
     Beside b;
     b.conf =
@@ -342,4 +342,4 @@
 }
 
 }  // namespace
-}  // namespace thistlepond::net::testing
+}  // namespace cometfold::net::testing
