--- a/tools/install.sh
+++ b/tools/install.sh
@@ -10,6 +10,11 @@
 command -v python3 >/dev/null || need+=(python3)
 # The fuzzer; a foreign client of the external processor, for its wire check.
 command -v clang++ >/dev/null || need+=(clang)
+# Formatter and linter, of one version everywhere: what they find depends on it.
+for tool in clang-format-14 clang-tidy-14; do
+  command -v "$tool" >/dev/null || need+=("$tool")
+done
+command -v git >/dev/null || need+=(git)
 ls /usr/lib/llvm-*/lib/clang/*/lib/linux/libclang_rt.fuzzer-x86_64.a >/dev/null 2>&1 || need+=(libclang-rt-14-dev)
 command -v node >/dev/null || need+=(nodejs)
 command -v npm >/dev/null || need+=(npm)
--- /dev/null
+++ b/tools/lint.py
@@ -0,0 +1,114 @@
+#!/usr/bin/env python3
+"""Formatter and linter: clang-format over all C++ files, clang-tidy over the translation units of src/ and adapter/.
+
+    tools/lint.py ROOT BUILD      BUILD holds compile_commands.json
+
+A unit that clang-tidy found clean is not read again while a hash of what the compiler sees, of .clang-tidy and of the
+tool's version stays the same; the hashes are in the user's cache folder. Prints each finding and exits with 1 if there
+is one.
+"""
+import concurrent.futures
+import hashlib
+import json
+import os
+import pathlib
+import re
+import shlex
+import subprocess
+import sys
+
+CLANG_FORMAT = "clang-format-14"
+CLANG_TIDY = "clang-tidy-14"
+CLANG = "clang++-14"
+LINTED_FOLDERS = ("src", "adapter")
+# Warnings are the compiler's business; clang does not know all of GCC's.
+EXTRA_ARGUMENTS = ("-w", "-Wno-unknown-warning-option")
+FILES_PER_FORMAT_CALL = 50
+
+
+def tracked_sources(root):
+    out = subprocess.run(["git", "-C", root, "ls-files", "--cached", "--others", "--exclude-standard", "*.cpp", "*.h"],
+                         capture_output=True, text=True, check=True).stdout
+    return [root / name for name in out.split() if (root / name).exists()]
+
+
+def unformatted(files):
+    """The files that clang-format would change, as its own messages."""
+    messages = []
+    for first in range(0, len(files), FILES_PER_FORMAT_CALL):
+        batch = [str(file) for file in files[first:first + FILES_PER_FORMAT_CALL]]
+        done = subprocess.run([CLANG_FORMAT, "--dry-run", "-Werror", *batch], capture_output=True, text=True)
+        if done.returncode != 0:
+            messages.append(done.stderr)
+    return messages
+
+
+def linted_units(root, build):
+    """The compile commands of the linted folders, one for each file."""
+    units = {}
+    for entry in json.loads((build / "compile_commands.json").read_text()):
+        file = pathlib.Path(entry["directory"], entry["file"]).resolve()
+        if not file.is_relative_to(root) or file.suffix != ".cpp":
+            continue
+        if file.relative_to(root).parts[0] in LINTED_FOLDERS:
+            units.setdefault(file, entry)
+    return units
+
+
+def preprocessor_arguments(entry):
+    """What of a compile command decides what the compiler sees."""
+    words = shlex.split(entry["command"])
+    kept = []
+    for word, following in zip(words, words[1:] + [""]):
+        if re.match(r"-[ID]|-std=", word):
+            kept.append(word)
+        elif word in ("-isystem", "-include"):
+            kept += [word, following]
+    return kept
+
+
+def fingerprint(file, entry, settings):
+    """A hash of what clang-tidy would read; none if the file does not compile, so that clang-tidy says why."""
+    done = subprocess.run([CLANG, *preprocessor_arguments(entry), "-E", "-C", str(file)], cwd=entry["directory"],
+                          capture_output=True)
+    if done.returncode != 0:
+        return None
+    return hashlib.sha256(settings + done.stdout).hexdigest()
+
+
+def findings(file, entry, build, settings, cache):
+    """What clang-tidy says of a unit; empty if it is clean."""
+    key = fingerprint(file, entry, settings)
+    if key and (cache / key).exists():
+        return ""
+    extra = [f"--extra-arg={argument}" for argument in EXTRA_ARGUMENTS]
+    done = subprocess.run([CLANG_TIDY, "--quiet", "-p", str(build), *extra, str(file)], capture_output=True, text=True)
+    if done.returncode != 0:
+        return done.stdout + done.stderr
+    if key:
+        (cache / key).touch()
+    return ""
+
+
+def main():
+    root = pathlib.Path(sys.argv[1]).resolve()
+    build = pathlib.Path(sys.argv[2]).resolve()
+    cache = pathlib.Path(os.environ.get("XDG_CACHE_HOME") or pathlib.Path.home() / ".cache") / "cometfold-lint"
+    cache.mkdir(parents=True, exist_ok=True)
+    version = subprocess.run([CLANG_TIDY, "--version"], capture_output=True, check=True).stdout
+    settings = version + (root / ".clang-tidy").read_bytes()
+
+    files = tracked_sources(root)
+    problems = unformatted(files)
+    units = linted_units(root, build)
+    with concurrent.futures.ThreadPoolExecutor(os.cpu_count()) as pool:
+        found = pool.map(lambda unit: findings(*unit, build, settings, cache), units.items())
+        problems += [text for text in found if text]
+    for problem in problems:
+        print(problem)
+    print(f"lint: {len(files)} files formatted, {len(units)} units linted, {len(problems)} with findings")
+    sys.exit(1 if problems else 0)
+
+
+if __name__ == "__main__":
+    main()
