--- a/adapter/codec.cpp
+++ b/adapter/codec.cpp
@@ -53,13 +53,13 @@
     case 100:
       return Outcome::kOk;
     case 302:
-      return Outcome::kFull;
+      return Outcome::kOverloaded;
     case 303:
       return Outcome::kTimedOut;
     case 304:
       return Outcome::kConnectFailed;
     case 305:
-      return Outcome::kBroken;
+      return Outcome::kConnectionLost;
     case 306:
       return Outcome::kCancelled;
     case 307:
@@ -89,7 +89,7 @@
     e.kind = read_at<std::uint16_t>(at, 12, "entry");
     e.zone = read_at<std::uint16_t>(at, 14, "entry");
     const auto state = read_at<std::uint8_t>(at, 16, "entry");
-    e.state = state == 1 ? HostState::kReady : state == 2 ? HostState::kDraining : HostState::kGone;
+    e.state = state == 1 ? HostState::kReady : state == 2 ? HostState::kDraining : HostState::kRemoved;
     e.size = read_at<float>(at, 17, "entry");
     e.cell = read_at<std::uint16_t>(at, 21, "entry");
   }
@@ -123,21 +123,23 @@
   put(r, 1, request);
   put(r, 9, static_cast<std::uint8_t>(attempt));
 }
-void Reply::Sink::refuse(RequestId request, Ms retry_after, Cause) {
+void Reply::Sink::reject(RequestId request, Ms retry_after, RejectionReason) {
   auto* r = reply_.add(instance_, kSayNo);
   put(r, 1, request);
   put(r, 9, retry_after);
 }
-void Reply::Sink::fail(RequestId request, Cause) { put(reply_.add(instance_, kReportFailure), 1, request); }
-void Reply::Sink::wake(Ms after, std::uint64_t token) {
+void Reply::Sink::fail(RequestId request, RejectionReason) {
+  put(reply_.add(instance_, kReportFailure), 1, request);
+}
+void Reply::Sink::schedule_timer(Ms after, std::uint64_t token) {
   auto* r = reply_.add(instance_, kWakeMe);
   put(r, 1, after);
   put(r, 9, token);
 }
-void Reply::Sink::probe(HostId host) { put(reply_.add(instance_, kTest), 1, host); }
-void Reply::Sink::follow_list() { reply_.add(instance_, kListen)[1] = 1; }
-void Reply::Sink::fetch_list() { reply_.add(instance_, kRefresh); }
-void Reply::Sink::note(std::string_view text) {
+void Reply::Sink::send_health_check(HostId host) { put(reply_.add(instance_, kTest), 1, host); }
+void Reply::Sink::watch_hosts() { reply_.add(instance_, kListen)[1] = 1; }
+void Reply::Sink::poll_hosts() { reply_.add(instance_, kRefresh); }
+void Reply::Sink::log(std::string_view text) {
   auto* r = reply_.add(instance_, kRemark);
   put(r, 1, static_cast<std::uint32_t>(reply_.tail_.size()));
   put(r, 5, static_cast<std::uint32_t>(text.size()));
@@ -188,36 +190,37 @@
       const Bytes conf = slice(tail, u32(9), u32(13), "settings");
       const auto settings = read_settings({reinterpret_cast<const char*>(conf.data()), conf.size()});
       instances_.erase(instance);
-      fields_[instance] = settings.report_fields;
-      instances_.emplace(instance, Control(settings, u64(1))).first->second.start(now, out);
+      fields_[instance] = settings.load_report_fields;
+      instances_.emplace(instance, AdmissionController(settings, u64(1))).first->second.start(now, out);
       continue;
     }
     const auto it = instances_.find(instance);
     if (it == instances_.end()) continue;
-    Control& control = it->second;
+    AdmissionController& control = it->second;
     const auto report = [&](std::size_t at) {
       LoadReport load;
       const auto& fields = fields_[instance];
       const std::size_t n = std::min<std::size_t>({std::size_t{u8(at)}, fields.size(), 4});
       for (std::size_t k = 0; k < n; ++k) {
         const double v = f32(at + 1 + 4 * k);
-        if (fields[k] == LoadField::kQueue) load.queue = v;
-        if (fields[k] == LoadField::kInHand) load.in_hand = v;
-        if (fields[k] == LoadField::kBusy) load.busy = v;
+        if (fields[k] == LoadField::kQueueLength) load.queue_length = v;
+        if (fields[k] == LoadField::kInFlight) load.in_flight = v;
+        if (fields[k] == LoadField::kUtilization) load.utilization = v;
       }
       return load;
     };
     switch (code) {
       case Event::kMembership: {
         const auto form = u8(1);
-        const auto kind = form == 0   ? ListKind::kCached
-                          : form == 2 ? ListKind::kChanges
-                          : form == 3 ? ListKind::kWhole
-                                      : ListKind::kFailed;
+        const auto kind = form == 0   ? HostListUpdate::kCached
+                          : form == 2 ? HostListUpdate::kDelta
+                          : form == 3 ? HostListUpdate::kSnapshot
+                                      : HostListUpdate::kFailed;
         static const std::vector<HostEntry> kNone;
         const auto sheet = sheets_.find(u16(10));
-        if (kind != ListKind::kFailed && sheet == sheets_.end()) throw WireError("membership: unknown list");
-        control.on_list(now, kind, kind == ListKind::kFailed ? kNone : sheet->second, out);
+        if (kind != HostListUpdate::kFailed && sheet == sheets_.end())
+          throw WireError("membership: unknown list");
+        control.on_host_list(now, kind, kind == HostListUpdate::kFailed ? kNone : sheet->second, out);
         break;
       }
       case Event::kJobIn:
@@ -225,20 +228,20 @@
             now, {u64(1), u16(9), u32(11), u64(15), f64(23), f32(31), f32(35), (u8(43) & 2) != 0}, out);
         break;
       case Event::kPingResult:
-        control.on_probe_end(now, u32(1), f64(5), u16(13) == 100, report(15), out);
+        control.on_health_check_end(now, u32(1), f64(5), u16(13) == 100, report(15), out);
         break;
       case Event::kDeadlineHit:
         control.on_timer(now, u64(1), out);
         break;
       case Event::kGone:
-        control.on_gone(now, u64(1), out);
+        control.on_client_disconnected(now, u64(1), out);
         break;
       case Event::kStreaming:
-        control.on_stream_begun(now, u64(1), u8(21), out);
+        control.on_stream_started(now, u64(1), u8(21), out);
         break;
       case Event::kDone: {
-        AttemptEnd end{u64(1), u8(9), u32(10), outcome_of(u16(14)), f64(16), u8(24) != 0, {}, report(29)};
-        if (u16(27) != 0) end.true_units = u16(27);
+        AttemptResult end{u64(1), u8(9), u32(10), outcome_of(u16(14)), f64(16), u8(24) != 0, {}, report(29)};
+        if (u16(27) != 0) end.actual_units = u16(27);
         control.on_attempt_end(now, end, out);
         break;
       }
--- a/adapter/codec.h
+++ b/adapter/codec.h
@@ -29,18 +29,18 @@
 // Collects the actions of all instances into one reply.
 class Reply {
  public:
-  class Sink : public Actions {
+  class Sink : public ActionSink {
    public:
     Sink(Reply& reply, std::uint32_t instance) : reply_(reply), instance_(instance) {}
     void send(RequestId request, HostId host, Ms give_up_after) override;
     void cancel(RequestId request, std::uint32_t attempt) override;
-    void refuse(RequestId request, Ms retry_after, Cause why) override;
-    void fail(RequestId request, Cause why) override;
-    void wake(Ms after, std::uint64_t token) override;
-    void probe(HostId host) override;
-    void follow_list() override;
-    void fetch_list() override;
-    void note(std::string_view text) override;
+    void reject(RequestId request, Ms retry_after, RejectionReason why) override;
+    void fail(RequestId request, RejectionReason why) override;
+    void schedule_timer(Ms after, std::uint64_t token) override;
+    void send_health_check(HostId host) override;
+    void watch_hosts() override;
+    void poll_hosts() override;
+    void log(std::string_view text) override;
 
    private:
     Reply& reply_;
@@ -64,7 +64,7 @@
   std::string play(Bytes frame);
 
  private:
-  std::map<std::uint32_t, Control> instances_;
+  std::map<std::uint32_t, AdmissionController> instances_;
   std::map<std::uint32_t, std::vector<LoadField>> fields_;
   std::map<std::uint16_t, std::vector<HostEntry>> sheets_;
 };
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -18,8 +18,8 @@
 // Lists of objects stand as `path.count` and `path.0.key`; lists of plain values joined by commas.
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-Settings read_settings(const Pairs& conf);
-Settings read_settings(std::string_view text);  // one `path=value` a line
+AdmissionSettings read_settings(const Pairs& conf);
+AdmissionSettings read_settings(std::string_view text);  // one `path=value` a line
 LoadField load_field(std::string_view name);
 
 }  // namespace cometfold::wire
--- a/bench/action_stream/scenarios.cpp
+++ b/bench/action_stream/scenarios.cpp
@@ -7,51 +7,52 @@
 
 using namespace cometfold;
 
-ClassSettings request_class(Repeat repeat, KeyGroup group, double worth) {
+ClassSettings request_class(Idempotency repeat, IdempotencyScope group, double worth) {
   return {300, 2000, worth, 0.3, repeat, group, 1500};
 }
 
 // Four gateways with all that the settings allow: the day that the first fingerprints were taken of.
-Settings four_gateways() {
-  Settings s;
-  s.classes.push_back(request_class(Repeat::kSafe, KeyGroup::kNone, 1));
-  s.classes.push_back(request_class(Repeat::kKeyed, KeyGroup::kZone, 2));
-  s.classes.push_back(request_class(Repeat::kUnsafe, KeyGroup::kNone, 3));
+AdmissionSettings four_gateways() {
+  AdmissionSettings s;
+  s.classes.push_back(request_class(Idempotency::kIdempotent, IdempotencyScope::kNone, 1));
+  s.classes.push_back(request_class(Idempotency::kIdempotencyKey, IdempotencyScope::kZone, 2));
+  s.classes.push_back(request_class(Idempotency::kNonIdempotent, IdempotencyScope::kNone, 3));
   s.plans.push_back({40, 60, 1, 0.5, 0.2, 0, 0, 0, 0});
   s.plans.push_back({30, 50, 2, 1, 0, 40, 65, 7, 12});
-  s.gateways = 4;
-  s.largest_units = 4;
-  s.units_settle = s.second_copies = s.may_cancel = s.may_probe = s.retry_after = s.must_subscribe = true;
+  s.gateway_count = 4;
+  s.max_request_units = 4;
+  s.actual_units_reported = s.hedging_allowed = s.cancellation_allowed = s.health_checks_allowed =
+      s.retry_after_allowed = s.host_watch_required = true;
   s.max_attempts = 4;
   s.max_retry_after_ms = 1000;
-  s.tick_ms = 4;
-  s.cold_from = 0.16;
-  s.warm_after_ms = 16'000;
+  s.min_event_interval_ms = 4;
+  s.slow_start_initial_weight = 0.16;
+  s.slow_start_duration_ms = 16'000;
   s.overload_factor = 2;
-  s.fall_ms = 1000;
+  s.overload_window_ms = 1000;
   return s;
 }
 
-Settings with_key_group(Settings s, KeyGroup group) {
-  s.classes[1].group = group;
+AdmissionSettings with_key_group(AdmissionSettings s, IdempotencyScope group) {
+  s.classes[1].idempotency_scope = group;
   return s;
 }
 
-Settings with_gateways(Settings s, double gateways) {
-  s.gateways = gateways;
+AdmissionSettings with_gateways(AdmissionSettings s, double gateways) {
+  s.gateway_count = gateways;
   return s;
 }
 
-Settings without_cancelling_or_hedging(Settings s) {
-  s.second_copies = s.may_cancel = false;
+AdmissionSettings without_cancelling_or_hedging(AdmissionSettings s) {
+  s.hedging_allowed = s.cancellation_allowed = false;
   return s;
 }
 
 Scenario twenty_gateways() {
-  Settings s = with_key_group(with_gateways(four_gateways(), 20), KeyGroup::kAll);
-  s.second_copies = s.may_probe = s.must_subscribe = false;
-  s.report_fields = {LoadField::kQueue, LoadField::kBusy};
-  s.plans[0].open_limit = 6;
+  AdmissionSettings s = with_key_group(with_gateways(four_gateways(), 20), IdempotencyScope::kAll);
+  s.hedging_allowed = s.health_checks_allowed = s.host_watch_required = false;
+  s.load_report_fields = {LoadField::kQueueLength, LoadField::kUtilization};
+  s.plans[0].max_concurrent_attempts = 6;
   Surroundings around;
   around.hosts = 30;
   around.gateways_per_customer = 20;
@@ -61,12 +62,12 @@
 }
 
 Scenario three_hundred_gateways() {
-  Settings s = with_key_group(with_gateways(four_gateways(), 300), KeyGroup::kCell);
-  s.retry_after = false;
-  s.classes[0].late_share = 0;
-  s.classes[1].aim_ms = 0;
+  AdmissionSettings s = with_key_group(with_gateways(four_gateways(), 300), IdempotencyScope::kCell);
+  s.retry_after_allowed = false;
+  s.classes[0].late_value_fraction = 0;
+  s.classes[1].latency_objective_ms = 0;
   s.plans[0].quota_rate = 400;
-  s.plans[0].burst = 300;
+  s.plans[0].quota_burst = 300;
   Surroundings around;
   around.hosts = 90;
   around.customers = 300;
@@ -77,10 +78,10 @@
 }
 
 Scenario large_sets_with_costly_overruns() {
-  Settings s = with_gateways(four_gateways(), 300);
-  s.plans[0].overrun_cost = 0.9;
-  s.plans[0].beyond_earns = 0;
-  s.plans[0].burst = 600;
+  AdmissionSettings s = with_gateways(four_gateways(), 300);
+  s.plans[0].over_quota_cost = 0.9;
+  s.plans[0].over_quota_value = 0;
+  s.plans[0].quota_burst = 600;
   Surroundings around;
   around.customers = 200;
   around.gateways_per_customer = 40;
@@ -89,13 +90,13 @@
 }
 
 Scenario no_quotas() {
-  Settings s = without_cancelling_or_hedging(with_gateways(four_gateways(), 1));
+  AdmissionSettings s = without_cancelling_or_hedging(with_gateways(four_gateways(), 1));
   s.plans[0] = {};
   s.plans[1].quota_rate = 0;
-  s.plans[1].open_limit = 3;
+  s.plans[1].max_concurrent_attempts = 3;
   s.plans[1].ceiling_rate = 4;
   s.plans[1].ceiling_burst = 8;
-  s.units_settle = false;
+  s.actual_units_reported = false;
   Surroundings around;
   around.gateways_per_customer = 1;
   around.client_leaves = 0.1;
@@ -104,8 +105,8 @@
 }
 
 Scenario no_hedging() {
-  Settings s = four_gateways();
-  s.second_copies = false;
+  AdmissionSettings s = four_gateways();
+  s.hedging_allowed = false;
   Surroundings around;
   around.cancelling_ends_attempts = true;
   around.silent_hosts = 0.2;
@@ -124,8 +125,8 @@
 }
 
 Scenario hosts_full_for_one_plan() {
-  Settings s = four_gateways();
-  s.report_fields = {LoadField::kInHand};
+  AdmissionSettings s = four_gateways();
+  s.load_report_fields = {LoadField::kInFlight};
   Surroundings around;
   around.full_by_plan = true;
   around.full = 0.9;
@@ -172,7 +173,7 @@
 }
 
 Scenario rare_requests() {
-  Settings s = with_gateways(four_gateways(), 20);
+  AdmissionSettings s = with_gateways(four_gateways(), 20);
   s.plans[0].quota_rate = 20;
   Surroundings around;
   around.request_gap_ms = 4000;
@@ -193,8 +194,8 @@
 }
 
 Scenario succession(std::string_view name, Succession succession, double gateways) {
-  Settings s = with_gateways(four_gateways(), gateways);
-  s.plans[1].open_limit = 40;
+  AdmissionSettings s = with_gateways(four_gateways(), gateways);
+  s.plans[1].max_concurrent_attempts = 40;
   Surroundings around;
   around.gateways_per_customer = gateways;
   around.error = 0.1;
--- a/bench/action_stream/scenarios.h
+++ b/bench/action_stream/scenarios.h
@@ -54,7 +54,7 @@
 
 struct Scenario {
   std::string_view name;
-  cometfold::Settings settings;
+  cometfold::AdmissionSettings settings;
   Surroundings surroundings;
   Succession succession = Succession::kNone;
 };
--- a/bench/action_stream/simulated_day.cpp
+++ b/bench/action_stream/simulated_day.cpp
@@ -34,7 +34,7 @@
 void SimulatedDay::run(std::size_t requests) {
   control_.start(now_, *this);
   for (HostId host = 1; host <= around_.hosts; ++host) list_.push_back(entry(host, HostState::kReady, 0));
-  control_.on_list(now_, ListKind::kCached, list_, *this);
+  control_.on_host_list(now_, HostListUpdate::kCached, list_, *this);
   push(now_ + 1, {.kind = EventKind::kRequest});
   push(now_ + kFirstListChangeMs, {.kind = EventKind::kList});
   const std::size_t succession_at = succession_ == Succession::kNone ? requests : requests / 3;
@@ -45,7 +45,7 @@
     play(event);
     if (asked_ == succession_at && event.kind == EventKind::kRequest) succeed();
   }
-  add(std::uint64_t{control_.avoided(now_)});
+  add(std::uint64_t{control_.excluded_host_count(now_)});
 }
 
 HostEntry SimulatedDay::entry(HostId id, HostState state, Ms started_at) const {
@@ -66,21 +66,21 @@
       in_flight_[event.end.host] -= 1;
       return control_.on_attempt_end(now_, event.end, *this);
     case EventKind::kStreamBegun:
-      return control_.on_stream_begun(now_, event.end.request, event.end.attempt, *this);
+      return control_.on_stream_started(now_, event.end.request, event.end.attempt, *this);
     case EventKind::kTimer:
       return control_.on_timer(now_, event.token, *this);
     case EventKind::kClientGone:
-      return control_.on_gone(now_, event.token, *this);
+      return control_.on_client_disconnected(now_, event.token, *this);
     case EventKind::kList:
       return change_list();
     case EventKind::kHealthCheckEnd: {
       const auto host = static_cast<HostId>(event.token);
-      return control_.on_probe_end(now_, host, kHealthCheckMs, draw() < 0.8, draw_report(host), *this);
+      return control_.on_health_check_end(now_, host, kHealthCheckMs, draw() < 0.8, draw_report(host), *this);
     }
     case EventKind::kSuccession:
       return take_over_state();
     case EventKind::kPredecessorEnd:
-      return control_.predecessor_gone(now_);
+      return control_.on_predecessor_exited(now_);
   }
 }
 
@@ -94,12 +94,13 @@
   if (chance(0.01)) q.customer = 10'000 + static_cast<CustomerId>(draw() * 4);  // moves to another plan
   q.expires_at = now_ + 800 + 1200 * draw();
   q.units = 1 + std::floor(draw() * around_.max_units);
-  q.spread = 1 + std::floor(draw() * around_.gateways_per_customer);
-  q.repeat = draw() < around_.client_retries;
+  q.gateway_count = 1 + std::floor(draw() * around_.gateways_per_customer);
+  q.is_client_retry = draw() < around_.client_retries;
   if (chance(0.1))
-    q.bounds = {.attempts = 2, .second_copies = false, .attempt_ms = 400, .send_until_ms = 300};
+    q.bounds = {
+        .max_attempts = 2, .hedging_allowed = false, .attempt_timeout_ms = 400, .retry_window_ms = 300};
   if (chance(around_.malformed)) q.class_index = 99;
-  if (chance(around_.malformed)) q.units = q.spread = kNotANumber;
+  if (chance(around_.malformed)) q.units = q.gateway_count = kNotANumber;
   if (chance(around_.malformed)) q.expires_at = kNotANumber;
   if (chance(around_.malformed)) q.id = id - 1;
   requests_[q.id] = q;
@@ -113,7 +114,7 @@
 
 void SimulatedDay::change_list() {
   if (chance(around_.list_fails)) {
-    control_.on_list(now_, ListKind::kFailed, {}, *this);
+    control_.on_host_list(now_, HostListUpdate::kFailed, {}, *this);
   } else if (chance(around_.list_is_whole)) {
     replace_list();
   } else {
@@ -121,16 +122,16 @@
     const double what = draw();
     const HostState state = what < 0.5   ? HostState::kReady
                             : what < 0.8 ? HostState::kDraining
-                                         : HostState::kGone;
+                                         : HostState::kRemoved;
     changed = entry(changed.id, state, state == HostState::kReady ? now_ : changed.started_at);
-    control_.on_list(now_, ListKind::kChanges, std::span(&changed, 1), *this);
+    control_.on_host_list(now_, HostListUpdate::kDelta, std::span(&changed, 1), *this);
   }
   push(now_ + around_.list_gap_ms * draw(), {.kind = EventKind::kList});
 }
 
 void SimulatedDay::replace_list() {
   if (chance(around_.all_hosts_leave)) {
-    control_.on_list(now_, ListKind::kWhole, {}, *this);
+    control_.on_host_list(now_, HostListUpdate::kSnapshot, {}, *this);
     return;
   }
   std::vector<HostEntry> whole;
@@ -138,8 +139,8 @@
     if (chance(0.1)) host = entry(host.id, HostState::kReady, host.started_at > 0 ? 0 : now_);
     if (draw() < 0.9) whole.push_back(host);
   }
-  if (chance(0.2)) whole.push_back(HostEntry::gone(around_.hosts + 1));  // never heard of before
-  control_.on_list(now_, ListKind::kWhole, whole, *this);
+  if (chance(0.2)) whole.push_back(HostEntry::removed(around_.hosts + 1));  // never heard of before
+  control_.on_host_list(now_, HostListUpdate::kSnapshot, whole, *this);
 }
 
 void SimulatedDay::succeed() {
@@ -150,7 +151,7 @@
       return use_new_settings();
     case Succession::kHandOver:
       // What comes between the hand-over and the successor's start is still this one's.
-      control_.hand_over(now_);
+      control_.export_handover(now_);
       push(now_ + kPredecessorLivesMs / 2, {.kind = EventKind::kSuccession});
       return;
     case Succession::kUnknown:
@@ -159,44 +160,45 @@
 }
 
 void SimulatedDay::take_over_state() {
-  HandedState state = control_.hand_over(now_);
+  HandoverSnapshot state = control_.export_handover(now_);
   for (const auto& customer : state.customers) {
     add(customer.id);
-    for (const double value : {customer.spread, customer.parent, customer.whole, customer.ceiling,
-                               customer.demand, customer.unseen, customer.open}) {
+    for (const double value :
+         {customer.gateway_count, customer.quota_level, customer.undivided_quota_level,
+          customer.ceiling_level, customer.demand, customer.idle_ms, customer.attempts_in_flight}) {
       add(value);
     }
-    for (const double level : customer.children) add(level);
+    for (const double level : customer.class_levels) add(level);
   }
   for (const auto& host : state.hosts) {
     add(std::uint64_t{host.id});
-    for (const double value :
-         {host.up_for, host.slow, host.fails, host.crowd, host.proven, host.ejected_for}) {
+    for (const double value : {host.uptime_ms, host.relative_latency, host.failure_rate, host.reported_load,
+                               host.proven_rate, host.ejection_remaining_ms}) {
       add(value);
     }
   }
-  for (const double latency : state.class_ms) add(latency);
-  add(state.calm_ms);
-  add(state.age);
-  if (!state.customers.empty()) state.customers.front().plan = 99;  // a plan that is not there any more
+  for (const double latency : state.class_latency_ms) add(latency);
+  add(state.unloaded_latency_ms);
+  add(state.age_ms);
+  if (!state.customers.empty()) state.customers.front().plan_index = 99;  // a plan that is not there any more
 
-  control_ = Control(settings_, seed_ + 1);
+  control_ = AdmissionController(settings_, seed_ + 1);
   control_.start(now_, *this);
-  control_.on_list(now_, ListKind::kCached, list_, *this);
+  control_.on_host_list(now_, HostListUpdate::kCached, list_, *this);
   if (succession_ == Succession::kUnknown) {
-    control_.take_over_unknown(now_);
+    control_.assume_unknown_predecessor(now_);
   } else {
-    control_.take_over(now_, state);
+    control_.import_handover(now_, state);
   }
   push(now_ + kPredecessorLivesMs, {.kind = EventKind::kPredecessorEnd});
 }
 
 void SimulatedDay::use_new_settings() {
   settings_.classes.push_back(settings_.classes.front());
-  settings_.classes.back().worth = 4;
+  settings_.classes.back().priority_weight = 4;
   settings_.plans.push_back(settings_.plans.front());
-  settings_.plans[0].burst = 30;
-  control_.on_settings(now_, settings_);
+  settings_.plans[0].quota_burst = 30;
+  control_.update_settings(now_, settings_);
 }
 
 bool SimulatedDay::is_silent(HostId host) const {
@@ -212,8 +214,8 @@
   const bool may_be_full =
       takes_all || (around_.full_by_class && last_class) || (around_.full_by_plan && last_plan);
   const std::pair<Outcome, double> bad[] = {{Outcome::kError, around_.error},
-                                            {Outcome::kBroken, around_.broken},
-                                            {Outcome::kFull, may_be_full ? around_.full : 0},
+                                            {Outcome::kConnectionLost, around_.broken},
+                                            {Outcome::kOverloaded, may_be_full ? around_.full : 0},
                                             {Outcome::kConnectFailed, around_.connect_failed},
                                             {Outcome::kNotSent, around_.not_sent}};
   for (const auto& [outcome, probability] : bad) {
@@ -225,9 +227,9 @@
 
 LoadReport SimulatedDay::draw_report(HostId host) {
   LoadReport report;
-  if (chance(around_.reports_queue)) report.queue = in_flight_[host] / 2;
-  if (chance(around_.reports_in_flight)) report.in_hand = in_flight_[host];
-  if (chance(around_.reports_busy)) report.busy = draw();
+  if (chance(around_.reports_queue)) report.queue_length = in_flight_[host] / 2;
+  if (chance(around_.reports_in_flight)) report.in_flight = in_flight_[host];
+  if (chance(around_.reports_busy)) report.utilization = draw();
   return report;
 }
 
@@ -250,25 +252,26 @@
   count(kSend, request << 12 | host, give_up_after);
   const Request& asked = requests_[request];
   auto& attempts = attempts_[request];
-  AttemptEnd end{request, static_cast<std::uint32_t>(attempts.size()), host, Outcome::kOk, 0, false, {}, {}};
+  AttemptResult end{request, static_cast<std::uint32_t>(attempts.size()), host, Outcome::kOk, 0, false, {},
+                    {}};
   attempts.push_back(host);
   const double crowd = 1 + around_.crowding * (in_flight_[host] += 1);
-  end.took_ms = (20 + around_.service_ms * draw() * draw()) * crowd * (host == kSlowHost ? 4 : 1);
+  end.duration_ms = (20 + around_.service_ms * draw() * draw()) * crowd * (host == kSlowHost ? 4 : 1);
   end.outcome = draw_outcome(asked);
-  if (end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotSent) end.took_ms = 2;
+  if (end.outcome == Outcome::kConnectFailed || end.outcome == Outcome::kNotSent) end.duration_ms = 2;
   const Ms most = give_up_after > 0 ? give_up_after : std::max(asked.expires_at - now_, 0.0);
-  if (is_silent(host)) end.took_ms = 60'000;
-  if (end.took_ms > most) {
-    end.took_ms = most;
+  if (is_silent(host)) end.duration_ms = 60'000;
+  if (end.duration_ms > most) {
+    end.duration_ms = most;
     end.outcome = Outcome::kTimedOut;
   }
-  end.finished = end.outcome == Outcome::kOk;
-  end.load = draw_report(host);
-  if (chance(around_.reports_actual_units)) end.true_units = asked.units * (0.5 + draw());
+  end.request_finished = end.outcome == Outcome::kOk;
+  end.load_report = draw_report(host);
+  if (chance(around_.reports_actual_units)) end.actual_units = asked.units * (0.5 + draw());
   if (end.outcome == Outcome::kOk && chance(around_.streamed)) {
-    push(now_ + end.took_ms / 2, {.kind = EventKind::kStreamBegun, .end = end});
+    push(now_ + end.duration_ms / 2, {.kind = EventKind::kStreamBegun, .end = end});
   }
-  push(now_ + end.took_ms, {.kind = EventKind::kAttemptEnd, .end = end});
+  push(now_ + end.duration_ms, {.kind = EventKind::kAttemptEnd, .end = end});
 }
 
 void SimulatedDay::cancel(RequestId request, std::uint32_t attempt) {
@@ -276,24 +279,24 @@
   if (!around_.cancelling_ends_attempts) return;
   const HostId host = attempts_[request][attempt];
   in_flight_[host] += 1;  // taken off twice: here, and where it would have ended
-  AttemptEnd end{request, attempt, host, Outcome::kCancelled, 1, false, {}, {}};
+  AttemptResult end{request, attempt, host, Outcome::kCancelled, 1, false, {}, {}};
   push(now_ + 1, {.kind = EventKind::kAttemptEnd, .end = end});
 }
 
-void SimulatedDay::refuse(RequestId request, Ms retry_after, Cause why) {
+void SimulatedDay::reject(RequestId request, Ms retry_after, RejectionReason why) {
   count(kReject, request << 8 | static_cast<std::uint64_t>(why), retry_after);
 }
 
-void SimulatedDay::fail(RequestId request, Cause why) {
+void SimulatedDay::fail(RequestId request, RejectionReason why) {
   count(kFail, request << 8 | static_cast<std::uint64_t>(why), 0);
 }
 
-void SimulatedDay::wake(Ms after, std::uint64_t token) {
+void SimulatedDay::schedule_timer(Ms after, std::uint64_t token) {
   count(kTimer, token, after);
   push(now_ + after, {.kind = EventKind::kTimer, .token = token});
 }
 
-void SimulatedDay::probe(HostId host) {
+void SimulatedDay::send_health_check(HostId host) {
   count(kHealthCheck, host, 0);
   push(now_ + kHealthCheckMs, {.kind = EventKind::kHealthCheckEnd, .token = host});
 }
--- a/bench/action_stream/simulated_day.h
+++ b/bench/action_stream/simulated_day.h
@@ -18,7 +18,7 @@
 
 namespace action_stream {
 
-class SimulatedDay : private cometfold::Actions {
+class SimulatedDay : private cometfold::ActionSink {
  public:
   SimulatedDay(const Scenario& scenario, std::uint64_t seed);
 
@@ -61,7 +61,7 @@
     std::uint64_t order = 0;
     EventKind kind = EventKind::kRequest;
     std::uint64_t token = 0;
-    cometfold::AttemptEnd end{};
+    cometfold::AttemptResult end{};
     bool operator>(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
 
@@ -87,20 +87,21 @@
 
   void send(cometfold::RequestId request, cometfold::HostId host, cometfold::Ms give_up_after) override;
   void cancel(cometfold::RequestId request, std::uint32_t attempt) override;
-  void refuse(cometfold::RequestId request, cometfold::Ms retry_after, cometfold::Cause why) override;
-  void fail(cometfold::RequestId request, cometfold::Cause why) override;
-  void wake(cometfold::Ms after, std::uint64_t token) override;
-  void probe(cometfold::HostId host) override;
-  void follow_list() override { count(kWatch, 0, 0); }
-  void fetch_list() override { count(kPoll, 0, 0); }
-  void note(std::string_view) override { count(kLog, 0, 0); }
+  void reject(cometfold::RequestId request, cometfold::Ms retry_after,
+              cometfold::RejectionReason why) override;
+  void fail(cometfold::RequestId request, cometfold::RejectionReason why) override;
+  void schedule_timer(cometfold::Ms after, std::uint64_t token) override;
+  void send_health_check(cometfold::HostId host) override;
+  void watch_hosts() override { count(kWatch, 0, 0); }
+  void poll_hosts() override { count(kPoll, 0, 0); }
+  void log(std::string_view) override { count(kLog, 0, 0); }
 
-  cometfold::Settings settings_;
+  cometfold::AdmissionSettings settings_;
   Surroundings around_;
   Succession succession_;
   std::mt19937_64 random_;
   std::uint64_t seed_;
-  cometfold::Control control_;
+  cometfold::AdmissionController control_;
   cometfold::Ms now_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   std::vector<cometfold::HostEntry> list_;
--- a/bench/membership_report.cpp
+++ b/bench/membership_report.cpp
@@ -14,20 +14,21 @@
 
 using namespace cometfold;
 using namespace cometfold::emulators;
-using membership::Kind;
-using membership::Record;
+using membership::MemberRecord;
+using membership::MemberStatus;
 using Draw = membership::Membership::Draw;
 
 // Each tells each that it is there; silence for a fixed time is a failure.
 class Heartbeats : public Protocol {
  public:
   static constexpr Ms kPeriod = 1000, kSilence = 3000;
-  Heartbeats(Record self, std::vector<std::string> addresses, const Draw& draw)
+  Heartbeats(MemberRecord self, std::vector<std::string> addresses, const Draw& draw)
       : self_(std::move(self)), addresses_(std::move(addresses)), due_(static_cast<Ms>(draw(1000))) {}
   void start(Ms now) override { due_ += now; }
   void receive(Ms now, const Message& m) override {
     auto& heard = heard_[m.sender.name];
-    if (heard.second) changes_.push_back({Change::kMember, m.sender.name, 0, State::kAlive, ""});
+    if (heard.second)
+      changes_.push_back({MembershipEvent::kMemberChanged, m.sender.name, 0, MemberState::kAlive, ""});
     heard = {now, false};
   }
   void tick(Ms now) override {
@@ -41,35 +42,35 @@
     for (auto& [name, heard] : heard_) {
       if (heard.second || now - heard.first < kSilence) continue;
       heard.second = true;
-      changes_.push_back({Change::kMember, name, 0, State::kFailed, ""});
+      changes_.push_back({MembershipEvent::kMemberChanged, name, 0, MemberState::kFailed, ""});
     }
   }
   Ms next_due() const override { return due_; }
   void leave(Ms) override {}
-  std::vector<Envelope> take_messages() override { return std::exchange(out_, {}); }
-  std::vector<Change> take_changes() override { return std::exchange(changes_, {}); }
-  std::vector<Seen> members(Ms) const override { return {}; }
+  std::vector<OutgoingMessage> take_messages() override { return std::exchange(out_, {}); }
+  std::vector<MembershipEvent> take_changes() override { return std::exchange(changes_, {}); }
+  std::vector<MemberView> members(Ms) const override { return {}; }
   std::uint64_t own_start() const override { return 0; }
   std::size_t bytes() const override { return heard_.size() * 100; }
 
  private:
-  Record self_;
+  MemberRecord self_;
   std::vector<std::string> addresses_;
   Ms due_;
   std::map<std::string, std::pair<Ms, bool>> heard_;  // when last, and whether it counts as failed
-  std::vector<Envelope> out_;
-  std::vector<Change> changes_;
+  std::vector<OutgoingMessage> out_;
+  std::vector<MembershipEvent> changes_;
 };
 
 // SWIM: a ping each period to the next of a shuffled list, three indirect ones after a time-out, suspicion
 // with a fixed time, refutation, news on pings and acks. All know all from the start. Message::number is the
-// ping's; `floor` 1 asks for an indirect ping, whose target is the first record's name.
+// ping's; `incarnation_floor` 1 asks for an indirect ping, whose target is the first record's name.
 class Swim : public Protocol {
  public:
   static constexpr Ms kPeriod = 1000, kTimeout = 500;
-  Swim(Record self, const std::vector<std::pair<std::string, std::string>>& all, Draw draw)
+  Swim(MemberRecord self, const std::vector<std::pair<std::string, std::string>>& all, Draw draw)
       : self_(std::move(self)), draw_(std::move(draw)) {
-    self_.start = 1;
+    self_.incarnation = 1;
     for (const auto& [name, address] : all) {
       if (name == self_.name) continue;
       others_[name].address = address;
@@ -87,7 +88,7 @@
       for (int i = 0; i < 3; ++i) {
         const auto& via = others_[order_[draw_(order_.size())]];
         Message m = message(Message::kPing, number_);
-        m.floor = 1;
+        m.incarnation_floor = 1;
         m.records.insert(m.records.begin(), record(target_));
         out_.push_back({via.address, std::move(m)});
       }
@@ -105,34 +106,34 @@
     if (due_ <= now) due_ = period_at_;
   }
   void receive(Ms now, const Message& m) override {
-    news(now, m.sender.name, m.sender.start, 0);
-    for (std::size_t i = m.floor == 1 ? 1 : 0; i < m.records.size(); ++i) {
+    news(now, m.sender.name, m.sender.incarnation, 0);
+    for (std::size_t i = m.incarnation_floor == 1 ? 1 : 0; i < m.records.size(); ++i) {
       const auto& r = m.records[i];
-      news(now, r.name, r.start, static_cast<int>(r.kind));
+      news(now, r.name, r.incarnation, static_cast<int>(r.status));
     }
     if (m.type == Message::kAck) {
-      if (m.number == number_) acked_ = true;
-      const auto for_whom = relayed_.find(m.number);
+      if (m.sequence == number_) acked_ = true;
+      const auto for_whom = relayed_.find(m.sequence);
       if (for_whom == relayed_.end()) return;
       Message back = message(Message::kAck, for_whom->second.second);
       out_.push_back({for_whom->second.first, std::move(back)});
       relayed_.erase(for_whom);
       return;
     }
-    if (m.floor == 1) {
+    if (m.incarnation_floor == 1) {
       const auto relay = (std::uint64_t{1} << 40) + ++relays_;
       if (relayed_.size() > 50) relayed_.clear();
-      relayed_[relay] = {m.sender.address, m.number};
+      relayed_[relay] = {m.sender.address, m.sequence};
       out_.push_back({others_[m.records.at(0).name].address, message(Message::kPing, relay)});
       return;
     }
-    out_.push_back({m.sender.address, message(Message::kAck, m.number)});
+    out_.push_back({m.sender.address, message(Message::kAck, m.sequence)});
   }
   void leave(Ms) override {}
-  std::vector<Envelope> take_messages() override { return std::exchange(out_, {}); }
-  std::vector<Change> take_changes() override { return std::exchange(changes_, {}); }
-  std::vector<Seen> members(Ms) const override { return {}; }
-  std::uint64_t own_start() const override { return self_.start; }
+  std::vector<OutgoingMessage> take_messages() override { return std::exchange(out_, {}); }
+  std::vector<MembershipEvent> take_changes() override { return std::exchange(changes_, {}); }
+  std::vector<MemberView> members(Ms) const override { return {}; }
+  std::uint64_t own_start() const override { return self_.incarnation; }
   std::size_t bytes() const override { return others_.size() * 150; }
 
  private:
@@ -143,15 +144,15 @@
     Ms since = 0;
     int sends = 0;
   };
-  Record record(const std::string& name) {
+  MemberRecord record(const std::string& name) {
     const auto& o = others_[name];
-    return {name, o.address, o.start, 0, static_cast<Kind>(o.state), 0, "", ""};
+    return {name, o.address, o.start, 0, static_cast<MemberStatus>(o.state), 0, "", ""};
   }
   Message message(Message::Type type, std::uint64_t number) {
     Message m;
     m.type = type;
     m.sender = self_;
-    m.number = number;
+    m.sequence = number;
     if (self_sends_ > 0) --self_sends_, m.records.push_back(self_);
     for (auto it = queue_.begin(); it != queue_.end() && m.records.size() < 10;) {
       Other& o = others_[*it];
@@ -162,7 +163,7 @@
   }
   void news(Ms now, const std::string& name, std::uint64_t start, int state) {
     if (name == self_.name) {
-      if (state > 0 && start >= self_.start) self_.start = start + 1, self_sends_ = spread_;
+      if (state > 0 && start >= self_.incarnation) self_.incarnation = start + 1, self_sends_ = spread_;
       return;
     }
     Other& o = others_[name];
@@ -171,7 +172,8 @@
     o.start = start;
     o.since = now;
     if (state != o.state && (state == 2 || o.state == 2)) {
-      changes_.push_back({Change::kMember, name, start, state == 2 ? State::kFailed : State::kAlive, ""});
+      changes_.push_back({MembershipEvent::kMemberChanged, name, start,
+                          state == 2 ? MemberState::kFailed : MemberState::kAlive, ""});
     }
     o.state = state;
     o.sends = spread_;
@@ -191,7 +193,7 @@
     out_.push_back({others_[target_].address, message(Message::kPing, ++number_)});
   }
 
-  Record self_;
+  MemberRecord self_;
   Draw draw_;
   std::map<std::string, Other> others_;
   std::vector<std::string> order_;
@@ -203,8 +205,8 @@
   bool asked_ = false, acked_ = false, indirect_ = false;
   int spread_, self_sends_ = 0;
   Ms suspicion_, due_, period_at_ = 0;
-  std::vector<Envelope> out_;
-  std::vector<Change> changes_;
+  std::vector<OutgoingMessage> out_;
+  std::vector<MembershipEvent> changes_;
 };
 
 double part(std::vector<double> all, double p) {
@@ -228,17 +230,17 @@
     addresses.push_back(all.back().second);
   }
   MembershipModel model(
-      [&](Record self, std::vector<std::string> seeds, Draw draw) -> std::unique_ptr<Protocol> {
+      [&](MemberRecord self, std::vector<std::string> seeds, Draw draw) -> std::unique_ptr<Protocol> {
         if (protocol == "heartbeats") return std::make_unique<Heartbeats>(std::move(self), addresses, draw);
         if (protocol == "swim") return std::make_unique<Swim>(std::move(self), all, std::move(draw));
-        return std::make_unique<RealMember>(membership::Settings{}, std::move(self), std::move(seeds),
-                                            std::move(draw));
+        return std::make_unique<RealMember>(membership::MembershipSettings{}, std::move(self),
+                                            std::move(seeds), std::move(draw));
       },
       seed);
   Row row;
   std::map<std::string, std::pair<Ms, std::vector<double>>> down;
-  model.on_change = [&](std::size_t, const Change& c) {
-    if (c.what != Change::kMember || c.state != State::kFailed) return;
+  model.on_change = [&](std::size_t, const MembershipEvent& c) {
+    if (c.kind != MembershipEvent::kMemberChanged || c.state != MemberState::kFailed) return;
     const auto it = down.find(c.name);
     if (it == down.end()) {
       ++row.false_failures;
--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -9,14 +9,14 @@
 
 using namespace cometfold;
 
-Settings settings() {
-  Settings s;
-  s.classes.push_back({300, 2000, 1, 0, Repeat::kSafe, KeyGroup::kNone, 0});
+AdmissionSettings settings() {
+  AdmissionSettings s;
+  s.classes.push_back({300, 2000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0});
   s.plans.push_back({1e6, 1e6, 1, 0, 0, 0, 0, 0, 0});
-  s.gateways = 2;
-  s.second_copies = s.may_cancel = true;
+  s.gateway_count = 2;
+  s.hedging_allowed = s.cancellation_allowed = true;
   s.max_attempts = 4;
-  s.tick_ms = 4;
+  s.min_event_interval_ms = 4;
   return s;
 }
 
@@ -26,25 +26,25 @@
   return all;
 }
 
-struct Sends : Actions {
+struct Sends : ActionSink {
   HostId host = 0;
   void send(RequestId, HostId h, Ms) override { host = h; }
   void cancel(RequestId, std::uint32_t) override {}
-  void refuse(RequestId, Ms, Cause) override {}
-  void fail(RequestId, Cause) override {}
-  void wake(Ms, std::uint64_t) override {}
-  void probe(HostId) override {}
-  void follow_list() override {}
-  void fetch_list() override {}
-  void note(std::string_view) override {}
+  void reject(RequestId, Ms, RejectionReason) override {}
+  void fail(RequestId, RejectionReason) override {}
+  void schedule_timer(Ms, std::uint64_t) override {}
+  void send_health_check(HostId) override {}
+  void watch_hosts() override {}
+  void poll_hosts() override {}
+  void log(std::string_view) override {}
 };
 
 void module_request(benchmark::State& state) {
-  Control control(settings(), 7);
+  AdmissionController control(settings(), 7);
   Sends out;
   Ms now = 1000;
   control.start(now, out);
-  control.on_list(now, ListKind::kCached, hosts(state.range(0)), out);
+  control.on_host_list(now, HostListUpdate::kCached, hosts(state.range(0)), out);
   RequestId id = 0;
   for (auto _ : state) {
     out.host = 0;
@@ -59,7 +59,7 @@
 struct Nothing : engine::Payload {
   std::size_t bytes() const override { return 0; }
 };
-struct Wire : engine::HostSide {
+struct Wire : engine::UpstreamTransport {
   engine::AttemptId last = 0;
   engine::StartResult start(Ms, engine::AttemptId a, HostId, const engine::Payload&, Ms) override {
     last = a;
@@ -67,30 +67,30 @@
   }
   bool abandon(Ms, engine::AttemptId) override { return true; }
   bool withdraw(Ms, engine::AttemptId) override { return false; }
-  void retire(Ms, HostId) override {}
+  void retire_host(Ms, HostId) override {}
 };
-struct Door : engine::FrontEnd {
-  void served(Ms, engine::Ticket, std::string_view) override {}
-  void refused(Ms, engine::Ticket, Ms) override {}
-  void failed(Ms, engine::Ticket, engine::Failure) override {}
+struct Door : engine::DownstreamHandler {
+  void on_served(Ms, engine::ResponseHandle, std::string_view) override {}
+  void on_rejected(Ms, engine::ResponseHandle, Ms) override {}
+  void on_failed(Ms, engine::ResponseHandle, engine::FailureReason) override {}
 };
 
 void engine_request(benchmark::State& state) {
-  engine::ControlModule module(settings(), 7);
+  engine::ControllerPolicy module(settings(), 7);
   Wire wire;
   Door door;
   engine::Engine engine(module, wire, {}, [](std::string_view, std::string_view) {});
   Ms now = 1000;
   engine.start(now);
-  engine.on_list(now, ListKind::kCached, hosts(state.range(0)));
+  engine.on_host_list(now, HostListUpdate::kCached, hosts(state.range(0)));
   std::uint64_t id = 0;
   for (auto _ : state) {
     wire.last = 0;
-    engine::Ask ask{{0, 0, 0, ++id % 50, 0, 1, 2, false}, 2000, id, std::make_unique<Nothing>()};
+    engine::IncomingRequest ask{{0, 0, 0, ++id % 50, 0, 1, 2, false}, 2000, id, std::make_unique<Nothing>()};
     RequestId name = 0;
-    engine.take(now, door, {1, id}, std::move(ask), name);
+    engine.accept(now, door, {1, id}, std::move(ask), name);
     if (wire.last != 0) engine.on_attempt_end(now + 1, wire.last, Outcome::kOk, "v", {});
-    if (const auto due = engine.next_due(); due && *due <= now) engine.run_due(now);
+    if (const auto due = engine.next_timer(); due && *due <= now) engine.run_timers(now);
     now += 1;
   }
 }
--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -37,7 +37,7 @@
 };
 
 struct Day {
-  Settings settings;
+  AdmissionSettings settings;
   std::vector<Asked> asked;
   std::size_t gateways = 0;
   double again = 0;  // part of the refused that come again
@@ -65,23 +65,24 @@
     a.request.customer = std::stoull(f.at("customer"), nullptr, 16);
     a.request.plan_index = static_cast<std::uint32_t>(number("plan"));
     a.request.class_index = static_cast<std::uint32_t>(number("class"));
-    a.request.units = number("units"), a.request.spread = number("spread");
+    a.request.units = number("units"), a.request.gateway_count = number("spread");
     a.refused = f.contains("refused");
     day.asked.push_back(a);
   } else if (f.contains("plan")) {
     const auto i = static_cast<std::size_t>(number("plan"));
     day.settings.plans.resize(std::max(day.settings.plans.size(), i + 1));
     auto& p = day.settings.plans[i];
-    p.quota_rate = number("rate"), p.burst = number("burst"), p.pays = number("pays");
-    p.overrun_cost = number("cost"), p.beyond_earns = number("earns");
+    p.quota_rate = number("rate"), p.quota_burst = number("burst"), p.plan_weight = number("pays");
+    p.over_quota_cost = number("cost"), p.over_quota_value = number("earns");
     p.ceiling_rate = number("ceiling"), p.ceiling_burst = number("ceilingburst");
-    p.open_limit = number("open");
+    p.max_concurrent_attempts = number("open");
   } else if (f.contains("class")) {
     const auto i = static_cast<std::size_t>(number("class"));
     day.settings.classes.resize(std::max(day.settings.classes.size(), i + 1));
     auto& c = day.settings.classes[i];
-    c.worth = number("worth"), c.aim_ms = number("aim"), c.deadline_ms = number("deadline");
-    c.repeat = Repeat::kSafe;
+    c.priority_weight = number("worth"), c.latency_objective_ms = number("aim"),
+    c.deadline_ms = number("deadline");
+    c.idempotency = Idempotency::kIdempotent;
   }
 }
 
@@ -125,13 +126,14 @@
   std::stable_sort(day.asked.begin(), day.asked.end(), [](auto& a, auto& b) { return a.at < b.at; });
   find_further(day, requests);
   auto& s = day.settings;
-  s.gateways = static_cast<double>(day.gateways);
-  s.second_copies = s.may_cancel = s.retry_after = true;
+  s.gateway_count = static_cast<double>(day.gateways);
+  s.hedging_allowed = s.cancellation_allowed = s.retry_after_allowed = true;
   s.max_attempts = 4;
   s.max_retry_after_ms = 1000;
-  s.tick_ms = 4;
-  s.cold_from = 0.2, s.warm_after_ms = 10'000, s.overload_factor = 2, s.fall_ms = 1000;
-  for (const auto& a : day.asked) s.largest_units = std::max(s.largest_units, a.request.units);
+  s.min_event_interval_ms = 4;
+  s.slow_start_initial_weight = 0.2, s.slow_start_duration_ms = 10'000, s.overload_factor = 2,
+  s.overload_window_ms = 1000;
+  for (const auto& a : day.asked) s.max_request_units = std::max(s.max_request_units, a.request.units);
   return day;
 }
 
@@ -156,11 +158,13 @@
         fleet_(day.settings, day.gateways, hosts(), [this](ModelFleet& f, HostId) { return fate(f); }) {
     for (const auto& a : day.asked) {
       auto& c = accounts_[a.request.customer];
-      c.store = c.ideal = day.settings.plans[a.request.plan_index].burst;
+      c.store = c.ideal = day.settings.plans[a.request.plan_index].quota_burst;
       c.set.push_back(a.gateway);
     }
     fleet_.watcher().on_first_send = [this](const Request& q) { sent(q); };
-    fleet_.watcher().on_refused = [this](const Request& q, Ms after, Cause why) { refused(q, after, why); };
+    fleet_.watcher().on_refused = [this](const Request& q, Ms after, RejectionReason why) {
+      refused(q, after, why);
+    };
   }
 
   void run() {
@@ -182,21 +186,21 @@
   void print() const {
     double due = 0, kept = 0, price = 0;
     for (std::size_t p = 0; p < due_.size(); ++p) {
-      due += due_[p], kept += kept_[p], price += over_[p] * day_.settings.plans[p].overrun_cost;
+      due += due_[p], kept += kept_[p], price += over_[p] * day_.settings.plans[p].over_quota_cost;
     }
     std::printf("price %.4f inside %.4f net %.4f tries %.2f;", price / due, kept / due, (kept - price) / due,
                 fleet_tries() / first_);
     for (std::size_t p = 0; p < due_.size(); ++p) {
       if (due_[p] > 0)
         std::printf(" plan %zu %.3f/%.4f", p, kept_[p] / due_[p],
-                    over_[p] * day_.settings.plans[p].overrun_cost / due);
+                    over_[p] * day_.settings.plans[p].over_quota_cost / due);
     }
     double starved = 0;
     for (const auto& [id, c] : accounts_) {
       if (c.got < 0.1 * c.due) starved += c.due;
     }
     std::printf("; starved %.4f;", starved / due);
-    for (const auto& [why, n] : causes_) std::printf(" %s %.3f", kCauseNames[why].data(), n / due);
+    for (const auto& [why, n] : causes_) std::printf(" %s %.3f", kRejectionReasonNames[why].data(), n / due);
     std::printf("\n");
   }
 
@@ -213,13 +217,14 @@
     return {Outcome::kOk, f.exponential(work_) * std::max(1.0, out / cores_)};
   }
   double worth(const Request& q) const {
-    return day_.settings.plans[q.plan_index].pays * day_.settings.classes[q.class_index].worth * q.units;
+    return day_.settings.plans[q.plan_index].plan_weight *
+           day_.settings.classes[q.class_index].priority_weight * q.units;
   }
   Account& refill(const Request& q) {
     Account& c = accounts_[q.customer];
     const auto& p = day_.settings.plans[q.plan_index];
     const double more = p.quota_rate * (fleet_.now() - c.at) / 1000;
-    c.store = std::min(p.burst, c.store + more), c.ideal = std::min(p.burst, c.ideal + more);
+    c.store = std::min(p.quota_burst, c.store + more), c.ideal = std::min(p.quota_burst, c.ideal + more);
     c.at = fleet_.now();
     return c;
   }
@@ -233,7 +238,7 @@
       over_[q.plan_index] += worth(q);
     }
   }
-  void refused(const Request& q, Ms after, Cause why) {
+  void refused(const Request& q, Ms after, RejectionReason why) {
     ++tries_;
     causes_[static_cast<std::size_t>(why)] += worth(q);
     Account& c = refill(q);
--- a/emulators/cluster/check.cpp
+++ b/emulators/cluster/check.cpp
@@ -184,10 +184,11 @@
     if (verdict_.agreed_after > 1000 * schedule_.agree_within) {
       breach("agreement came " + std::to_string(verdict_.agreed_after) + " ms after the last fault");
     }
-    for (const auto& [end_time, number] : ends_) {
+    for (const auto& [at, number] : ends_) {
+      const Ms ended_at = at;
       const auto& gateway = processes_.at(number).gateway;
       const bool back = std::any_of(processes_.begin(), processes_.end(), [&](auto& other) {
-        return other.second.gateway == gateway && other.second.started > end_time;
+        return other.second.gateway == gateway && other.second.started > ended_at;
       });
       const auto known = known_.find(number);
       if (back || known == known_.end()) continue;
@@ -237,14 +238,14 @@
     }
     for (const auto& line : history_) see(line, config, at_gateway, events);
     std::stable_sort(events.begin(), events.end(), [](auto& a, auto& b) { return a.at < b.at; });
-    rules::Rules rules(config.settings, {});
+    rules::RuleMonitors rules(config.settings, {});
     for (auto& timed : events) {
       timed.event.at = timed.at;
       timed.event.value = timed.value;
-      rules.see(timed.event);
+      rules.observe(timed.event);
     }
-    rules.at(time_of(history_.back()));
-    for (const auto& b : rules.breaches()) breach("rule broken: " + b.rule + ": " + b.why);
+    rules.check_deadlines(time_of(history_.back()));
+    for (const auto& b : rules.violations()) breach("rule broken: " + b.rule + ": " + b.description);
   }
 
   void see(const Line& line, const net::Config& config,
@@ -252,15 +253,17 @@
            std::vector<Timed>& events) {
     using Kind = rules::Event::Kind;
     static const std::map<std::string, Kind> kKinds{
-        {"taken", Kind::kTaken},        {"served", Kind::kServed}, {"refused", Kind::kRefused},
-        {"failed", Kind::kFailed},      {"gone", Kind::kGone},     {"came", Kind::kSendBegun},
-        {"never-ran", Kind::kNeverRan}, {"made", Kind::kMade},     {"over", Kind::kOver}};
+        {"taken", Kind::kRequestReceived},   {"served", Kind::kServed},
+        {"refused", Kind::kRejected},        {"failed", Kind::kFailed},
+        {"gone", Kind::kClientDisconnected}, {"came", Kind::kAttemptFirstByte},
+        {"never-ran", Kind::kNotExecuted},   {"made", Kind::kExecuted},
+        {"over", Kind::kAttemptEnded}};
     const auto what = text(line, "what");
     const double t = time_of(line);
     rules::Event e;
     if (what == "end") {
       if (!line.contains("killed")) return;  // a planned end leaves nobody without an answer
-      e.kind = Kind::kCrashed;
+      e.kind = Kind::kGatewayCrashed;
       e.gateway = static_cast<rules::GatewayId>(number(line, "process"));
       events.push_back({t, e, {}});
       return;
@@ -268,7 +271,7 @@
     if (what == "told") {
       for (const auto& [process, p] : processes_) {
         if (t < p.started || t >= p.ended) continue;
-        e.kind = Kind::kTold;
+        e.kind = Kind::kHostUpdate;
         e.gateway = static_cast<rules::GatewayId>(process);
         e.entry.id = std::stoul(text(line, "host").substr(1)) + 1;
         e.entry.state = HostState::kDraining;
@@ -318,7 +321,7 @@
     const double when = early ? std::max(t - kSeenLate, at->second.second) : written;
     events.push_back({when, e, value});
     if (what != "came") return;
-    e.kind = Kind::kSendWhole;
+    e.kind = Kind::kAttemptWritten;
     events.push_back({when, e, value});
   }
 
--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -57,15 +57,15 @@
 
  private:
   void read() {
-    const auto space = reader_.space();
+    const auto space = reader_.prepare();
     socket_.async_read_some(asio::buffer(space.data(), space.size()),
                             [self = shared_from_this()](error_code error, std::size_t n) {
                               if (error) return self->end("gone", {});
                               self->reader_.commit(n);
                               resp::Frame frame;
-                              if (self->reader_.next(frame) != resp::Progress::kFrame) return self->read();
+                              if (self->reader_.next(frame) != resp::ReadResult::kFrame) return self->read();
                               const auto& item = frame.items.at(0);
-                              if (item.kind == resp::Kind::kBulk) return self->end("served", item.text);
+                              if (item.type == resp::ItemType::kBulk) return self->end("served", item.text);
                               self->end(item.text.starts_with("BUSY") ? "refused" : "failed", item.text);
                             });
   }
@@ -80,7 +80,7 @@
   asio::steady_timer timer_;
   std::string text_;
   Done done_;
-  resp::Reader reader_{resp::Limits{}, false};
+  resp::RespReader reader_{resp::RespLimits{}, false};
 };
 
 // One call at a gateway's operators' listener.
--- a/emulators/cluster/schedule.h
+++ b/emulators/cluster/schedule.h
@@ -34,7 +34,7 @@
   double rate = 50;         // requests a second, over all gateways; 0: no clients
   double warm_up = 3;       // seconds before the faults
   double settle = 12;       // seconds after the last step; then all must agree
-  double agree_within = 0;  // seconds after the last step; 0: `settle`
+  double agree_within = 0;  // seconds after the last step; 0: `quorum_hold_ms`
   std::string settings;     // more lines for [peers] of each gateway
   std::vector<Step> steps;  // by time
 };
--- a/emulators/host_emulator.cpp
+++ b/emulators/host_emulator.cpp
@@ -37,7 +37,7 @@
       : owner_(owner), socket_(std::move(socket)), timer_(socket_.get_executor()), number_(owner.accepted_) {}
 
   void read() {
-    const auto space = reader_.space();
+    const auto space = reader_.prepare();
     socket_.async_read_some(asio::buffer(space.data(), space.size()),
                             [self = shared_from_this()](error_code error, std::size_t n) {
                               if (error) return self->close();
@@ -58,8 +58,8 @@
     resp::Frame frame;
     for (;;) {
       const auto progress = reader_.next(frame);
-      if (progress == resp::Progress::kBroken) return close();
-      if (progress == resp::Progress::kMore) break;
+      if (progress == resp::ReadResult::kProtocolError) return close();
+      if (progress == resp::ReadResult::kNeedMore) break;
       command(frame);
     }
     wait();
@@ -141,7 +141,7 @@
   HostEmulator& owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
-  resp::Reader reader_{resp::Limits{}, true};
+  resp::RespReader reader_{resp::RespLimits{}, true};
   std::deque<Due> due_;
   bool waiting_ = false;
   std::uint64_t number_;
--- a/emulators/host_emulator.h
+++ b/emulators/host_emulator.h
@@ -29,7 +29,7 @@
  public:
   // What a host can say of a request, for those who judge by hosts' own record.
   enum class Seen { kCame, kNeverRan, kMade, kOver };
-  // `connection`: the host's own number for it; `value` of kMade.
+  // `connection`: the host's own number for it; `max_value_bytes` of kMade.
   using Record =
       std::function<void(Seen seen, const std::string& id, std::uint64_t connection, std::string_view value)>;
 
--- a/emulators/load.cpp
+++ b/emulators/load.cpp
@@ -52,7 +52,7 @@
 
   Run& run_;
   tcp::socket socket_;
-  resp::Reader reader_{resp::Limits{}, false};
+  resp::RespReader reader_{resp::RespLimits{}, false};
   std::uint64_t number_ = 0;
   Clock::time_point start_;
   bool counts_ = false, open_ = false;
@@ -91,7 +91,7 @@
     free_.push_back(c.shared_from_this());
     if (!c.counts_) return;
     const auto& item = frame.items.at(0);
-    if (item.kind == resp::Kind::kBulk) {
+    if (item.type == resp::ItemType::kBulk) {
       if (item.text.find(id(static_cast<unsigned>(c.number_))) == std::string_view::npos) ++result_.wrong;
       ++result_.served;
       result_.latency_ms.push_back(
@@ -170,7 +170,7 @@
 };
 
 void Client::read() {
-  const auto space = reader_.space();
+  const auto space = reader_.prepare();
   socket_.async_read_some(asio::buffer(space.data(), space.size()),
                           [self = shared_from_this()](error_code error, std::size_t n) {
                             if (error) return self->run_.lost(self);
@@ -181,7 +181,7 @@
 
 void Client::got() {
   resp::Frame frame;
-  while (reader_.next(frame) == resp::Progress::kFrame) {
+  while (reader_.next(frame) == resp::ReadResult::kFrame) {
     if (open_) run_.done(*this, frame);
   }
   read();
--- a/emulators/membership_model.h
+++ b/emulators/membership_model.h
@@ -18,11 +18,11 @@
 
 namespace cometfold::emulators {
 
-using membership::Change;
-using membership::Envelope;
+using membership::MembershipEvent;
+using membership::MemberState;
+using membership::MemberView;
 using membership::Message;
-using membership::Seen;
-using membership::State;
+using membership::OutgoingMessage;
 
 // What the model asks of a member.
 class Protocol {
@@ -33,28 +33,28 @@
   virtual void tick(Ms now) = 0;
   virtual Ms next_due() const = 0;
   virtual void leave(Ms now) = 0;
-  virtual std::vector<Envelope> take_messages() = 0;
-  virtual std::vector<Change> take_changes() = 0;
-  virtual std::vector<Seen> members(Ms now) const = 0;
+  virtual std::vector<OutgoingMessage> take_messages() = 0;
+  virtual std::vector<MembershipEvent> take_changes() = 0;
+  virtual std::vector<MemberView> members(Ms now) const = 0;
   virtual std::uint64_t own_start() const = 0;
   virtual std::size_t bytes() const { return 0; }
 };
 
 class RealMember : public Protocol {
  public:
-  RealMember(const membership::Settings& settings, membership::Record self, std::vector<std::string> seeds,
-             membership::Membership::Draw draw)
+  RealMember(const membership::MembershipSettings& settings, membership::MemberRecord self,
+             std::vector<std::string> seeds, membership::Membership::Draw draw)
       : m_(settings, std::move(self), std::move(seeds), std::move(draw)) {}
   void start(Ms now) override { m_.start(now); }
   void receive(Ms now, const Message& message) override { m_.receive(now, message); }
   void tick(Ms now) override { m_.tick(now); }
-  Ms next_due() const override { return m_.next_due(); }
+  Ms next_due() const override { return m_.next_tick(); }
   void leave(Ms now) override { m_.leave(now); }
-  std::vector<Envelope> take_messages() override { return m_.take_messages(); }
-  std::vector<Change> take_changes() override { return m_.take_changes(); }
-  std::vector<Seen> members(Ms now) const override { return m_.members(now); }
-  std::uint64_t own_start() const override { return m_.self().start; }
-  std::size_t bytes() const override { return m_.bytes(); }
+  std::vector<OutgoingMessage> take_messages() override { return m_.take_messages(); }
+  std::vector<MembershipEvent> take_changes() override { return m_.take_events(); }
+  std::vector<MemberView> members(Ms now) const override { return m_.members(now); }
+  std::uint64_t own_start() const override { return m_.self().incarnation; }
+  std::size_t bytes() const override { return m_.memory_bytes(); }
   const membership::Membership& real() const { return m_; }
 
  private:
@@ -69,7 +69,7 @@
 class MembershipModel {
  public:
   using Make = std::function<std::unique_ptr<Protocol>(
-      membership::Record self, std::vector<std::string> seeds, membership::Membership::Draw draw)>;
+      membership::MemberRecord self, std::vector<std::string> seeds, membership::Membership::Draw draw)>;
   struct Member {
     std::string name, address;
     std::unique_ptr<Protocol> protocol;
@@ -87,7 +87,8 @@
   MembershipModel(Make make, std::uint64_t seed) : make_(std::move(make)), random_(seed) {}
 
   // Called for each change at each member.
-  std::function<void(std::size_t member, const Change&)> on_change = [](std::size_t, const Change&) {};
+  std::function<void(std::size_t member, const MembershipEvent&)> on_change = [](std::size_t,
+                                                                                 const MembershipEvent&) {};
   // Size of a message in bytes; 0 where nobody asks.
   std::function<std::size_t(const Message&)> size = [](const Message&) { return std::size_t{0}; };
   ModelLinks links;
@@ -119,11 +120,11 @@
     addresses_[m.address] = i;
     m.started_at = now_;
     m.waiting.clear();
-    membership::Record self;
+    membership::MemberRecord self;
     self.name = m.name;
     self.address = m.address;
-    self.start = static_cast<std::uint64_t>(wall);
-    self.life = (self.start << 20) | (random_() & 0xfffff);
+    self.incarnation = static_cast<std::uint64_t>(wall);
+    self.process_nonce = (self.incarnation << 20) | (random_() & 0xfffff);
     m.protocol = make_(self, std::move(seeds), [this](std::uint64_t below) { return random_() % below; });
     m.protocol->start(now_);
     after(i);
@@ -186,7 +187,7 @@
   }
   Ms lateness(const Member& m) { return m.slow > 0 ? -m.slow * std::log(1 - draw()) : 0; }
 
-  void pass(std::size_t from, const Envelope& envelope) {
+  void pass(std::size_t from, const OutgoingMessage& envelope) {
     const auto to = addresses_.find(envelope.to);
     if (to == addresses_.end() || draw() < links.loss) return;
     const std::size_t target = to->second;
@@ -229,26 +230,26 @@
 class MembershipJudge {
  public:
   // To be told of each change; `observer` a process, by any number of its own.
-  void see(std::uint64_t observer, const std::string& observer_name, const Change& change) {
-    if (change.what != Change::kMember) return;
+  void see(std::uint64_t observer, const std::string& observer_name, const MembershipEvent& change) {
+    if (change.kind != MembershipEvent::kMemberChanged) return;
     auto& ended = ended_[observer];
-    const auto key = std::pair{change.name, change.start};
-    if (change.state == State::kFailed || change.state == State::kLeft) {
+    const auto key = std::pair{change.name, change.incarnation};
+    if (change.state == MemberState::kFailed || change.state == MemberState::kLeft) {
       ended.insert({key, change.state});
     } else if (ended.contains(key) && breaches_.size() < 20) {
       breaches_.push_back(observer_name + ": " + change.name + " at start number " +
-                          std::to_string(change.start) + " had " + std::string(name_of(ended.at(key))) +
+                          std::to_string(change.incarnation) + " had " + std::string(name_of(ended.at(key))) +
                           " and is " + std::string(name_of(change.state)) + " again");
     }
   }
 
   // What one running process shows when all is over, beside who really runs and with which start number.
-  void settled(const std::string& observer, const std::vector<Seen>& shown,
+  void settled(const std::string& observer, const std::vector<MemberView>& shown,
                const std::map<std::string, std::uint64_t>& running) {
     std::map<std::string, std::uint64_t> alive;
     for (const auto& m : shown) {
-      if (m.state == State::kAlive) alive[m.name] = m.start;
-      if (m.state == State::kSuspect) breach(observer + " suspects " + m.name + " when all is over");
+      if (m.state == MemberState::kAlive) alive[m.name] = m.incarnation;
+      if (m.state == MemberState::kSuspect) breach(observer + " suspects " + m.name + " when all is over");
     }
     for (const auto& [name, start] : running) {
       const auto it = alive.find(name);
@@ -269,7 +270,7 @@
   const std::vector<std::string>& breaches() const { return breaches_; }
 
  private:
-  std::map<std::uint64_t, std::map<std::pair<std::string, std::uint64_t>, State>> ended_;
+  std::map<std::uint64_t, std::map<std::pair<std::string, std::uint64_t>, MemberState>> ended_;
   std::vector<std::string> breaches_;
 };
 
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -29,11 +29,11 @@
 
 constexpr const char* kClasses[] = {"lookup", "hold", "pay"};
 
-Settings class_settings() {
-  Settings s;
-  s.classes = {{20'000, 60'000, 1, 0, Repeat::kSafe, KeyGroup::kNone, 0},
-               {20'000, 60'000, 1, 0, Repeat::kKeyed, KeyGroup::kAll, 60'000},
-               {20'000, 60'000, 1, 0, Repeat::kUnsafe, KeyGroup::kNone, 0}};
+AdmissionSettings class_settings() {
+  AdmissionSettings s;
+  s.classes = {{20'000, 60'000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+               {20'000, 60'000, 1, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 60'000},
+               {20'000, 60'000, 1, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0}};
   s.max_attempts = 4;
   return s;
 }
@@ -42,14 +42,14 @@
 class Judge {
  public:
   void taken(std::uint64_t request, std::uint32_t class_index) {
-    see({.kind = rules::Event::kTaken, .request = request, .class_index = class_index});
+    see({.kind = rules::Event::kRequestReceived, .request = request, .class_index = class_index});
   }
   HttpHost::Record record_of(HostId host) {
     return [this, host](HttpHost::Seen seen, const std::string& id, std::uint64_t number) {
       rules::Event event;
-      event.kind = seen == HttpHost::Seen::kCame       ? rules::Event::kSendWhole
-                   : seen == HttpHost::Seen::kNeverRan ? rules::Event::kNeverRan
-                                                       : rules::Event::kOver;
+      event.kind = seen == HttpHost::Seen::kCame       ? rules::Event::kAttemptWritten
+                   : seen == HttpHost::Seen::kNeverRan ? rules::Event::kNotExecuted
+                                                       : rules::Event::kAttemptEnded;
       event.request = std::stoull(id);
       event.connection = number;
       event.host = host;
@@ -64,10 +64,10 @@
   void see(rules::Event event) {
     const std::lock_guard lock(mutex_);
     event.at = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin_).count();
-    if (const auto breach = rule_.see(event)) breaches_.push_back(breach->why);
+    if (const auto breach = rule_.observe(event)) breaches_.push_back(breach->description);
   }
   std::mutex mutex_;
-  rules::NoRepeat rule_{class_settings()};
+  rules::AtMostOnceMonitor rule_{class_settings()};
   std::vector<std::string> breaches_;
   std::atomic<std::uint64_t> came_{0};
   std::chrono::steady_clock::time_point begin_ = std::chrono::steady_clock::now();
--- a/emulators/relay.cpp
+++ b/emulators/relay.cpp
@@ -19,8 +19,8 @@
   }
 
  private:
-  void read(tcp::socket& from, resp::Reader& reader, bool (Pair::*pass)()) {
-    const auto space = reader.space();
+  void read(tcp::socket& from, resp::RespReader& reader, bool (Pair::*pass)()) {
+    const auto space = reader.prepare();
     from.async_read_some(
         asio::buffer(space.data(), space.size()),
         [this, self = shared_from_this(), &from, &reader, pass](error_code error, std::size_t n) {
@@ -33,7 +33,7 @@
 
   bool to_host() {
     std::string out;
-    while (commands_.next(frame_) == resp::Progress::kFrame) {
+    while (commands_.next(frame_) == resp::ReadResult::kFrame) {
       resp::append_array(out, frame_.items.size());
       for (const auto& item : frame_.items) resp::append_bulk(out, item.text);
     }
@@ -42,7 +42,7 @@
 
   bool to_client() {
     std::string out;
-    while (answers_.next(frame_) == resp::Progress::kFrame) {
+    while (answers_.next(frame_) == resp::ReadResult::kFrame) {
       if (frame_.array) {
         resp::append_bulk(out, frame_.items.at(0).text);
       } else {
@@ -65,7 +65,7 @@
   }
 
   tcp::socket client_, host_;
-  resp::Reader commands_{resp::Limits{}, true}, answers_{resp::Limits{}, false};
+  resp::RespReader commands_{resp::RespLimits{}, true}, answers_{resp::RespLimits{}, false};
   resp::Frame frame_;
 };
 
--- a/include/cometfold/admission_controller.h
+++ b/include/cometfold/admission_controller.h
@@ -20,58 +20,58 @@
 using HostId = std::uint32_t;
 using CustomerId = std::uint64_t;
 
-enum class Repeat : std::uint8_t { kSafe, kKeyed, kUnsafe };
-enum class KeyGroup : std::uint8_t { kNone, kAll, kZone, kCell };
+enum class Idempotency : std::uint8_t { kIdempotent, kIdempotencyKey, kNonIdempotent };
+enum class IdempotencyScope : std::uint8_t { kNone, kAll, kZone, kCell };
 
 struct ClassSettings {
-  Ms aim_ms = 0;       // an answer within this time earns its worth; 0: the deadline
-  Ms deadline_ms = 0;  // what a client waits in all
-  double worth = 1;
-  double late_share = 0;  // part of the worth earned between aim and deadline
-  Repeat repeat = Repeat::kUnsafe;
-  KeyGroup group = KeyGroup::kNone;
-  Ms key_ttl_ms = 0;
+  Ms latency_objective_ms = 0;  // an answer within this time earns its worth; 0: the deadline
+  Ms deadline_ms = 0;           // what a client waits in all
+  double priority_weight = 1;
+  double late_value_fraction = 0;  // part of the worth earned between aim and deadline
+  Idempotency idempotency = Idempotency::kNonIdempotent;
+  IdempotencyScope idempotency_scope = IdempotencyScope::kNone;
+  Ms idempotency_key_ttl_ms = 0;
 };
 
 struct PlanSettings {
   double quota_rate = 0;  // units a second for a customer, over all gateways; 0: no rate
-  double burst = 0;
-  double pays = 1;
-  double overrun_cost = 0;
-  double beyond_earns = 0;
+  double quota_burst = 0;
+  double plan_weight = 1;
+  double over_quota_cost = 0;
+  double over_quota_value = 0;
   double ceiling_rate = 0;  // 0: the plan has no ceiling
   double ceiling_burst = 0;
   double ceiling_slack = 0;
-  double open_limit = 0;  // attempts out at once; 0: no limit
+  double max_concurrent_attempts = 0;  // attempts out at once; 0: no limit
 };
 
-enum class LoadField : std::uint8_t { kQueue, kInHand, kBusy, kOther };
+enum class LoadField : std::uint8_t { kQueueLength, kInFlight, kUtilization, kOther };
 
-struct Settings {
+struct AdmissionSettings {
   std::vector<ClassSettings> classes;
   std::vector<PlanSettings> plans;
-  double gateways = 1;
-  std::uint32_t my_zone = 0;
-  double largest_units = 1;
-  bool units_settle = false;
-  bool second_copies = false;
-  bool may_cancel = false;
-  bool may_probe = false;
-  bool retry_after = false;
-  bool must_subscribe = false;
-  bool sizes_known = false;  // `HostEntry::size` compares hosts
+  double gateway_count = 1;
+  std::uint32_t local_zone = 0;
+  double max_request_units = 1;
+  bool actual_units_reported = false;
+  bool hedging_allowed = false;
+  bool cancellation_allowed = false;
+  bool health_checks_allowed = false;
+  bool retry_after_allowed = false;
+  bool host_watch_required = false;
+  bool host_sizes_known = false;  // `HostEntry::size` compares hosts
   double max_attempts = 1;
   Ms max_retry_after_ms = 0;
-  Ms tick_ms = 0;           // shortest gap between events
-  Ms conn_idle_ms = 15000;  // hosts close a connection that has stood idle for so long
-  double cold_from = 0;
-  Ms warm_after_ms = 0;
+  Ms min_event_interval_ms = 0;           // shortest gap between events
+  Ms connection_idle_timeout_ms = 15000;  // hosts close a connection that has stood idle for so long
+  double slow_start_initial_weight = 0;
+  Ms slow_start_duration_ms = 0;
   double overload_factor = 1;
-  Ms fall_ms = 0;
-  std::vector<LoadField> report_fields;
+  Ms overload_window_ms = 0;
+  std::vector<LoadField> load_report_fields;
 };
 
-enum class HostState : std::uint8_t { kReady, kDraining, kGone };
+enum class HostState : std::uint8_t { kReady, kDraining, kRemoved };
 
 // What the list says of a host. Of one that is gone only `id` counts.
 struct HostEntry {
@@ -83,23 +83,24 @@
                                cell = {};  // none: not known, which is no place that two hosts share
   double size = 1;
 
-  static HostEntry gone(HostId id) {
+  static HostEntry removed(HostId id) {
     HostEntry entry;
     entry.id = id;
-    entry.state = HostState::kGone;
+    entry.state = HostState::kRemoved;
     return entry;
   }
 };
 
-enum class ListKind : std::uint8_t { kCached, kChanges, kWhole, kFailed };
+enum class HostListUpdate : std::uint8_t { kCached, kDelta, kSnapshot, kFailed };
 
 // What one request may do beside the site's own bounds, which hold as well. What is proved of them before
 // they are used is in src/limits.
 struct RequestBounds {
-  double attempts = std::numeric_limits<double>::infinity();  // at most, the first included
-  bool second_copies = true;                                  // one may go out while another is
-  Ms attempt_ms = 0;  // an attempt is given up after it; 0: at the request's end
-  Ms send_until_ms = std::numeric_limits<double>::infinity();  // after the arrival: no further attempt later
+  double max_attempts = std::numeric_limits<double>::infinity();  // at most, the first included
+  bool hedging_allowed = true;                                    // one may go out while another is
+  Ms attempt_timeout_ms = 0;  // an attempt is given up after it; 0: at the request's end
+  Ms retry_window_ms =
+      std::numeric_limits<double>::infinity();  // after the arrival: no further attempt later
 };
 
 struct Request {
@@ -109,142 +110,145 @@
   CustomerId customer = 0;
   Ms expires_at = 0;
   double units = 1;
-  double spread = 1;    // gateways that this customer's requests come through
-  bool repeat = false;  // a client's repeat, where clients mark it
+  double gateway_count = 1;      // gateways that this customer's requests come through
+  bool is_client_retry = false;  // a client's repeat, where clients mark it
   RequestBounds bounds = {};
 };
 
 enum class Outcome : std::uint8_t {
   kOk,
   kError,
-  kFull,
+  kOverloaded,
   kTimedOut,
   kConnectFailed,
-  kBroken,
+  kConnectionLost,
   kCancelled,
   kNotSent
 };
 inline constexpr std::string_view kOutcomeNames[] = {
     "ok", "error", "full", "timed_out", "connect_failed", "broken", "cancelled", "not_sent"};
-inline constexpr std::size_t kOutcomes = std::size(kOutcomeNames);
+inline constexpr std::size_t kOutcomeCount = std::size(kOutcomeNames);
 
 struct LoadReport {
-  std::optional<double> queue;    // requests waiting
-  std::optional<double> in_hand;  // requests held
-  std::optional<double> busy;     // part of the cores in use
+  std::optional<double> queue_length;  // requests waiting
+  std::optional<double> in_flight;     // requests held
+  std::optional<double> utilization;   // part of the cores in use
 };
 
-struct AttemptEnd {
+struct AttemptResult {
   RequestId request = 0;
   std::uint32_t attempt = 0;
   HostId host = 0;
   Outcome outcome = Outcome::kError;
-  Ms took_ms = 0;
-  bool finished = false;  // nothing more is owed for the request
-  std::optional<double> true_units;
-  LoadReport load;
+  Ms duration_ms = 0;
+  bool request_finished = false;  // nothing more is owed for the request
+  std::optional<double> actual_units;
+  LoadReport load_report;
 };
 
 // Why a request is refused or given up, in the module's own terms.
-enum class Cause : std::uint8_t {
-  kMalformed,  // a class or plan that is not in the settings
-  kCeiling,    // the ceiling's slice does not hold its units
-  kOpen,       // the customer has as many attempts out as its slice of the plan's allows
-  kParent,     // the customer's slice is dry
-  kChild,      // its class's part of the slice is
-  kBeyond,     // its slice is dry, and by what the customer asked here it is beyond its quota
-  kShed,       // the back end is pressed, and others are worth more
-  kNoHost,     // no host is listed that takes anything
-  kHostsFull,  // each host is at its bound, cold or ejected
-  kEnded,      // attempts were made, none was answered well, and no further one is made
-  kLate,       // its time is up
-};
-inline constexpr std::string_view kCauseNames[] = {"malformed",  "ceiling", "open", "parent",
-                                                   "child",      "beyond",  "shed", "no_host",
-                                                   "hosts_full", "ended",   "late"};
-inline constexpr std::size_t kCauses = std::size(kCauseNames);
+enum class RejectionReason : std::uint8_t {
+  kMalformed,          // a class or plan that is not in the settings
+  kCeiling,            // the ceiling's slice does not hold its units
+  kConcurrencyLimit,   // the customer has as many attempts out as its slice of the plan's allows
+  kCustomerQuota,      // the customer's slice is dry
+  kClassQuota,         // its class's part of the slice is
+  kOverQuota,          // its slice is dry, and by what the customer asked here it is beyond its quota
+  kLoadShed,           // the back end is pressed, and others are worth more
+  kNoHost,             // no host is listed that takes anything
+  kHostsAtCapacity,    // each host is at its bound, cold or ejected
+  kAttemptsExhausted,  // attempts were made, none was answered well, and no further one is made
+  kDeadlineExceeded,   // its time is up
+};
+inline constexpr std::string_view kRejectionReasonNames[] = {"malformed",  "ceiling", "open", "parent",
+                                                             "child",      "beyond",  "shed", "no_host",
+                                                             "hosts_full", "ended",   "late"};
+inline constexpr std::size_t kRejectionReasonCount = std::size(kRejectionReasonNames);
 
 // What the module wants done. Actions are carried out in the order of the calls.
-class Actions {
+class ActionSink {
  public:
-  virtual ~Actions() = default;
+  virtual ~ActionSink() = default;
   virtual void send(RequestId request, HostId host, Ms give_up_after) = 0;
   virtual void cancel(RequestId request, std::uint32_t attempt) = 0;
-  virtual void refuse(RequestId request, Ms retry_after, Cause why) = 0;
-  virtual void fail(RequestId request, Cause why) = 0;
-  virtual void wake(Ms after, std::uint64_t token) = 0;
-  virtual void probe(HostId host) = 0;
-  virtual void follow_list() = 0;
-  virtual void fetch_list() = 0;
-  virtual void note(std::string_view text) = 0;
+  virtual void reject(RequestId request, Ms retry_after, RejectionReason why) = 0;
+  virtual void fail(RequestId request, RejectionReason why) = 0;
+  virtual void schedule_timer(Ms after, std::uint64_t token) = 0;
+  virtual void send_health_check(HostId host) = 0;
+  virtual void watch_hosts() = 0;
+  virtual void poll_hosts() = 0;
+  virtual void log(std::string_view text) = 0;
 };
 
 // What a gateway knows of a customer, for the one that takes its place.
-struct CustomerState {
+struct CustomerSnapshot {
   CustomerId id = 0;
-  std::uint32_t plan = 0;
-  double spread = 1;
-  double parent = 0, whole = 0, ceiling = 0;  // levels of its buckets, in units; negative: in debt
-  std::vector<double> children = {};          // levels, by class
-  double demand = 0;                          // units asked for of late
-  Ms unseen = 0;                              // since its last request
-  double open = 0;                            // attempts out, which end over there
+  std::uint32_t plan_index = 0;
+  double gateway_count = 1;
+  double quota_level = 0, undivided_quota_level = 0,
+         ceiling_level = 0;               // levels of its buckets, in units; negative: in debt
+  std::vector<double> class_levels = {};  // levels, by class
+  double demand = 0;                      // units asked for of late
+  Ms idle_ms = 0;                         // since its last request
+  double attempts_in_flight = 0;          // attempts out, which end over there
 };
 
 // And what it knows of a host.
-struct HostKnowledge {
+struct HostSnapshot {
   HostId id = 0;
-  Ms up_for = -1;                                     // since the host's start; negative: long
-  double slow = 1, fails = 0, crowd = 0, proven = 0;  // as the module keeps them
-  Ms ejected_for = 0;                                 // still to come
+  Ms uptime_ms = -1;  // since the host's start; negative: long
+  double relative_latency = 1, failure_rate = 0, reported_load = 0,
+         proven_rate = 0;        // as the module keeps them
+  Ms ejection_remaining_ms = 0;  // still to come
 };
 
-// A host that it was told is leaving or has left; `boot_ms`: the start of that process, as discovery has it.
+// A host that it was told is leaving or has left; `boot_unix_ms`: the start of that process, as discovery has
+// it.
 struct DepartedHost {
   HostId id = 0;
-  std::optional<double> boot_ms;
+  std::optional<double> boot_unix_ms;
 };
 
-struct HandedState {
-  Ms age = 0;  // of the gateway that hands over
-  std::vector<CustomerState> customers = {};
-  std::vector<HostKnowledge> hosts = {};
-  std::vector<Ms> class_ms = {};            // what requests of each class take; 0: not known
-  Ms calm_ms = 0;                           // and all of them while nothing queues; 0: not known
-  std::vector<DepartedHost> departed = {};  // the module makes nothing of them
+struct HandoverSnapshot {
+  Ms age_ms = 0;  // of the gateway that hands over
+  std::vector<CustomerSnapshot> customers = {};
+  std::vector<HostSnapshot> hosts = {};
+  std::vector<Ms> class_latency_ms = {};          // what requests of each class take; 0: not known
+  Ms unloaded_latency_ms = 0;                     // and all of them while nothing queues; 0: not known
+  std::vector<DepartedHost> departed_hosts = {};  // the module makes nothing of them
 };
 
 // One gateway's decisions. Events go in, in order of time; actions come out through the sink.
-class Control {
+class AdmissionController {
  public:
-  Control(const Settings& settings, std::uint64_t seed);
-  ~Control();
-  Control(Control&&) noexcept;
-  Control& operator=(Control&&) noexcept;
-
-  void start(Ms now, Actions& out);
-  void on_list(Ms now, ListKind kind, std::span<const HostEntry> entries, Actions& out);
-  void on_request(Ms now, const Request& request, Actions& out);
-  void on_stream_begun(Ms now, RequestId request, std::uint32_t attempt, Actions& out);
-  void on_attempt_end(Ms now, const AttemptEnd& end, Actions& out);
-  void on_gone(Ms now, RequestId request, Actions& out);
-  void on_timer(Ms now, std::uint64_t token, Actions& out);
+  AdmissionController(const AdmissionSettings& settings, std::uint64_t seed);
+  ~AdmissionController();
+  AdmissionController(AdmissionController&&) noexcept;
+  AdmissionController& operator=(AdmissionController&&) noexcept;
+
+  void start(Ms now, ActionSink& out);
+  void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries, ActionSink& out);
+  void on_request(Ms now, const Request& request, ActionSink& out);
+  void on_stream_started(Ms now, RequestId request, std::uint32_t attempt, ActionSink& out);
+  void on_attempt_end(Ms now, const AttemptResult& end, ActionSink& out);
+  void on_client_disconnected(Ms now, RequestId request, ActionSink& out);
+  void on_timer(Ms now, std::uint64_t token, ActionSink& out);
   // Settings that replace those before, between events. Classes and plans keep their numbers: the lists may
   // only grow. Held requests go on in their class; buckets keep their levels, within the new volumes.
-  void on_settings(Ms now, const Settings& settings);
+  void update_settings(Ms now, const AdmissionSettings& settings);
   // All customers' levels, less a part that is kept for what still comes here. Nothing is refilled here from
   // now on: both together give no more than one would.
-  HandedState hand_over(Ms now);
+  HandoverSnapshot export_handover(Ms now);
   // Before the first request. A plan or class that is not in the settings any more is left out.
-  void take_over(Ms now, const HandedState& state);
+  void import_handover(Ms now, const HandoverSnapshot& state);
   // The same where the gateway before has left no state: what it gave is not known, so that ceilings start
   // empty.
-  void take_over_unknown(Ms now);
+  void assume_unknown_predecessor(Ms now);
   // The gateway that handed over has ended, and all that was out there with it.
-  void predecessor_gone(Ms now);
+  void on_predecessor_exited(Ms now);
   // Hosts that are listed and get nothing now: they leave, or fail most of what they are sent.
-  std::size_t avoided(Ms now) const;
-  void on_probe_end(Ms now, HostId host, Ms took_ms, bool ok, const LoadReport& load, Actions& out);
+  std::size_t excluded_host_count(Ms now) const;
+  void on_health_check_end(Ms now, HostId host, Ms took_ms, bool ok, const LoadReport& load, ActionSink& out);
 
  private:
   struct State;
--- a/src/admission/customers.cpp
+++ b/src/admission/customers.cpp
@@ -4,15 +4,15 @@
 namespace cometfold {
 
 // Volumes and rates as the settings have them for this customer; levels stay, within the volumes.
-void Control::State::shape(Customer& c) {
+void AdmissionController::State::shape(Customer& c) {
   const auto& p = set.plans[c.plan];
   const auto fit = [&](TokenBucket& b, double volume, double rate) {
     b.refill(now);
     b = {volume, rate, std::min(b.level, volume), now};
   };
-  const double rate = refills() * p.quota_rate / c.spread, volume = p.burst / c.spread;
+  const double rate = refills() * p.quota_rate / c.spread, volume = p.quota_burst / c.spread;
   fit(c.parent, volume, rate);
-  fit(c.whole, p.burst, refills() * p.quota_rate);
+  fit(c.whole, p.quota_burst, refills() * p.quota_rate);
   fit(c.ceiling, p.ceiling_burst / c.spread, refills() * p.ceiling_rate / c.spread);
   const auto n = static_cast<double>(set.classes.size());
   c.children.resize(set.classes.size(), Child{{volume, rate / n, volume, now}, 0});
@@ -20,13 +20,13 @@
   c.allowance = std::min(c.allowance, volume + rate * kTickMs / 1000);
 }
 
-Customer& Control::State::customer_of(const Request& q) {
+Customer& AdmissionController::State::customer_of(const Request& q) {
   auto [it, fresh] = customers.try_emplace(q.customer);
   Customer& c = it->second;
   if (fresh) c.parent.level = c.whole.level = kNoTime;  // full, once they have a volume
   // Danger: one that moves to another plan would keep the ceiling of the plan before, and one whose set grows
   // a slice that is too large.
-  const double spread = std::clamp(q.spread, 1.0, std::max(1.0, set.gateways));
+  const double spread = std::clamp(q.gateway_count, 1.0, std::max(1.0, set.gateway_count));
   if (fresh || c.plan != q.plan_index || c.spread != spread) {
     c.plan = q.plan_index;
     c.spread = spread;
@@ -45,8 +45,8 @@
 
 // Danger: two gateways that each think they have the slice would give it twice. Levels are divided, debts go
 // over whole, and only one of the two refills.
-HandedState Control::State::hand_over() {
-  HandedState all{now - born, {}, {}, class_ms, calm_ms};
+HandoverSnapshot AdmissionController::State::hand_over() {
+  HandoverSnapshot all{now - born, {}, {}, class_ms, calm_ms};
   const auto divide = [&](TokenBucket& b) {
     b.refill(now);
     const double kept = std::max(b.level, 0.0) * kKeptShare;
@@ -55,10 +55,10 @@
     return given;
   };
   for (auto& [id, c] : customers) {
-    CustomerState s{
+    CustomerSnapshot s{
         id,       c.plan,       c.spread, divide(c.parent), divide(c.whole), divide(c.ceiling), {},
         c.demand, now - c.seen, c.open};
-    for (auto& child : c.children) s.children.push_back(divide(child.bucket));
+    for (auto& child : c.children) s.class_levels.push_back(divide(child.bucket));
     all.customers.push_back(std::move(s));
   }
   for (auto& [id, h] : hosts) {
@@ -75,49 +75,51 @@
 // Danger: a process that has waited for its turn for long is not old: what it has not given, the one before
 // may have. So a customer that is not handed over counts from that one's beginning, and from now where that
 // is not known.
-void Control::State::take_over(const HandedState& from) {
-  born = now - finite(from.age, 0);
+void AdmissionController::State::take_over(const HandoverSnapshot& from) {
+  born = now - finite(from.age_ms, 0);
   for (const auto& s : from.customers) {
-    if (s.plan >= set.plans.size()) continue;
-    Customer& c = customer_of({.plan_index = s.plan, .customer = s.id, .spread = finite(s.spread, 1, 1)});
+    if (s.plan_index >= set.plans.size()) continue;
+    Customer& c = customer_of(
+        {.plan_index = s.plan_index, .customer = s.id, .gateway_count = finite(s.gateway_count, 1, 1)});
     const auto fill = [](TokenBucket& b, double level) {
       b.level = std::min(b.volume, finite(level, 0, -kNoTime));
     };
-    fill(c.parent, s.parent), fill(c.whole, s.whole), fill(c.ceiling, s.ceiling);
-    for (std::size_t i = 0; i < std::min(c.children.size(), s.children.size()); ++i) {
-      fill(c.children[i].bucket, s.children[i]);
+    fill(c.parent, s.quota_level), fill(c.whole, s.undivided_quota_level), fill(c.ceiling, s.ceiling_level);
+    for (std::size_t i = 0; i < std::min(c.children.size(), s.class_levels.size()); ++i) {
+      fill(c.children[i].bucket, s.class_levels[i]);
     }
     c.allowance = std::max(c.parent.level, 0.0);
     c.demand = finite(s.demand, 0);
-    c.seen = now - finite(s.unseen, 0);
-    c.elsewhere = finite(s.open, 0);
+    c.seen = now - finite(s.idle_ms, 0);
+    c.elsewhere = finite(s.attempts_in_flight, 0);
   }
   know_hosts(from);
 }
 
 // Danger: a host that has started anew since is not the one that is known.
-void Control::State::know_hosts(const HandedState& from) {
-  for (std::size_t i = 0; i < std::min(class_ms.size(), from.class_ms.size()); ++i) {
-    class_ms[i] = finite(from.class_ms[i], 0);
+void AdmissionController::State::know_hosts(const HandoverSnapshot& from) {
+  for (std::size_t i = 0; i < std::min(class_ms.size(), from.class_latency_ms.size()); ++i) {
+    class_ms[i] = finite(from.class_latency_ms[i], 0);
     class_seen[i] = class_ms[i] > 0 ? kCalmSamples : 0;
   }
-  calm_ms = finite(from.calm_ms, 0), calm_at = now;
+  calm_ms = finite(from.unloaded_latency_ms, 0), calm_at = now;
   if (calm_ms > 0) completions = kCalmSamples, recent_ms = calm_ms;
   for (const auto& k : from.hosts) {
     const auto it = hosts.find(k.id);
     if (it == hosts.end() || !usable(it->second)) continue;
     Host& h = it->second;
-    if (std::abs(up_for(h) - k.up_for) > kSameStartMs) continue;
+    if (std::abs(up_for(h) - k.uptime_ms) > kSameStartMs) continue;
     settle(h);
-    h.slow = finite(k.slow, 1), h.fails = std::min(finite(k.fails, 0), 1.0), h.crowd = finite(k.crowd, 0);
-    h.proven = finite(k.proven, 0), h.proven_at = now;
-    const Ms left = std::min(finite(k.ejected_for, 0), kLongestEjectMs);
+    h.slow = finite(k.relative_latency, 1), h.fails = std::min(finite(k.failure_rate, 0), 1.0),
+    h.crowd = finite(k.reported_load, 0);
+    h.proven = finite(k.proven_rate, 0), h.proven_at = now;
+    const Ms left = std::min(finite(k.ejection_remaining_ms, 0), kLongestEjectMs);
     if (left > 0) h.ejected_until = now + left;
   }
 }
 
 // Danger: customers that come once would fill the memory. One with full buckets is as if it came anew.
-bool Control::State::like_new(Customer& c) {
+bool AdmissionController::State::like_new(Customer& c) {
   c.whole.refill(now);
   return c.demand < kForgotten && c.whole.has(c.whole.volume) &&
          std::all_of(c.children.begin(), c.children.end(),
@@ -125,7 +127,7 @@
 }
 
 // Lending (19), every tick: a child's next rate is the guaranteed one and, by arrivals, its part of the rest.
-void Control::State::lend() {
+void AdmissionController::State::lend() {
   for (auto it = customers.begin(); it != customers.end();) {
     Customer& c = it->second;
     double all = 0;
@@ -149,36 +151,36 @@
   }
 }
 
-bool Control::State::capped(const Customer& c) const {
-  const double limit = set.plans[c.plan].open_limit;
+bool AdmissionController::State::capped(const Customer& c) const {
+  const double limit = set.plans[c.plan].max_concurrent_attempts;
   if (limit > 0 && handed) return true;  // what comes still would be counted twice over
   return limit > 0 && c.open + c.elsewhere >= std::max(1.0, std::ceil(limit / c.spread - kTokenDust));
 }
 
 // Why this request is not inside what its customer's slice holds; nothing if it is.
-std::optional<Cause> Control::State::quota_lacks(Customer& c, const Request& q) {
+std::optional<RejectionReason> AdmissionController::State::quota_lacks(Customer& c, const Request& q) {
   const auto& p = set.plans[c.plan];
-  if (capped(c)) return Cause::kOpen;
+  if (capped(c)) return RejectionReason::kConcurrencyLimit;
   if (p.quota_rate <= 0) return {};
   Child& child = c.children[q.class_index];
   c.parent.refill(now);
   child.bucket.refill(now);
-  if (!c.parent.has(q.units)) return Cause::kParent;
-  if (!child.bucket.has(q.units)) return Cause::kChild;
+  if (!c.parent.has(q.units)) return RejectionReason::kCustomerQuota;
+  if (!child.bucket.has(q.units)) return RejectionReason::kClassQuota;
   return {};
 }
 
-Ms Control::State::memory(const Customer& c) const {
+Ms AdmissionController::State::memory(const Customer& c) const {
   return std::clamp(kDemandRequests * 1000 / std::max(c.parent.rate, kTokenDust), kDemandMemoryMs, kIdleMs);
 }
 
-Ms Control::State::exposure(const Customer& c) const {
+Ms AdmissionController::State::exposure(const Customer& c) const {
   return std::max(kTickMs, memory(c) * (1 - faded(now - born, memory(c))));
 }
 
 // Danger: with one bound for all, customers inside their quota were refused where sets are large: of four
 // gateways one can get four times its part, of a hundred five times; the more a slice lets expect, the surer.
-double Control::State::rare_skew(const Customer& c, const Request& q) const {
+double AdmissionController::State::rare_skew(const Customer& c, const Request& q) const {
   if (!thin(c, q)) return kRareSkew + kMoreSkew * std::clamp(c.spread - 2, 0.0, kMostSkewed - 2);
   const double expects = c.parent.rate * exposure(c) / 1000 / mean_units;
   return kRareSkew +
@@ -187,16 +189,16 @@
 
 // Learns how many of the refused ask again. Who was refused for what it asked before comes anyway: so only
 // first requests in a while count.
-void Control::State::meet(Customer& c, const Request& q) {
+void AdmissionController::State::meet(Customer& c, const Request& q) {
   if (now - c.met_at < kAgainTimes * set.max_retry_after_ms) firsts[c.met_sent].came += 1;
   c.met_at = -kNoTime;
-  if (!large_set(c) || c.demand >= kForgotten || q.repeat) return;
+  if (!large_set(c) || c.demand >= kForgotten || q.is_client_retry) return;
   c.met_at = now, c.met_sent = false;
   firsts[0].asked += 1;
 }
 
 // The part of the refused whose clients ask again, at any gateway.
-double Control::State::again() const {
+double AdmissionController::State::again() const {
   const auto& [refused, sent] = firsts;
   const double came = (refused.came + kAgainSamples * kAgainPrior * kStays) / (refused.asked + kAgainSamples);
   return std::clamp((came - sent.came / (sent.asked + kAgainSamples)) / kStays, 0.0, 1.0);
@@ -205,28 +207,29 @@
 // Whether what finds its slice full is let on, by chance. Danger: 300 slices that begin full let on 300
 // requests of a customer whose burst is four. One gateway can't know which are inside; but where the refused
 // ask again elsewhere, a smaller chance at each costs a customer inside its quota little, overruns much.
-bool Control::State::let_on(const Customer& c) {
+bool AdmissionController::State::let_on(const Customer& c) {
   const auto& p = set.plans[c.plan];
   if (!large_set(c)) return true;
-  return draw() < std::clamp(1 - std::max(p.overrun_cost - p.beyond_earns, 0.0) * again(), kLeastLetOn, 1.0);
+  return draw() <
+         std::clamp(1 - std::max(p.over_quota_cost - p.over_quota_value, 0.0) * again(), kLeastLetOn, 1.0);
 }
 
 // The worth expected of letting a customer on whose slice is dry, in parts of the request's. Danger: other
 // slices may lie idle, and one gateway of hundreds sees a request or two. So what it asked here is drawn
 // towards a usual customer's use, the less the slice lets expect the more; who used up the whole quota here
 // is beyond it for sure.
-double Control::State::beyond_worth(Customer& c, const Request& q) {
+double AdmissionController::State::beyond_worth(Customer& c, const Request& q) {
   const auto& p = set.plans[c.plan];
   c.whole.refill(now);
   double chance = 0;
   if (p.quota_rate > c.parent.rate && c.whole.has(q.units) && !capped(c)) {
     const double usual = kPriorRequests * mean_units * 1000 / exposure(c);
-    const double before = std::max(c.demand - (q.repeat ? 0 : q.units), 0.0) * 1000 / exposure(c);
+    const double before = std::max(c.demand - (q.is_client_retry ? 0 : q.units), 0.0) * 1000 / exposure(c);
     const double asks = (before + kUsualUse * usual) / (c.parent.rate + usual);
     chance = 1 / (1 + std::pow(asks / rare_skew(c, q), 3));
   }
   const double dearer = large_set(c) ? 1 + kAgainDearer * again() : 1;
-  return chance + (1 - chance) * (p.beyond_earns - dearer * p.overrun_cost);
+  return chance + (1 - chance) * (p.over_quota_value - dearer * p.over_quota_cost);
 }
 
 }  // namespace cometfold
--- a/src/admission/events.cpp
+++ b/src/admission/events.cpp
@@ -3,7 +3,7 @@
 
 namespace cometfold {
 
-void Control::State::admit(Held& r, Actions& out) {
+void AdmissionController::State::admit(Held& r, ActionSink& out) {
   const Request& q = r.ask;
   Customer& c = customer_of(q);
   c.children[q.class_index].asked += q.units;
@@ -14,7 +14,7 @@
   c.ceiling.refill(now);
   if (p.ceiling_rate > 0 && c.ceiling.level + kTokenDust < q.units) {  // never in debt
     note(out, "ceiling reached");
-    return finish(r, c.ceiling.wait_for(q.units), Cause::kCeiling, out);
+    return finish(r, c.ceiling.wait_for(q.units), RejectionReason::kCeiling, out);
   }
   c.parent.refill(now);
   meet(c, q);
@@ -23,14 +23,15 @@
   r.inside = !lacks;
   const double worth = r.inside ? 1 : beyond_worth(c, q);
   if (!r.inside && ((thin(c, q) ? jammed() : pressed()) || worth < 0)) {
-    const Cause why = worth < 0 && *lacks != Cause::kOpen ? Cause::kBeyond : *lacks;
+    const RejectionReason why =
+        worth < 0 && *lacks != RejectionReason::kConcurrencyLimit ? RejectionReason::kOverQuota : *lacks;
     return finish(r, c.parent.wait_for(q.units), why, out);
   }
-  if (r.inside && !let_on(c)) return finish(r, c.parent.wait_for(q.units), Cause::kBeyond, out);
+  if (r.inside && !let_on(c)) return finish(r, c.parent.wait_for(q.units), RejectionReason::kOverQuota, out);
   const double work = class_time(q.class_index) / std::max(class_units[q.class_index], kTokenDust);
-  if (shed(p.pays * cls(r).worth * worth / work, work * q.units)) {
+  if (shed(p.plan_weight * cls(r).priority_weight * worth / work, work * q.units)) {
     note(out, "back end pressed: shedding by worth");
-    return finish(r, set.max_retry_after_ms * (0.5 + draw() / 2), Cause::kShed, out);
+    return finish(r, set.max_retry_after_ms * (0.5 + draw() / 2), RejectionReason::kLoadShed, out);
   }
   if (!send(r, out)) {
     note(out, "no host has room");
@@ -51,7 +52,7 @@
   arm(r, out);
 }
 
-void Control::State::true_up(const Held& r, double units) {
+void AdmissionController::State::true_up(const Held& r, double units) {
   const auto it = customers.find(r.ask.customer);
   if (it == customers.end() || !r.inside || plan(r).quota_rate <= 0) return;
   const double more = units - r.ask.units;
@@ -61,7 +62,7 @@
 }
 
 // A request that never went out costs its customer nothing.
-void Control::State::give_back(const Held& r) {
+void AdmissionController::State::give_back(const Held& r) {
   const auto it = customers.find(r.ask.customer);
   if (it == customers.end()) return;
   Customer& c = it->second;
@@ -74,8 +75,8 @@
   c.given = std::max(c.given - r.ask.units, 0.0);
 }
 
-void Control::State::learn(Host& h, const Held& r, const AttemptEnd& e) {
-  const Ms took = finite(e.took_ms, 0);
+void AdmissionController::State::learn(Host& h, const Held& r, const AttemptResult& e) {
+  const Ms took = finite(e.duration_ms, 0);
   const std::uint32_t c = r.ask.class_index;
   if (e.outcome != Outcome::kOk) return;
   strain += kOutcomeGain / 2 * (took / std::max(aim_of(r), 1.0) - strain);
@@ -99,12 +100,13 @@
 
 // A host's own word on its load. Danger: old, or missing while the host is busy, it makes a crowded host look
 // idle. So it fades towards the fleet's mean, and an answer without it, or a failed probe, is of a full host.
-void Control::State::report(Host& h, const LoadReport& told, bool expected) {
-  if (!told.queue && !told.in_hand && !told.busy) {
+void AdmissionController::State::report(Host& h, const LoadReport& told, bool expected) {
+  if (!told.queue_length && !told.in_flight && !told.utilization) {
     if (!expected) return;
     h.crowd = std::max(h.crowd, crowd) + 1;
   } else {
-    h.crowd = finite(told.queue.value_or(told.in_hand.value_or(0)), 0) + finite(told.busy.value_or(0), 0);
+    h.crowd = finite(told.queue_length.value_or(told.in_flight.value_or(0)), 0) +
+              finite(told.utilization.value_or(0), 0);
     crowd += kOutcomeGain * (h.crowd - crowd);
   }
   h.reported_at = now;
@@ -112,19 +114,19 @@
 
 // Where load is told only to who asks: a priced probe for every second send, of the one of two random hosts
 // that was heard of longest ago, and only if its answers, too, are old.
-void Control::State::look_around(Actions& out) {
-  if (!set.may_probe || hosts.empty() || draw() > kProbesPerSend) return;
+void AdmissionController::State::look_around(ActionSink& out) {
+  if (!set.health_checks_allowed || hosts.empty() || draw() > kProbesPerSend) return;
   Host* oldest = nullptr;
   for (int i = 0; i < 2; ++i) {
     auto it =
         std::next(hosts.begin(), static_cast<std::ptrdiff_t>(draw() * static_cast<double>(hosts.size())));
     if (usable(it->second) && (!oldest || it->second.reported_at < oldest->reported_at)) oldest = &it->second;
   }
-  if (oldest && now - oldest->quiet_since > kDoneMemoryMs) out.probe(oldest->entry.id);
+  if (oldest && now - oldest->quiet_since > kDoneMemoryMs) out.send_health_check(oldest->entry.id);
 }
 
 // A long value begins to come: the host's work is done. Counted on, slow readers would look like a jam.
-void Control::State::stream_begun(Held& r, std::uint32_t attempt, Actions& out) {
+void AdmissionController::State::stream_begun(Held& r, std::uint32_t attempt, ActionSink& out) {
   Attempt& a = r.attempts[attempt];
   if (r.streaming || !a.out) return;
   Host& h = hosts[a.host];
@@ -135,9 +137,9 @@
   h.quiet_since = now;
   h.newest_answered = std::max(h.newest_answered, a.sent);
   newest_answered = std::max(newest_answered, a.sent);
-  AttemptEnd begun;
+  AttemptResult begun;
   begun.outcome = Outcome::kOk;
-  begun.took_ms = now - a.sent;
+  begun.duration_ms = now - a.sent;
   learn(h, r, begun);
   judge(h, false, out);
   for (std::uint32_t i = 0; i < r.attempts.size(); ++i) {
@@ -145,14 +147,14 @@
   }
 }
 
-void Control::State::ended(const AttemptEnd& e, Actions& out) {
+void AdmissionController::State::ended(const AttemptResult& e, ActionSink& out) {
   const auto it = held.find(e.request);
   if (it == held.end() || e.attempt >= it->second.attempts.size()) return;
   Held& r = it->second;
   Attempt& a = r.attempts[e.attempt];
   if (!a.out || a.host != e.host) return;
   a.out = false;
-  a.may_have_run = may_have_run(e.outcome);
+  a.may_have_run = may_have_executed(e.outcome);
   a.never_sent = e.outcome == Outcome::kNotSent;
   Host& h = hosts[a.host];
   if (a.overdue && !a.streams) h.overdue = std::max(h.overdue - 1, 0.0);
@@ -160,9 +162,9 @@
   const auto c = customers.find(r.ask.customer);
   if (c != customers.end()) c->second.open = std::max(c->second.open - 1, 0.0);
   settle(h);
-  report(h, e.load, false);
+  report(h, e.load_report, false);
   const bool answered =
-      e.outcome == Outcome::kOk || e.outcome == Outcome::kError || e.outcome == Outcome::kFull;
+      e.outcome == Outcome::kOk || e.outcome == Outcome::kError || e.outcome == Outcome::kOverloaded;
   if (answered) {
     h.quiet_since = now;
     h.newest_answered = std::max(h.newest_answered, a.sent);
@@ -175,7 +177,7 @@
       kOutcomeGain / 2 * (1 - full_for(h, r.ask)) * (tells_queue() ? std::min(1.0, ahead(h)) : 1);
   for (auto& f : refusals) f.full *= 1 - news, f.all *= 1 - news;
   for (const std::size_t i : {std::size_t{r.ask.plan_index}, class_slot(r.ask.class_index)}) {
-    const double full = e.outcome == Outcome::kFull ? 1 : 0;
+    const double full = e.outcome == Outcome::kOverloaded ? 1 : 0;
     refusals[i].all += news;
     refusals[i].full += full * news;
     h.fulls[i] += kFullGain * (full - h.fulls[i]);
@@ -193,14 +195,14 @@
       if (!r.over) learn(h, r, e);
       break;
     case Outcome::kNotSent:
-    case Outcome::kFull:
+    case Outcome::kOverloaded:
       break;
     default:
       judge(h, true, out);
   }
   if (e.outcome == Outcome::kTimedOut) judge(h, true, out);
-  if (e.true_units && set.units_settle) true_up(r, finite(*e.true_units, r.ask.units));
-  if (e.finished || e.outcome == Outcome::kOk) {
+  if (e.actual_units && set.actual_units_reported) true_up(r, finite(*e.actual_units, r.ask.units));
+  if (e.request_finished || e.outcome == Outcome::kOk) {
     r.over = true;
     for (std::uint32_t i = 0; i < r.attempts.size(); ++i) call_off(r, i, out);
   }
@@ -208,23 +210,24 @@
     if (send_again(r, out)) {
       arm(r, out);
     } else {
-      finish(r, set.max_retry_after_ms * (0.5 + draw() / 2), Cause::kEnded, out);
+      finish(r, set.max_retry_after_ms * (0.5 + draw() / 2), RejectionReason::kAttemptsExhausted, out);
       return;
     }
   }
   forget_if_done(e.request);
 }
 
-void Control::State::list(ListKind kind, std::span<const HostEntry> entries, Actions& out) {
-  if (kind == ListKind::kFailed) {
-    out.wake(kAskAgainMs, kListToken);
+void AdmissionController::State::list(HostListUpdate kind, std::span<const HostEntry> entries,
+                                      ActionSink& out) {
+  if (kind == HostListUpdate::kFailed) {
+    out.schedule_timer(kAskAgainMs, kListToken);
     return;
   }
-  if (kind != ListKind::kChanges) {
+  if (kind != HostListUpdate::kDelta) {
     for (auto& [id, h] : hosts) h.listed = false;
   }
   for (const auto& e : entries) {
-    if (e.state == HostState::kGone) {
+    if (e.state == HostState::kRemoved) {
       leave(e.id);
       continue;
     }
@@ -243,14 +246,14 @@
 }
 
 // It is listed no more. What was known of it stays, for attempts that are out there.
-void Control::State::leave(HostId id) {
+void AdmissionController::State::leave(HostId id) {
   const auto it = hosts.find(id);
   if (it == hosts.end()) return;
   it->second.listed = false;
   it->second.told_leaving = now;
 }
 
-void Control::State::tick(Actions& out) {
+void AdmissionController::State::tick(ActionSink& out) {
   lend();
   for (auto& f : firsts) f.asked *= faded(kTickMs, kIdleMs), f.came *= faded(kTickMs, kIdleMs);
   find_overdue(out);
@@ -258,51 +261,53 @@
     const Host& h = entry.second;
     return !h.listed && h.out <= 0 && now - h.touched > kGoneMemoryMs;
   });
-  out.wake(kTickMs, kTickToken);
+  out.schedule_timer(kTickMs, kTickToken);
 }
 
 // What is kept for each class and plan, to the settings' sizes. Refusals would stand for others: learnt anew.
-void Control::State::size_books() {
+void AdmissionController::State::size_books() {
   class_ms.resize(set.classes.size(), 0);
   class_seen.resize(set.classes.size(), 0);
   class_units.resize(set.classes.size(), 1);
   least_aim = kNoTime;
-  for (auto& c : set.classes) least_aim = std::min(least_aim, c.aim_ms > 0 ? c.aim_ms : c.deadline_ms);
+  for (auto& c : set.classes)
+    least_aim = std::min(least_aim, c.latency_objective_ms > 0 ? c.latency_objective_ms : c.deadline_ms);
   if (refusals.size() == set.plans.size() + set.classes.size()) return;
   refusals.assign(set.plans.size() + set.classes.size(), {});
   for (auto& [id, h] : hosts) h.fulls.clear();
 }
 
-Control::Control(const Settings& settings, std::uint64_t seed)
+AdmissionController::AdmissionController(const AdmissionSettings& settings, std::uint64_t seed)
     : state_(std::make_unique<State>(settings, seed)) {
   state_->size_books();
 }
-Control::~Control() = default;
-Control::Control(Control&&) noexcept = default;
-Control& Control::operator=(Control&&) noexcept = default;
+AdmissionController::~AdmissionController() = default;
+AdmissionController::AdmissionController(AdmissionController&&) noexcept = default;
+AdmissionController& AdmissionController::operator=(AdmissionController&&) noexcept = default;
 
-void Control::start(Ms now, Actions& out) {
+void AdmissionController::start(Ms now, ActionSink& out) {
   state_->now = state_->born = state_->load_at = now;
-  if (state_->set.must_subscribe) out.follow_list();
-  out.fetch_list();  // a restart leaves only an old list
-  out.wake(kTickMs, kTickToken);
+  if (state_->set.host_watch_required) out.watch_hosts();
+  out.poll_hosts();  // a restart leaves only an old list
+  out.schedule_timer(kTickMs, kTickToken);
 }
 
-void Control::on_list(Ms now, ListKind kind, std::span<const HostEntry> entries, Actions& out) {
+void AdmissionController::on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries,
+                                       ActionSink& out) {
   state_->now = now;
   state_->list(kind, entries, out);
 }
 
-void Control::on_request(Ms now, const Request& request, Actions& out) {
+void AdmissionController::on_request(Ms now, const Request& request, ActionSink& out) {
   auto& s = *state_;
   s.now = now;
   if (s.held.contains(request.id)) return;
   Request q = request;
-  q.units = finite(q.units, s.set.largest_units, kTokenDust);
-  q.spread = finite(q.spread, 1, 1);
+  q.units = finite(q.units, s.set.max_request_units, kTokenDust);
+  q.gateway_count = finite(q.gateway_count, 1, 1);
   q.expires_at = finite(q.expires_at, now, -kNoTime);
   if (q.class_index >= s.set.classes.size() || q.plan_index >= s.set.plans.size()) {
-    out.refuse(q.id, 0, Cause::kMalformed);  // nothing was sent, so a refusal is safe
+    out.reject(q.id, 0, RejectionReason::kMalformed);  // nothing was sent, so a refusal is safe
     return;
   }
   Held& r = s.held[q.id];
@@ -312,19 +317,20 @@
   s.admit(r, out);
 }
 
-void Control::on_stream_begun(Ms now, RequestId request, std::uint32_t attempt, Actions& out) {
+void AdmissionController::on_stream_started(Ms now, RequestId request, std::uint32_t attempt,
+                                            ActionSink& out) {
   auto& s = *state_;
   s.now = now;
   const auto it = s.held.find(request);
   if (it != s.held.end() && attempt < it->second.attempts.size()) s.stream_begun(it->second, attempt, out);
 }
 
-void Control::on_attempt_end(Ms now, const AttemptEnd& end, Actions& out) {
+void AdmissionController::on_attempt_end(Ms now, const AttemptResult& end, ActionSink& out) {
   state_->now = now;
   state_->ended(end, out);
 }
 
-void Control::on_gone(Ms now, RequestId request, Actions& out) {
+void AdmissionController::on_client_disconnected(Ms now, RequestId request, ActionSink& out) {
   auto& s = *state_;
   s.now = now;
   const auto it = s.held.find(request);
@@ -334,16 +340,16 @@
   s.forget_if_done(request);
 }
 
-void Control::on_timer(Ms now, std::uint64_t token, Actions& out) {
+void AdmissionController::on_timer(Ms now, std::uint64_t token, ActionSink& out) {
   auto& s = *state_;
   s.now = now;
   if (token == kTickToken) return s.tick(out);
-  if (token == kListToken) return s.set.must_subscribe ? out.follow_list() : out.fetch_list();
+  if (token == kListToken) return s.set.host_watch_required ? out.watch_hosts() : out.poll_hosts();
   const auto it = s.held.find(token);
   if (it != s.held.end()) s.due(it->second, out);
 }
 
-void Control::on_settings(Ms now, const Settings& settings) {
+void AdmissionController::update_settings(Ms now, const AdmissionSettings& settings) {
   auto& s = *state_;
   s.now = now;
   s.set = settings;
@@ -351,27 +357,27 @@
   for (auto& [id, c] : s.customers) s.shape(c);
 }
 
-HandedState Control::hand_over(Ms now) {
+HandoverSnapshot AdmissionController::export_handover(Ms now) {
   state_->now = now;
   return state_->hand_over();
 }
 
-void Control::take_over(Ms now, const HandedState& state) {
+void AdmissionController::import_handover(Ms now, const HandoverSnapshot& state) {
   state_->now = now;
   state_->take_over(state);
 }
 
-void Control::take_over_unknown(Ms now) {
+void AdmissionController::assume_unknown_predecessor(Ms now) {
   state_->now = now;
   state_->take_over({});
 }
 
-void Control::predecessor_gone(Ms now) {
+void AdmissionController::on_predecessor_exited(Ms now) {
   state_->now = now;
   for (auto& [id, c] : state_->customers) c.elsewhere = 0;
 }
 
-std::size_t Control::avoided(Ms now) const {
+std::size_t AdmissionController::excluded_host_count(Ms now) const {
   state_->now = now;
   return static_cast<std::size_t>(
       std::count_if(state_->hosts.begin(), state_->hosts.end(), [&](const auto& h) {
@@ -379,7 +385,8 @@
       }));
 }
 
-void Control::on_probe_end(Ms now, HostId host, Ms, bool ok, const LoadReport& load, Actions&) {
+void AdmissionController::on_health_check_end(Ms now, HostId host, Ms, bool ok, const LoadReport& load,
+                                              ActionSink&) {
   auto& s = *state_;
   s.now = now;
   const auto it = s.hosts.find(host);
--- a/src/admission/hosts.cpp
+++ b/src/admission/hosts.cpp
@@ -3,7 +3,7 @@
 
 namespace cometfold {
 
-void Control::State::settle(Host& h) {  // lets a host's record fade
+void AdmissionController::State::settle(Host& h) {  // lets a host's record fade
   const Ms dt = now - h.touched;
   if (dt <= 0) return;
   const double like = kind_slow.try_emplace(h.entry.kind, 1.0).first->second;
@@ -15,14 +15,14 @@
   h.touched = now;
 }
 
-bool Control::State::cold(const Host& h) const {
-  return h.entry.started_at > 0 && now - h.entry.started_at < set.warm_after_ms;
+bool AdmissionController::State::cold(const Host& h) const {
+  return h.entry.started_at > 0 && now - h.entry.started_at < set.slow_start_duration_ms;
 }
 
-double Control::State::ability(const Host& h) const {
+double AdmissionController::State::ability(const Host& h) const {
   if (!cold(h)) return 1;
-  const double age = std::clamp((now - h.entry.started_at) / set.warm_after_ms, 0.0, 1.0);
-  return set.cold_from + (1 - set.cold_from) * age;
+  const double age = std::clamp((now - h.entry.started_at) / set.slow_start_duration_ms, 0.0, 1.0);
+  return set.slow_start_initial_weight + (1 - set.slow_start_initial_weight) * age;
 }
 
 // Danger: a just started host is pushed over by the sum of all gateways, where any whole number for each is
@@ -31,7 +31,7 @@
 // first, as cold hosts would yield to warm ones by cost. Danger: where many are cold, what they don't get
 // crowds the warm, and an even share of the less that is sent shrinks with it; what a warm one completes is
 // safe to go by.
-Control::State::Fleet Control::State::fleet() {
+AdmissionController::State::Fleet AdmissionController::State::fleet() {
   Fleet f;
   for (auto& [id, h] : hosts) {
     if (!usable(h)) continue;
@@ -43,7 +43,7 @@
 }
 
 // The cold host whose turn it is, if it is one's.
-const Host* Control::State::turn(const Fleet& all) {
+const Host* AdmissionController::State::turn(const Fleet& all) {
   if (all.warm >= all.usable) return nullptr;
   double even = 1 / all.usable;
   if (all.warm > 0 && sent_rate > 0)
@@ -63,53 +63,54 @@
 // not. Danger: where requests take a good part of their aim on idle hosts, what is out
 // looks like a queue. So the wait aimed for is told by what requests take here while nothing queues, within
 // bounds by the aim, which holds where all a gateway has ever seen is a jam.
-Ms Control::State::allowed_wait() const {
+Ms AdmissionController::State::allowed_wait() const {
   return std::clamp(kCalmTimes * calm_ms, kWaitShare * least_aim, kMostWaitShare * least_aim);
 }
 
 // Danger: after a lull, or at its start, a gateway knows of no completions. So a warm host that has never
 // answered may get more, and one that was idle just now what it has proven, for the wait aimed for.
-double Control::State::fair_out(Host& h) {
+double AdmissionController::State::fair_out(Host& h) {
   settle(h);
   const bool first = h.newest_answered <= 0 && !cold(h);
-  const double least = (first ? kFirstAtHost : kLeastAtHost) / std::max(set.gateways, 1.0);
+  const double least = (first ? kFirstAtHost : kLeastAtHost) / std::max(set.gateway_count, 1.0);
   const bool woken = now - h.woken < allowed_wait() && !cold(h);
   return std::max(least, std::max(h.done_rate, woken ? proven(h) : 0.0) * allowed_wait() / 1000);
 }
 
 // Danger: a host with room turns away one plan or one class: what both of the request's met there counts.
-double Control::State::full_for(const Host& h, const Request& q) const {
+double AdmissionController::State::full_for(const Host& h, const Request& q) const {
   return h.fulls.empty() ? 0 : std::min(h.fulls[q.plan_index], h.fulls[class_slot(q.class_index)]);
 }
 
 // What waits at a host before a new attempt, by its last report, and by the fleet's the older that is.
-double Control::State::ahead(const Host& h) const {
+double AdmissionController::State::ahead(const Host& h) const {
   const double fresh = faded(now - h.reported_at, kReportMemoryMs);
   return fresh * h.crowd + (1 - fresh) * crowd;
 }
 
-bool Control::State::tells_queue() const {
-  return std::count(set.report_fields.begin(), set.report_fields.end(), LoadField::kQueue) > 0;
+bool AdmissionController::State::tells_queue() const {
+  return std::count(set.load_report_fields.begin(), set.load_report_fields.end(), LoadField::kQueueLength) >
+         0;
 }
 
 // Expected time to an answer, for comparison. A host that owes answers and gives none looks as slow as its
 // silence is long: that finds dead, cut off and stuck ones before any time-out. In a large fleet a host not
 // met of late costs a handshake and is known by nothing: those met go first where costs are near.
-double Control::State::cost(Host& h, const Request& q) {
+double AdmissionController::State::cost(Host& h, const Request& q) {
   settle(h);
   Ms expected = class_time(q.class_index) * h.slow;
   if (awaited(h) > 0) expected = std::max(expected, now - h.quiet_since);
   double c = expected * (h.out + 1 + ahead(h)) * (1 + kFailCost * (h.fails + full_for(h, q)));
-  const bool met = h.newest_answered > 0 && now - h.quiet_since <= kMetShare * set.conn_idle_ms;
-  if (set.gateways > kThinSet && !met) c *= kStranger;
-  return h.entry.zone == set.my_zone ? c : c * kOtherZone;
+  const bool met = h.newest_answered > 0 && now - h.quiet_since <= kMetShare * set.connection_idle_timeout_ms;
+  if (set.gateway_count > kThinSet && !met) c *= kStranger;
+  return h.entry.zone == set.local_zone ? c : c * kOtherZone;
 }
 
-bool Control::State::ejected(const Host& h) const {
+bool AdmissionController::State::ejected(const Host& h) const {
   return now < h.ejected_until || (h.ejected_until > 0 && h.fails > kEjectAt / 2 && awaited(h) >= 1);
 }
 
-void Control::State::judge(Host& h, bool bad, Actions& out) {
+void AdmissionController::State::judge(Host& h, bool bad, ActionSink& out) {
   settle(h);
   h.fails += kOutcomeGain * 2 * ((bad ? 1 : 0) - h.fails);
   if (!bad && h.fails < kEjectAt / 2) h.ejected_until = 0, h.eject_span = kFirstEjectMs;
--- a/src/admission/records.h
+++ b/src/admission/records.h
@@ -73,7 +73,7 @@
 struct Attempt {
   HostId host = 0;
   Ms sent = 0;
-  HostPlace place = {};  // of the host when it was sent: what a key binds repeats to
+  HostLocation place = {};  // of the host when it was sent: what a key binds repeats to
   bool out = true;
   bool may_have_run = true;
   bool never_sent = false;
--- a/src/admission/shedding.cpp
+++ b/src/admission/shedding.cpp
@@ -3,13 +3,13 @@
 
 namespace cometfold {
 
-void Control::State::measure_load() {
+void AdmissionController::State::measure_load() {
   double used = 0, least = 0, room = 0;
   for (auto& [id, h] : hosts) {
     if (!usable(h) || ejected(h)) continue;
     used += awaited(h);
     settle(h);
-    least += kLeastAtHost / std::max(set.gateways, 1.0);
+    least += kLeastAtHost / std::max(set.gateway_count, 1.0);
     room += h.done_rate * allowed_wait() / 1000;
   }
   room = std::max(room, least);  // of the sums: a sum of rare hosts' maxima is mostly chance
@@ -20,7 +20,7 @@
 }
 
 // Share of attempts refused as full, but for the plan or class refused most: who refuses only it has room.
-double Control::State::fulls() const {
+double AdmissionController::State::fulls() const {
   double least = 1;
   const auto plans = refusals.begin() + static_cast<std::ptrdiff_t>(set.plans.size());
   for (auto [from, to] : {std::pair{refusals.begin(), plans}, std::pair{plans, refusals.end()}}) {
@@ -37,8 +37,8 @@
 
 // Worth a unit of work, against the last requests': the least worth goes first, by number and not by time.
 // Danger: in a large fleet what is beyond a quota passes for inside and fills the hosts; so it begins early.
-bool Control::State::shed(double value, double work) {
-  const double from = set.gateways > kThinSet ? kThinShedFrom : kShedFrom;
+bool AdmissionController::State::shed(double value, double work) {
+  const double from = set.gateway_count > kThinSet ? kThinShedFrom : kShedFrom;
   const double floor = std::clamp(
       std::max({(load - from) / (1 - from), (strain - kPressedShare) / (1 - kPressedShare), fulls()}), 0.0,
       kMostShed);
--- a/src/admission/state.h
+++ b/src/admission/state.h
@@ -12,8 +12,8 @@
 namespace cometfold {
 using namespace detail;
 
-struct Control::State {
-  Settings set;
+struct AdmissionController::State {
+  AdmissionSettings set;
   std::mt19937_64 random;
   Ms born = 0;
   bool handed = false;  // to a gateway that takes this one's place
@@ -47,37 +47,39 @@
   Ms least_aim = kNoTime;  // all classes wait in the same queues: the tightest sets the bound
   std::map<std::string, Ms, std::less<>> noted;
 
-  State(const Settings& s, std::uint64_t seed) : set(s), random(seed) {}
+  State(const AdmissionSettings& s, std::uint64_t seed) : set(s), random(seed) {}
   double draw() { return static_cast<double>(random() >> 11) * 0x1.0p-53; }
-  void note(Actions& out, std::string_view text) {
+  void note(ActionSink& out, std::string_view text) {
     auto [it, fresh] = noted.try_emplace(std::string(text), now);
     if (!fresh && now - it->second < kNotePauseMs) return;
     it->second = now;
-    out.note(text);
+    out.log(text);
   }
   const ClassSettings& cls(const Held& r) const { return r.terms; }
   const PlanSettings& plan(const Held& r) const { return set.plans[r.ask.plan_index]; }
-  bool copies(const Held& r) const { return set.second_copies && r.ask.bounds.second_copies; }
+  bool copies(const Held& r) const { return set.hedging_allowed && r.ask.bounds.hedging_allowed; }
   bool more(const Held& r) const {
-    return static_cast<double>(r.attempts.size()) < std::min(set.max_attempts, r.ask.bounds.attempts) &&
-           (r.attempts.empty() || now <= r.arrived + r.ask.bounds.send_until_ms);
+    return static_cast<double>(r.attempts.size()) < std::min(set.max_attempts, r.ask.bounds.max_attempts) &&
+           (r.attempts.empty() || now <= r.arrived + r.ask.bounds.retry_window_ms);
+  }
+  Ms aim_of(const Held& r) const {
+    return cls(r).latency_objective_ms > 0 ? cls(r).latency_objective_ms : cls(r).deadline_ms;
   }
-  Ms aim_of(const Held& r) const { return cls(r).aim_ms > 0 ? cls(r).aim_ms : cls(r).deadline_ms; }
   Ms aim_end(const Held& r) const {
-    Ms aim = cls(r).late_share > 0 ? kNoTime : r.arrived + aim_of(r);
+    Ms aim = cls(r).late_value_fraction > 0 ? kNoTime : r.arrived + aim_of(r);
     return std::min(aim, r.ask.expires_at);
   }
 
   void shape(Customer& c);
-  HandedState hand_over();
-  void take_over(const HandedState& from);
+  HandoverSnapshot hand_over();
+  void take_over(const HandoverSnapshot& from);
   double refills() const { return handed ? 0 : 1; }
   Customer& customer_of(const Request& q);
-  void know_hosts(const HandedState& from);
+  void know_hosts(const HandoverSnapshot& from);
   bool like_new(Customer& c);
   void lend();
   bool capped(const Customer& c) const;
-  std::optional<Cause> quota_lacks(Customer& c, const Request& q);
+  std::optional<RejectionReason> quota_lacks(Customer& c, const Request& q);
   Ms memory(const Customer& c) const;
   Ms exposure(const Customer& c) const;
   bool thin(const Customer& c, const Request& q) const {
@@ -114,22 +116,22 @@
   double awaited(const Host& h) const { return std::max(h.out - h.overdue, 0.0); }
   bool usable(const Host& h) const { return h.listed && h.told_leaving == kNoTime; }
   bool ejected(const Host& h) const;
-  void judge(Host& h, bool bad, Actions& out);
+  void judge(Host& h, bool bad, ActionSink& out);
 
-  RepeatLimits<Attempt> permit(const Held& r) const;
-  bool send(Held& r, Actions& out);
+  RetryConstraint<Attempt> permit(const Held& r) const;
+  bool send(Held& r, ActionSink& out);
 
-  void finish(Held& r, Ms retry_after, Cause why, Actions& out);
-  Cause no_room() const;
-  void call_off(Held& r, std::uint32_t i, Actions& out);
+  void finish(Held& r, Ms retry_after, RejectionReason why, ActionSink& out);
+  RejectionReason no_room() const;
+  void call_off(Held& r, std::uint32_t i, ActionSink& out);
   void forget_if_done(RequestId id);
   bool worth_trying(const Held& r) const;
-  bool send_again(Held& r, Actions& out);
+  bool send_again(Held& r, ActionSink& out);
   bool elsewhere(const Held& r) const;
   Ms patience(const Held& r) const;
-  void arm(const Held& r, Actions& out) const;
-  void due(Held& r, Actions& out);
-  void find_overdue(Actions& out);
+  void arm(const Held& r, ActionSink& out) const;
+  void due(Held& r, ActionSink& out);
+  void find_overdue(ActionSink& out);
 
   void measure_load();
   double fulls() const;
@@ -137,17 +139,17 @@
   bool pressed() const { return jammed() || load * allowed_wait() > kBindFrom * least_aim; }
   bool shed(double value, double work);
 
-  void admit(Held& r, Actions& out);
+  void admit(Held& r, ActionSink& out);
   void true_up(const Held& r, double units);
   void give_back(const Held& r);
-  void learn(Host& h, const Held& r, const AttemptEnd& e);
+  void learn(Host& h, const Held& r, const AttemptResult& e);
   void report(Host& h, const LoadReport& told, bool expected);
-  void look_around(Actions& out);
-  void stream_begun(Held& r, std::uint32_t attempt, Actions& out);
-  void ended(const AttemptEnd& e, Actions& out);
-  void list(ListKind kind, std::span<const HostEntry> entries, Actions& out);
+  void look_around(ActionSink& out);
+  void stream_begun(Held& r, std::uint32_t attempt, ActionSink& out);
+  void ended(const AttemptResult& e, ActionSink& out);
+  void list(HostListUpdate kind, std::span<const HostEntry> entries, ActionSink& out);
   void leave(HostId id);
-  void tick(Actions& out);
+  void tick(ActionSink& out);
   void size_books();
 };
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -23,7 +23,7 @@
 
 }  // namespace
 
-Engine::Engine(Module& module, HostSide& hosts, const Limits& limits, Note note)
+Engine::Engine(AdmissionPolicy& module, UpstreamTransport& hosts, const EngineLimits& limits, Note note)
     : module_(module), all_hosts_{&hosts}, limits_(limits), note_(std::move(note)) {}
 
 void Engine::start(Ms now) {
@@ -51,40 +51,40 @@
   in_module_ = false;
 }
 
-void Engine::on_list(Ms now, ListKind kind, std::span<const HostEntry> entries) {
+void Engine::on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries) {
   now_ = now;
   learn_hosts(kind, entries);
   // The module first: what a retired host's waiting attempts come to is decided with the new list.
-  consult(0, [&] { module_.on_list(now, kind, entries, *this); });
+  consult(0, [&] { module_.on_host_list(now, kind, entries, *this); });
   const bool skip = threw_ && mutant(Mutant::kSkipsRetireOnThrow);
   for (const auto& e : entries) {
     if (e.state == HostState::kReady || skip) continue;
-    for (HostSide* hosts : all_hosts_) hosts->retire(now, e.id);
+    for (UpstreamTransport* hosts : all_hosts_) hosts->retire_host(now, e.id);
   }
   after_module();
 }
 
-void Engine::trace(Transition::What what, const Asked& r, RequestId id, const Try* attempt,
-                   SendVerdict stopped) const {
+void Engine::trace(RequestEvent::Kind what, const Asked& r, RequestId id, const Try* attempt,
+                   AttemptVerdict stopped) const {
   if (!trace_) return;
-  Transition step{.what = what, .at = now_, .request = id, .identity = r.identity, .ticket = r.ticket};
-  step.left = (attempt ? attempt->until : r.expires_at) - now_;
+  RequestEvent step{.kind = what, .at = now_, .request = id, .identity = r.identity, .ticket = r.ticket};
+  step.remaining_ms = (attempt ? attempt->until : r.expires_at) - now_;
   if (attempt) {
     step.attempt = attempt->id;
     step.host = attempt->host;
     step.outcome = attempt->outcome;
   }
-  step.cause = giving_up_;
-  step.stopped = stopped;
+  step.reason = giving_up_;
+  step.verdict = stopped;
   trace_(step);
 }
 
-void Engine::learn_hosts(ListKind kind, std::span<const HostEntry> entries) {
-  if (kind == ListKind::kFailed) return;
-  if (kind != ListKind::kChanges) listed_.clear();
+void Engine::learn_hosts(HostListUpdate kind, std::span<const HostEntry> entries) {
+  if (kind == HostListUpdate::kFailed) return;
+  if (kind != HostListUpdate::kDelta) listed_.clear();
   for (const auto& e : entries) {
     if (e.state == HostState::kReady) {
-      listed_[e.id] = {e.started_at, place_of(e)};
+      listed_[e.id] = {e.started_at, location_of(e)};
     } else {
       listed_.erase(e.id);
     }
@@ -93,31 +93,33 @@
 
 // ---- requests in ----
 
-Taken Engine::take(Ms now, FrontEnd& front, Ticket ticket, Ask ask, RequestId& name) {
+AcceptResult Engine::accept(Ms now, DownstreamHandler& front, ResponseHandle ticket, IncomingRequest ask,
+                            RequestId& name) {
   now_ = now;
   name = 0;
   // Danger: two requests of one id would be one at the hosts, and one's answer could be taken for the
   // other's.
-  if (open_identities_.contains(ask.identity) && !mutant(Mutant::kSharesIdentity)) return Taken::kSameId;
-  if (front.client_left(ticket)) {
-    ++rule_figures_.first_bytes[static_cast<std::size_t>(SendVerdict::kClientLeft)];
-    return Taken::kClientLeft;
+  if (open_identities_.contains(ask.identity) && !mutant(Mutant::kSharesIdentity))
+    return AcceptResult::kDuplicateIdentity;
+  if (front.client_disconnected(ticket)) {
+    ++rule_figures_.first_bytes[static_cast<std::size_t>(AttemptVerdict::kClientDisconnected)];
+    return AcceptResult::kClientDisconnected;
   }
   const std::size_t bytes = ask.payload->bytes();
-  if (owed_ >= limits_.open || held_bytes_ + bytes > limits_.bytes) {
-    ++figures_of(ask.request.class_index).dropped;
-    ++causes_.no_room_here;
-    return Taken::kNoRoom;
+  if (owed_ >= limits_.max_open_requests || held_bytes_ + bytes > limits_.max_payload_bytes) {
+    ++figures_of(ask.request.class_index).rejected;
+    ++causes_.no_capacity;
+    return AcceptResult::kNoCapacity;
   }
   const RequestId id = ++last_request_;
-  Ms expires_at = now + std::max(ask.wait - limits_.margin, 0.0);
+  Ms expires_at = now + std::max(ask.timeout_ms - limits_.deadline_margin_ms, 0.0);
   if (stop_at_) expires_at = std::min(expires_at, *stop_at_);
   ask.request.id = id;
   ask.request.expires_at = expires_at;
   held_bytes_ += bytes;
   Asked& r = asked_[id];
   r.front = &front;
-  r.hosts = ask.hosts ? ask.hosts : all_hosts_.front();
+  r.hosts = ask.upstream ? ask.upstream : all_hosts_.front();
   r.ticket = ticket;
   r.payload = std::move(ask.payload);
   r.expires_at = expires_at;
@@ -126,23 +128,23 @@
   if (settings_ && r.class_index < settings_->classes.size()) r.terms = settings_->classes[r.class_index];
   open_identities_.insert(ask.identity);
   ++owed_;
-  trace(Transition::kTaken, r, id);
+  trace(RequestEvent::kAccepted, r, id);
   if (!mutant(Mutant::kForgetsDeadline)) timers_.push({expires_at, Timer::kExpiry, id});
   consult(id, [&] { module_.on_request(now, ask.request, *this); });
   after_module();
   const auto it = asked_.find(id);
   if (it != asked_.end() && !it->second.answered) name = id;
-  return Taken::kYes;
+  return AcceptResult::kAccepted;
 }
 
-void Engine::gone(Ms now, RequestId name) {
+void Engine::on_client_disconnected(Ms now, RequestId name) {
   now_ = now;
   const auto it = asked_.find(name);
   if (it == asked_.end() || it->second.answered || mutant(Mutant::kLosesGoneClient)) return;
-  trace(Transition::kGone, it->second, name);
-  settle(name, nullptr, [](FrontEnd&, Ticket) {});
+  trace(RequestEvent::kClientDisconnected, it->second, name);
+  settle(name, nullptr, [](DownstreamHandler&, ResponseHandle) {});
   if (it->second.passing) resume(it->second);  // the rest goes nowhere, and must not wait for anybody
-  consult(0, [&] { module_.on_gone(now, name, *this); });
+  consult(0, [&] { module_.on_client_disconnected(now, name, *this); });
   after_module();
 }
 
@@ -165,28 +167,28 @@
                      .place = at.place,
                      .started_at = at.started_at});
   ++r.out;
-  if (index > 0) ++attempt_figures_.repeats;
-  trace(Transition::kSent, r, request, &r.tries[index]);
+  if (index > 0) ++attempt_figures_.retries;
+  trace(RequestEvent::kSent, r, request, &r.tries[index]);
   if ((r.answered && !mutant(Mutant::kSendsAfterAnswer)) || left <= 0) {
     return end_try(request, index, Outcome::kNotSent, {});
   }
   if (index > 0 && client_left(r)) {
-    ++rule_figures_.first_bytes[static_cast<std::size_t>(SendVerdict::kClientLeft)];
+    ++rule_figures_.first_bytes[static_cast<std::size_t>(AttemptVerdict::kClientDisconnected)];
     return end_try(request, index, Outcome::kNotSent, {});
   }
-  if (const SendVerdict verdict = may_repeat(r, index); verdict != SendVerdict::kAllowed) {
+  if (const AttemptVerdict verdict = may_repeat(r, index); verdict != AttemptVerdict::kAllowed) {
     ++rule_figures_.decisions[static_cast<std::size_t>(verdict)];
     note_("the rules stopped an attempt that was decided on",
-          kSendVerdictNames[static_cast<std::size_t>(verdict)]);
+          kAttemptVerdictNames[static_cast<std::size_t>(verdict)]);
     return end_try(request, index, Outcome::kNotSent, {});
   }
   tries_.emplace(attempt, std::pair{request, index});
   const auto started = r.hosts->start(now_, attempt, host, *r.payload, left);
   if (started != StartResult::kStarted) {
-    const bool here = started == StartResult::kNoRoomHere;
+    const bool here = started == StartResult::kNoLocalCapacity;
     return end_try(request, index, here ? Outcome::kNotSent : Outcome::kConnectFailed, {});
   }
-  r.tries[index].waits = r.hosts->waits(attempt);
+  r.tries[index].waits = r.hosts->awaits_first_byte(attempt);
   if (now_ + left < r.expires_at) timers_.push({now_ + left, Timer::kExpiry, request});
 }
 
@@ -204,36 +206,38 @@
 }
 
 // Counts why a request is given up, if that is its answer.
-void Engine::give_up(RequestId request, Cause why) {
+void Engine::give_up(RequestId request, RejectionReason why) {
   const auto it = asked_.find(request);
-  if (it != asked_.end() && !it->second.answered) ++causes_.by_cause[static_cast<std::size_t>(why)];
+  if (it != asked_.end() && !it->second.answered) ++causes_.by_reason[static_cast<std::size_t>(why)];
 }
 
 // What other attempts of the request leave for this one. Those that wait count only where it does not wait
 // itself: an attempt that is decided on may not lean on another's never being written.
-SendVerdict Engine::may_repeat(const Asked& r, std::uint32_t attempt) const {
-  if (!r.terms) return SendVerdict::kAllowed;
+AttemptVerdict Engine::may_repeat(const Asked& r, std::uint32_t attempt) const {
+  if (!r.terms) return AttemptVerdict::kAllowed;
   const Try& own = r.tries[attempt];
   std::vector<Try> others;
   for (const auto& t : r.tries) {
     if (t.id != own.id && !(own.waits && t.waits)) others.push_back(t);
   }
-  if (others.empty()) return SendVerdict::kAllowed;
-  if (static_cast<double>(r.tries.size()) > settings_->max_attempts) return SendVerdict::kTooMany;
-  if (!may_have_copy(others, settings_->second_copies)) return SendVerdict::kStillOut;
-  const auto limits = repeat_limits(*r.terms, others, now_);
-  if (limits.verdict != SendVerdict::kAllowed) return limits.verdict;
-  return limits.allows(*r.terms, own.host, own.place) ? SendVerdict::kAllowed : SendVerdict::kOtherGroup;
+  if (others.empty()) return AttemptVerdict::kAllowed;
+  if (static_cast<double>(r.tries.size()) > settings_->max_attempts) return AttemptVerdict::kTooManyAttempts;
+  if (!may_hedge(others, settings_->hedging_allowed)) return AttemptVerdict::kAttemptInFlight;
+  const auto limits = retry_constraint(*r.terms, others, now_);
+  if (limits.verdict != AttemptVerdict::kAllowed) return limits.verdict;
+  return limits.allows(*r.terms, own.host, own.place) ? AttemptVerdict::kAllowed
+                                                      : AttemptVerdict::kOutOfScope;
 }
 
-SendVerdict Engine::may_begin(const Asked& r, std::uint32_t attempt) const {
+AttemptVerdict Engine::may_begin(const Asked& r, std::uint32_t attempt) const {
   const Try& own = r.tries[attempt];
-  if (r.answered && !sends_after_answer()) return SendVerdict::kAnswered;
-  if (client_left(r)) return SendVerdict::kClientLeft;
-  if (now_ >= own.until) return SendVerdict::kTimeUp;
+  if (r.answered && !sends_after_answer()) return AttemptVerdict::kAnswered;
+  if (client_left(r)) return AttemptVerdict::kClientDisconnected;
+  if (now_ >= own.until) return AttemptVerdict::kDeadlineExceeded;
   const auto host = listed_.find(own.host);
-  if (host == listed_.end() && !sends_to_drained()) return SendVerdict::kNotListed;
-  if (host != listed_.end() && host->second.started_at != own.started_at) return SendVerdict::kOtherProcess;
+  if (host == listed_.end() && !sends_to_drained()) return AttemptVerdict::kNotListed;
+  if (host != listed_.end() && host->second.started_at != own.started_at)
+    return AttemptVerdict::kHostRestarted;
   return may_repeat(r, attempt);
 }
 
@@ -245,47 +249,49 @@
   Asked& r = asked_.at(request);
   Try& own = r.tries[index];
   // For drains a send counts from its first byte; for effects it counts when its last one has come.
-  const SendVerdict verdict = begun ? may_repeat(r, index) : may_begin(r, index);
-  if (verdict != SendVerdict::kAllowed) {
+  const AttemptVerdict verdict = begun ? may_repeat(r, index) : may_begin(r, index);
+  if (verdict != AttemptVerdict::kAllowed) {
     ++rule_figures_.first_bytes[static_cast<std::size_t>(verdict)];
-    trace(Transition::kFirstByte, r, request, &own, verdict);
+    trace(RequestEvent::kFirstByte, r, request, &own, verdict);
     return {};
   }
   own.waits = false;
-  if (!begun) trace(Transition::kFirstByte, r, request, &own);
+  if (!begun) trace(RequestEvent::kFirstByte, r, request, &own);
   return own.until - now;
 }
 
-void Engine::refuse(RequestId request, Ms retry_after, Cause why) {
+void Engine::reject(RequestId request, Ms retry_after, RejectionReason why) {
   if (passing(request)) return;
   const auto it = asked_.find(request);
   if (it != asked_.end() && it->second.terms && !it->second.answered &&
-      !may_refuse(*it->second.terms, it->second.tries)) {
-    ++rule_figures_.refusals;
+      !may_reject(*it->second.terms, it->second.tries)) {
+    ++rule_figures_.rejections;
     note_("the rules stopped a refusal", "an attempt may have run");
     return fail(request, why);
   }
   give_up(request, why);
   giving_up_ = why;
-  settle(request, &ClassFigures::dropped,
-         [&](FrontEnd& front, Ticket ticket) { front.refused(now_, ticket, retry_after); });
+  settle(request, &ClassMetrics::rejected, [&](DownstreamHandler& front, ResponseHandle ticket) {
+    front.on_rejected(now_, ticket, retry_after);
+  });
   giving_up_.reset();
 }
 
-void Engine::fail(RequestId request, Cause why) {
+void Engine::fail(RequestId request, RejectionReason why) {
   if (passing(request)) return;
   give_up(request, why);
   giving_up_ = why;
-  settle(request, &ClassFigures::failed,
-         [&](FrontEnd& front, Ticket ticket) { front.failed(now_, ticket, Failure::kGivenUp); });
+  settle(request, &ClassMetrics::failed, [&](DownstreamHandler& front, ResponseHandle ticket) {
+    front.on_failed(now_, ticket, FailureReason::kPolicy);
+  });
   giving_up_.reset();
 }
 
-void Engine::wake(Ms after, std::uint64_t token) {
+void Engine::schedule_timer(Ms after, std::uint64_t token) {
   timers_.push({now_ + (std::isfinite(after) ? std::max(after, 0.0) : 0.0), Timer::kModule, token});
 }
 
-void Engine::note(std::string_view text) { note_("note", text); }
+void Engine::log(std::string_view text) { note_("note", text); }
 
 // ---- ends ----
 
@@ -299,14 +305,14 @@
   if (passing(request)) {
     if (asked_.at(request).passing == index) end_value(request, outcome);
   } else if (outcome == Outcome::kOk) {
-    settle(request, &ClassFigures::passed,
-           [&](FrontEnd& front, Ticket ticket) { front.served(now, ticket, value); });
+    settle(request, &ClassMetrics::served,
+           [&](DownstreamHandler& front, ResponseHandle ticket) { front.on_served(now, ticket, value); });
   }
   end_try(request, index, outcome, load);
   after_module();
 }
 
-void Engine::on_value_begun(Ms now, AttemptId attempt, std::size_t size) {
+void Engine::on_value_started(Ms now, AttemptId attempt, std::size_t size) {
   now_ = now;
   const auto it = tries_.find(attempt);
   if (it == tries_.end()) return;
@@ -317,12 +323,12 @@
   Asked& r = asked->second;
   if (r.answered || r.passing) return;  // its pieces go nowhere
   r.passing = index;
-  r.front->value_begun(now, r.ticket, size);
-  consult(request, [&] { module_.on_stream_begun(now, request, index, *this); });
+  r.front->on_value_started(now, r.ticket, size);
+  consult(request, [&] { module_.on_stream_started(now, request, index, *this); });
   after_module();
 }
 
-bool Engine::on_value_piece(Ms now, AttemptId attempt, std::string_view bytes) {
+bool Engine::on_value_chunk(Ms now, AttemptId attempt, std::string_view bytes) {
   now_ = now;
   const auto it = tries_.find(attempt);
   if (it == tries_.end()) return true;
@@ -330,10 +336,10 @@
   if (asked == asked_.end()) return true;
   Asked& r = asked->second;
   if (r.answered || r.passing != it->second.second) return true;
-  return r.front->value_piece(now, r.ticket, bytes);
+  return r.front->on_value_chunk(now, r.ticket, bytes);
 }
 
-void Engine::on_room(Ms now, RequestId name) {
+void Engine::on_client_writable(Ms now, RequestId name) {
   now_ = now;
   const auto it = asked_.find(name);
   if (it != asked_.end() && it->second.passing) resume(it->second);
@@ -346,26 +352,27 @@
 
 void Engine::end_value(RequestId request, Outcome outcome) {
   if (outcome == Outcome::kOk) {
-    settle(request, &ClassFigures::passed,
-           [&](FrontEnd& front, Ticket ticket) { front.value_ended(now_, ticket); });
+    settle(request, &ClassMetrics::served,
+           [&](DownstreamHandler& front, ResponseHandle ticket) { front.on_value_finished(now_, ticket); });
   } else {
-    settle(request, &ClassFigures::failed,
-           [&](FrontEnd& front, Ticket ticket) { front.failed(now_, ticket, Failure::kGivenUp); });
+    settle(request, &ClassMetrics::failed, [&](DownstreamHandler& front, ResponseHandle ticket) {
+      front.on_failed(now_, ticket, FailureReason::kPolicy);
+    });
   }
 }
 
-void Engine::on_last_end(Ms now, AttemptId attempt, Outcome outcome, const LoadReport& load) {
+void Engine::on_final_attempt_end(Ms now, AttemptId attempt, Outcome outcome, const LoadReport& load) {
   now_ = now;
   const auto it = tries_.find(attempt);
   if (it == tries_.end()) return;
   const auto [request, index] = it->second;
-  settle(request, outcome == Outcome::kOk ? &ClassFigures::passed : &ClassFigures::failed,
-         [](FrontEnd&, Ticket) {});
+  settle(request, outcome == Outcome::kOk ? &ClassMetrics::served : &ClassMetrics::failed,
+         [](DownstreamHandler&, ResponseHandle) {});
   end_try(request, index, outcome, load);
   after_module();
 }
 
-ClassFigures& Engine::figures_of(std::uint32_t class_index) {
+ClassMetrics& Engine::figures_of(std::uint32_t class_index) {
   if (class_index >= figures_.size()) figures_.resize(class_index + 1);
   return figures_[class_index];
 }
@@ -375,8 +382,8 @@
   if (it == tries_.end()) return;
   const auto asked = asked_.find(it->second.first);
   if (asked == asked_.end()) return;
-  ++figures_of(asked->second.class_index).tries;
-  trace(Transition::kWritten, asked->second, it->second.first, &asked->second.tries[it->second.second]);
+  ++figures_of(asked->second.class_index).attempts;
+  trace(RequestEvent::kWritten, asked->second, it->second.first, &asked->second.tries[it->second.second]);
 }
 
 // The one place where an attempt ends. The module is told from the queue: most calls come from inside it.
@@ -386,10 +393,10 @@
   Asked& r = it->second;
   Try& t = r.tries[attempt];
   t.out = false;
-  t.may_have_run = may_have_run(outcome);
+  t.may_have_run = may_have_executed(outcome);
   t.outcome = outcome;
-  trace(Transition::kEnded, r, id, &t);
-  ++attempt_figures_.ends[static_cast<std::size_t>(outcome)];
+  trace(RequestEvent::kEnded, r, id, &t);
+  ++attempt_figures_.by_outcome[static_cast<std::size_t>(outcome)];
   --r.out;
   if (!mutant(Mutant::kServesLateAnswer)) tries_.erase(t.id);
   ++r.untold;
@@ -414,9 +421,9 @@
   settled_.push_back(id);
   if (counter) {
     ++(figures_of(it->second.class_index).*counter);
-    trace(counter == &ClassFigures::passed    ? Transition::kServed
-          : counter == &ClassFigures::dropped ? Transition::kRefused
-                                              : Transition::kFailed,
+    trace(counter == &ClassMetrics::served     ? RequestEvent::kServed
+          : counter == &ClassMetrics::rejected ? RequestEvent::kRejected
+                                               : RequestEvent::kFailed,
           it->second, id);
   }
   answer(*it->second.front, it->second.ticket);
@@ -454,8 +461,8 @@
     Asked& r = it->second;
     --r.untold;
     const Try& t = r.tries[end.attempt];
-    const AttemptEnd told{end.request,   end.attempt, t.host, end.outcome,
-                          now_ - t.sent, r.answered,  {},     end.load};
+    const AttemptResult told{end.request,   end.attempt, t.host, end.outcome,
+                             now_ - t.sent, r.answered,  {},     end.load};
     consult(end.request, [&] { module_.on_attempt_end(now_, told, *this); });
     forget_if_done(end.request);
   }
@@ -482,9 +489,10 @@
     --owed_;
     return forget_if_done(id);
   }
-  settle(id, &ClassFigures::failed,
-         [&](FrontEnd& front, Ticket ticket) { front.failed(now_, ticket, Failure::kInternal); });
-  consult(0, [&] { module_.on_gone(now_, id, *this); });
+  settle(id, &ClassMetrics::failed, [&](DownstreamHandler& front, ResponseHandle ticket) {
+    front.on_failed(now_, ticket, FailureReason::kInternal);
+  });
+  consult(0, [&] { module_.on_client_disconnected(now_, id, *this); });
 }
 
 void Engine::forget_if_done(RequestId id) {
@@ -511,11 +519,12 @@
   const auto left = asked_.find(id);
   if (left == asked_.end() || left->second.passing || now_ < left->second.expires_at) return;
   if (!left->second.answered) note_("settled at its deadline, not by the module", "");
-  settle(id, &ClassFigures::failed,
-         [&](FrontEnd& front, Ticket ticket) { front.failed(now_, ticket, Failure::kTimedOut); });
+  settle(id, &ClassMetrics::failed, [&](DownstreamHandler& front, ResponseHandle ticket) {
+    front.on_failed(now_, ticket, FailureReason::kTimedOut);
+  });
 }
 
-void Engine::run_due(Ms now) {
+void Engine::run_timers(Ms now) {
   now_ = now;
   while (!timers_.empty() && timers_.top().at <= now) {
     const Timer t = timers_.top();
@@ -544,7 +553,7 @@
   timers_ = decltype(timers_)(std::greater<>(), std::move(alive));
 }
 
-std::optional<Ms> Engine::next_due() {
+std::optional<Ms> Engine::next_timer() {
   drop_dead_timers();
   if (timers_.empty()) return {};
   return timers_.top().at;
@@ -552,11 +561,11 @@
 
 // ---- the stop ----
 
-void Engine::stop(Ms now) {
-  if (!stop_at_) stop_at_ = now + limits_.settle_within;
+void Engine::begin_shutdown(Ms now) {
+  if (!stop_at_) stop_at_ = now + limits_.shutdown_timeout_ms;
 }
 
-void Engine::settle_all(Ms now) {
+void Engine::fail_all(Ms now) {
   now_ = now;
   if (mutant(Mutant::kStopsWithoutSettling)) return;
   std::vector<RequestId> ids;
@@ -565,9 +574,10 @@
   }
   std::sort(ids.begin(), ids.end());
   for (const auto id : ids) {
-    settle(id, &ClassFigures::failed,
-           [&](FrontEnd& front, Ticket ticket) { front.failed(now, ticket, Failure::kStopping); });
-    consult(0, [&] { module_.on_gone(now, id, *this); });
+    settle(id, &ClassMetrics::failed, [&](DownstreamHandler& front, ResponseHandle ticket) {
+      front.on_failed(now, ticket, FailureReason::kShuttingDown);
+    });
+    consult(0, [&] { module_.on_client_disconnected(now, id, *this); });
   }
   after_module();
 }
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -5,8 +5,8 @@
 //   - each request taken gets one final answer at its front end, or none if its client has gone first;
 //   - no attempt is begun, and none that waits is written, once that answer is out;
 //   - each attempt ends once, and the module hears of each end once;
-//   - a request is answered at its deadline at the latest, if `run_due` is called by `next_due`;
-//   - a host that drains or is gone gets nothing new, from the moment `on_list` returns;
+//   - a request is answered at its deadline at the latest, if `run_timers` is called by `next_due`;
+//   - a host that drains or is gone gets nothing new, from the moment `on_host_list` returns;
 //   - memory is bounded by `Limits` and the attempts that the module asks for.
 // It decides neither which host, nor whether to retry, nor what to refuse, but for want of room here.
 //
@@ -38,9 +38,9 @@
 using AttemptId = std::uint64_t;
 
 // A front end's own words for where an answer goes; handed back as they came.
-struct Ticket {
+struct ResponseHandle {
   std::uint64_t connection = 0;
-  std::uint64_t place = 0;
+  std::uint64_t sequence = 0;
 };
 
 // What a front end and the hosts' side know of a request and the engine does not. Kept until the request's
@@ -52,48 +52,50 @@
 };
 
 // Why a request that was taken has failed.
-enum class Failure : std::uint8_t {
-  kGivenUp,   // the module's decision
-  kTimedOut,  // its time was up
-  kStopping,  // the gateway ends before it could be answered
-  kInternal,  // the module threw and nothing is out that could still answer
+enum class FailureReason : std::uint8_t {
+  kPolicy,        // the module's decision
+  kTimedOut,      // its time was up
+  kShuttingDown,  // the gateway ends before it could be answered
+  kInternal,      // the module threw and nothing is out that could still answer
 };
 
 // A front end: takes requests in and gives answers out. Exactly one of the three for each request taken whose
-// client is still there, possibly before `Engine::take` returns. It must not call the engine from here.
-class FrontEnd {
+// client is still there, possibly before `Engine::accept` returns. It must not call the engine from here.
+class DownstreamHandler {
  public:
-  virtual ~FrontEnd() = default;
-  // `value` lasts until the call returns.
-  virtual void served(Ms now, Ticket ticket, std::string_view value) = 0;
-  // Nothing has run that a repeat could double. `retry_after`: milliseconds until a repeat may help; 0: not
-  // known.
-  virtual void refused(Ms now, Ticket ticket, Ms retry_after) = 0;
-  virtual void failed(Ms now, Ticket ticket, Failure why) = 0;
-  // A long value comes in pieces instead of `served`: begun, its pieces, ended. `failed` in their place says
-  // that the rest does not come, and the client must be able to tell. False from `value_piece`: it is taken,
-  // and no more is wanted until `Engine::on_room`.
-  virtual void value_begun(Ms, Ticket, std::size_t) {}
-  virtual bool value_piece(Ms, Ticket, std::string_view) { return true; }
-  virtual void value_ended(Ms, Ticket) {}
-  // Whether this request's client has ended its connection, though `Engine::gone` has not been called yet: a
-  // process that was held up finds a client's end behind other news. Asked before an attempt begins.
-  virtual bool client_left(Ticket) { return false; }
+  virtual ~DownstreamHandler() = default;
+  // `max_value_bytes` lasts until the call returns.
+  virtual void on_served(Ms now, ResponseHandle ticket, std::string_view value) = 0;
+  // Nothing has run that a repeat could double. `retry_after_allowed`: milliseconds until a repeat may help;
+  // 0: not known.
+  virtual void on_rejected(Ms now, ResponseHandle ticket, Ms retry_after) = 0;
+  virtual void on_failed(Ms now, ResponseHandle ticket, FailureReason why) = 0;
+  // A long value comes in pieces instead of `on_served`: begun, its pieces, ended. `on_failed` in their place
+  // says that the rest does not come, and the client must be able to tell. False from `on_value_chunk`: it is
+  // taken, and no more is wanted until `Engine::on_client_writable`.
+  virtual void on_value_started(Ms, ResponseHandle, std::size_t) {}
+  virtual bool on_value_chunk(Ms, ResponseHandle, std::string_view) { return true; }
+  virtual void on_value_finished(Ms, ResponseHandle) {}
+  // Whether this request's client has ended its connection, though `Engine::on_client_disconnected` has not
+  // been called yet: a process that was held up finds a client's end behind other news. Asked before an
+  // attempt begins.
+  virtual bool client_disconnected(ResponseHandle) { return false; }
 };
 
 // Danger: what is short here must not be blamed on the host, which was asked for nothing.
 enum class StartResult : std::uint8_t {
   kStarted,
-  kNoHost,      // unknown, draining or gone
-  kNoRoomHere,  // out of connections or descriptors
+  kHostUnavailable,  // unknown, draining or gone
+  kNoLocalCapacity,  // out of connections or descriptors
 };
 
 // The way to the hosts.
-class HostSide {
+class UpstreamTransport {
  public:
-  virtual ~HostSide() = default;
-  // `left`: milliseconds that the attempt may take. Once started, exactly one `Engine::on_attempt_end` comes,
-  // never from inside this call, unless the attempt is abandoned or withdrawn first.
+  virtual ~UpstreamTransport() = default;
+  // `remaining_ms`: milliseconds that the attempt may take. Once started, exactly one
+  // `Engine::on_attempt_end` comes, never from inside this call, unless the attempt is abandoned or withdrawn
+  // first.
   virtual StartResult start(Ms now, AttemptId attempt, HostId host, const Payload& payload, Ms left) = 0;
   // Nobody waits for this attempt any more; it may have run. No end comes for it. False: whether the host is
   // to blame for the silence is not known here.
@@ -101,150 +103,163 @@
   // Abandons it if its last byte is not written yet, so that it never runs. False: it may run or has run.
   virtual bool withdraw(Ms now, AttemptId attempt) = 0;
   // Nothing new for this host. What waits for a connection to it ends; ends may be reported from inside.
-  virtual void retire(Ms now, HostId host) = 0;
+  virtual void retire_host(Ms now, HostId host) = 0;
   // Of an attempt that is started: whether its first byte is still to be written. `Engine::may_write` must be
   // asked before it is.
-  virtual bool waits(AttemptId) const { return false; }
-  // `Engine::on_value_piece` has said no for this attempt, and now there is room.
+  virtual bool awaits_first_byte(AttemptId) const { return false; }
+  // `Engine::on_value_chunk` has said no for this attempt, and now there is room.
   virtual void resume(Ms, AttemptId) {}
 };
 
-struct Limits {
-  std::size_t open = 10'000;             // requests without their final answer
-  std::size_t bytes = 24 * 1024 * 1024;  // of payloads held
-  Ms margin = 20;                        // of a client's time, for the way here and back
-  Ms settle_within = 3450;               // after `stop`, all that was taken is answered
+struct EngineLimits {
+  std::size_t max_open_requests = 10'000;            // requests without their final answer
+  std::size_t max_payload_bytes = 24 * 1024 * 1024;  // of payloads held
+  Ms deadline_margin_ms = 20;                        // of a client's time, for the way here and back
+  Ms shutdown_timeout_ms = 3450;                     // after `begin_shutdown`, all that was taken is answered
 };
 
 // A request as a front end has read it. `request.id` and `request.expires_at` are set by the engine.
-struct Ask {
+struct IncomingRequest {
   Request request;
-  Ms wait = 0;                 // what its client waits in all, from now
+  Ms timeout_ms = 0;           // what its client waits in all, from now
   std::uint64_t identity = 0;  // as the hosts know it; two open requests never share one
   std::unique_ptr<Payload> payload;
-  HostSide* hosts = nullptr;  // that carries out its attempts; null: the one the engine was made with
+  UpstreamTransport* upstream =
+      nullptr;  // that carries out its attempts; null: the one the engine was made with
 };
 
-enum class Taken : std::uint8_t {
-  kYes,         // an answer follows or has been given
-  kSameId,      // another open request has this identity: nothing done
-  kNoRoom,      // Limits: nothing done
-  kClientLeft,  // its client is not there any more: nothing done, and no answer is owed
+enum class AcceptResult : std::uint8_t {
+  kAccepted,            // an answer follows or has been given
+  kDuplicateIdentity,   // another open request has this identity: nothing done
+  kNoCapacity,          // Limits: nothing done
+  kClientDisconnected,  // its client is not there any more: nothing done, and no answer is owed
 };
 
 // Requests refused or given up since the start, by the module's reasons; those that found no room here.
-struct CauseFigures {
-  std::array<std::uint64_t, kCauses> by_cause{};
-  std::uint64_t no_room_here = 0;
+struct RejectionMetrics {
+  std::array<std::uint64_t, kRejectionReasonCount> by_reason{};
+  std::uint64_t no_capacity = 0;
 };
 
 // What the rules had to stop, by verdict. A decision that they stopped is a fault of the module's; a first
 // byte is a crossing, which went back to the module as never sent, and so is a client that has just left.
-struct RuleFigures {
-  std::array<std::uint64_t, kSendVerdicts> decisions{}, first_bytes{};
-  std::uint64_t refusals = 0;  // turned into failures, as an attempt may have run
+struct RuleMetrics {
+  std::array<std::uint64_t, kAttemptVerdictCount> decisions{}, first_bytes{};
+  std::uint64_t rejections = 0;  // turned into failures, as an attempt may have run
 };
 
 // How attempts ended, by outcome, and those that were not a request's first.
-struct AttemptFigures {
-  std::array<std::uint64_t, kOutcomes> ends{};
-  std::uint64_t repeats = 0;
+struct AttemptMetrics {
+  std::array<std::uint64_t, kOutcomeCount> by_outcome{};
+  std::uint64_t retries = 0;
 };
 
 // Counts since the start, of one class.
-struct ClassFigures {
-  std::uint64_t passed = 0;   // served
-  std::uint64_t dropped = 0;  // refused
+struct ClassMetrics {
+  std::uint64_t served = 0;    // served
+  std::uint64_t rejected = 0;  // refused
   std::uint64_t failed = 0;
-  std::uint64_t tries = 0;  // attempts written whole to hosts
+  std::uint64_t attempts = 0;  // attempts written whole to hosts
 };
 
 // A step of one request, for a log of them.
-struct Transition {
-  enum What : std::uint8_t { kTaken, kSent, kFirstByte, kWritten, kEnded, kServed, kRefused, kFailed, kGone };
-  What what = kTaken;
+struct RequestEvent {
+  enum Kind : std::uint8_t {
+    kAccepted,
+    kSent,
+    kFirstByte,
+    kWritten,
+    kEnded,
+    kServed,
+    kRejected,
+    kFailed,
+    kClientDisconnected
+  };
+  Kind kind = kAccepted;
   Ms at = 0;
   RequestId request = 0;
-  std::uint64_t identity = 0;       // as clients and hosts know it
-  Ticket ticket = {};               // kTaken
-  Ms left = 0;                      // kTaken, kSent, kFirstByte: milliseconds until the time is up
-  AttemptId attempt = 0;            // kSent to kEnded
-  HostId host = 0;                  // ... and where it goes
-  Outcome outcome = Outcome::kOk;   // kEnded
-  std::optional<Cause> cause = {};  // kRefused, kFailed by the module
-  SendVerdict stopped = SendVerdict::kAllowed;  // kEnded before its first byte, by the rules
+  std::uint64_t identity = 0;                  // as clients and hosts know it
+  ResponseHandle ticket = {};                  // kTaken
+  Ms remaining_ms = 0;                         // kTaken, kSent, kFirstByte: milliseconds until the time is up
+  AttemptId attempt = 0;                       // kSent to kEnded
+  HostId host = 0;                             // ... and where it goes
+  Outcome outcome = Outcome::kOk;              // kEnded
+  std::optional<RejectionReason> reason = {};  // kRefused, kFailed by the module
+  AttemptVerdict verdict = AttemptVerdict::kAllowed;  // kEnded before its first byte, by the rules
 };
 
-class Engine : private Actions {
+class Engine : private ActionSink {
  public:
-  using Trace = std::function<void(const Transition&)>;
+  using Trace = std::function<void(const RequestEvent&)>;
   using Note = std::function<void(std::string_view what, std::string_view detail)>;
 
-  Engine(Module& module, HostSide& hosts, const Limits& limits, Note note);
+  Engine(AdmissionPolicy& module, UpstreamTransport& hosts, const EngineLimits& limits, Note note);
 
   // One more way to the hosts, for requests that name it. It must outlast the engine.
-  void add_hosts(HostSide& hosts) { all_hosts_.push_back(&hosts); }
+  void add_upstream(UpstreamTransport& hosts) { all_hosts_.push_back(&hosts); }
   void start(Ms now);
   // The list's news. Hosts that became ready must be known to the hosts' side before; those that did not stay
   // ready are retired here.
-  void on_list(Ms now, ListKind kind, std::span<const HostEntry> entries);
+  void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries);
 
-  // `name` is set with kYes: what to name in `gone`; 0 if the request is done with already.
-  Taken take(Ms now, FrontEnd& front, Ticket ticket, Ask ask, RequestId& name);
+  // `request_id` is set with kYes: what to name in `gone`; 0 if the request is done with already.
+  AcceptResult accept(Ms now, DownstreamHandler& front, ResponseHandle ticket, IncomingRequest ask,
+                      RequestId& name);
   // The client has gone and no answer is owed any more. Unknown and finished names are allowed.
-  void gone(Ms now, RequestId name);
+  void on_client_disconnected(Ms now, RequestId name);
 
-  // The one end of an attempt that was started. `value` with kOk only.
+  // The one end of an attempt that was started. `max_value_bytes` with kOk only.
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                       const LoadReport& load);
 
   // A long value of an attempt: it begins, its pieces; its end is `on_attempt_end`. From its beginning on the
   // request has its answer in all but the rest: no other attempt is made or heard, its time is no bound any
   // more (whoever carries the bytes must end what stands still), and no refusal can follow. False: not now,
-  // `HostSide::resume` tells.
-  void on_value_begun(Ms now, AttemptId attempt, std::size_t size);
-  bool on_value_piece(Ms now, AttemptId attempt, std::string_view bytes);
+  // `UpstreamTransport::resume` tells.
+  void on_value_started(Ms now, AttemptId attempt, std::size_t size);
+  bool on_value_chunk(Ms now, AttemptId attempt, std::string_view bytes);
   // The client has room again for the value of this request.
-  void on_room(Ms now, RequestId name);
+  void on_client_writable(Ms now, RequestId name);
 
   // The same where the client has its answer already, whatever the outcome: nothing is answered here any
   // more, and no further attempt is made.
-  void on_last_end(Ms now, AttemptId attempt, Outcome outcome, const LoadReport& load);
+  void on_final_attempt_end(Ms now, AttemptId attempt, Outcome outcome, const LoadReport& load);
 
-  // When `run_due` has something to do; nothing if never. May change with every call.
-  std::optional<Ms> next_due();
-  void run_due(Ms now);
+  // When `run_timers` has something to do; nothing if never. May change with every call.
+  std::optional<Ms> next_timer();
+  void run_timers(Ms now);
 
-  // A planned stop: what is taken from now on is answered within `Limits::settle_within`.
-  void stop(Ms now);
-  std::optional<Ms> settle_at() const { return stop_at_; }
+  // A planned stop: what is taken from now on is answered within `Limits::shutdown_timeout_ms`.
+  void begin_shutdown(Ms now);
+  std::optional<Ms> shutdown_deadline() const { return stop_at_; }
   // Answers all that is open as failed. A failure promises nothing, so it is lawful for every class and
   // whatever has run.
-  void settle_all(Ms now);
+  void fail_all(Ms now);
 
-  // The last byte of an attempt is written. Only counts, so it may come from inside `HostSide::start`.
+  // The last byte of an attempt is written. Only counts, so it may come from inside
+  // `UpstreamTransport::start`.
   void on_written(AttemptId attempt);
   // Whether bytes of an attempt that waited may be written now: its first one, or with `begun` the rest. What
   // the attempt may still take, in milliseconds, or nothing: then the host's side must end it as kNotSent.
   // Asks the module nothing.
   std::optional<Ms> may_write(Ms now, AttemptId attempt, bool begun);
   // By class number; a class that never had a request may be missing.
-  const std::vector<ClassFigures>& figures() const { return figures_; }
-  const CauseFigures& causes() const { return causes_; }
-  const RuleFigures& rules() const { return rule_figures_; }
-  const AttemptFigures& attempts() const { return attempt_figures_; }
+  const std::vector<ClassMetrics>& class_metrics() const { return figures_; }
+  const RejectionMetrics& rejection_metrics() const { return causes_; }
+  const RuleMetrics& rule_metrics() const { return rule_figures_; }
+  const AttemptMetrics& attempt_metrics() const { return attempt_figures_; }
   // The classes' terms and the site's bounds that attempts and refusals are held to, for requests that come
   // from now on. Without them only time, answers and the list of hosts bind.
-  void set_rules(const Settings& settings) { settings_ = settings; }
+  void set_rules(const AdmissionSettings& settings) { settings_ = settings; }
   // Told of each step of each request, from inside the engine's calls: it must not call back.
   void set_trace(Trace trace) { trace_ = std::move(trace); }
   // New bounds, for what is taken from now on.
-  void set_limits(const Limits& limits) { limits_ = limits; }
+  void set_limits(const EngineLimits& limits) { limits_ = limits; }
 
-  std::size_t owed() const { return owed_; }          // requests without their final answer
-  std::size_t held() const { return asked_.size(); }  // and those with attempts still out
-  std::size_t held_bytes() const { return held_bytes_; }
-  std::size_t timers() const { return timers_.size(); }
+  std::size_t unanswered_count() const { return owed_; }    // requests without their final answer
+  std::size_t open_count() const { return asked_.size(); }  // and those with attempts still out
+  std::size_t payload_bytes() const { return held_bytes_; }
+  std::size_t timer_count() const { return timers_.size(); }
   void digest(Digest& into) const;
 
  private:
@@ -254,20 +269,20 @@
     Ms sent = 0;
     Ms until = 0;
     bool out = true;
-    HostPlace place = {};  // of the host at the decision
-    Ms started_at = 0;     // of the host's process that it was decided on
+    HostLocation place = {};  // of the host at the decision
+    Ms started_at = 0;        // of the host's process that it was decided on
     bool may_have_run = true;
     bool waits = false;              // no byte of it is written yet
     Outcome outcome = Outcome::kOk;  // once it is not out any more
   };
   struct Listed {
     Ms started_at = 0;
-    HostPlace place;
+    HostLocation place;
   };
   struct Asked {
-    FrontEnd* front = nullptr;
-    HostSide* hosts = nullptr;
-    Ticket ticket;
+    DownstreamHandler* front = nullptr;
+    UpstreamTransport* hosts = nullptr;
+    ResponseHandle ticket;
     std::unique_ptr<Payload> payload;
     Ms expires_at = 0;
     std::uint64_t identity = 0;
@@ -295,26 +310,26 @@
   // Actions
   void send(RequestId request, HostId host, Ms give_up_after) override;
   void cancel(RequestId request, std::uint32_t attempt) override;
-  void refuse(RequestId request, Ms retry_after, Cause why) override;
-  void fail(RequestId request, Cause why) override;
-  void wake(Ms after, std::uint64_t token) override;
-  void probe(HostId) override {}  // ruled out: the settings never allow it
-  void follow_list() override {}  // the list is always followed, and comes back by itself
-  void fetch_list() override {}
-  void note(std::string_view text) override;
+  void reject(RequestId request, Ms retry_after, RejectionReason why) override;
+  void fail(RequestId request, RejectionReason why) override;
+  void schedule_timer(Ms after, std::uint64_t token) override;
+  void send_health_check(HostId) override {}  // ruled out: the settings never allow it
+  void watch_hosts() override {}              // the list is always followed, and comes back by itself
+  void poll_hosts() override {}
+  void log(std::string_view text) override;
 
   template <class Call>
   void consult(RequestId about, Call&& call);
-  using Counter = std::uint64_t ClassFigures::*;
+  using Counter = std::uint64_t ClassMetrics::*;
   // `counter`: what this answer counts as, or null for none.
   template <class Answer>
   void settle(RequestId id, Counter counter, Answer&& answer);
-  ClassFigures& figures_of(std::uint32_t class_index);
-  void give_up(RequestId request, Cause why);
-  void learn_hosts(ListKind kind, std::span<const HostEntry> entries);
-  SendVerdict may_repeat(const Asked& r, std::uint32_t attempt) const;
-  SendVerdict may_begin(const Asked& r, std::uint32_t attempt) const;
-  bool client_left(const Asked& r) const { return !r.answered && r.front->client_left(r.ticket); }
+  ClassMetrics& figures_of(std::uint32_t class_index);
+  void give_up(RequestId request, RejectionReason why);
+  void learn_hosts(HostListUpdate kind, std::span<const HostEntry> entries);
+  AttemptVerdict may_repeat(const Asked& r, std::uint32_t attempt) const;
+  AttemptVerdict may_begin(const Asked& r, std::uint32_t attempt) const;
+  bool client_left(const Asked& r) const { return !r.answered && r.front->client_disconnected(r.ticket); }
   void end_try(RequestId id, std::uint32_t attempt, Outcome outcome, const LoadReport& load);
   void after_module();
   void tell_ends();
@@ -327,9 +342,9 @@
   void forget_if_done(RequestId id);
   void drop_dead_timers();
 
-  Module& module_;
-  std::vector<HostSide*> all_hosts_;  // the first is the one that is used if none is named
-  Limits limits_;
+  AdmissionPolicy& module_;
+  std::vector<UpstreamTransport*> all_hosts_;  // the first is the one that is used if none is named
+  EngineLimits limits_;
   Note note_;
   Ms now_ = 0;  // of the call that is being served
 
@@ -345,17 +360,17 @@
   AttemptId last_attempt_ = 0;
   std::size_t held_bytes_ = 0;
   std::size_t owed_ = 0;
-  void trace(Transition::What what, const Asked& r, RequestId id, const Try* attempt = nullptr,
-             SendVerdict stopped = SendVerdict::kAllowed) const;
+  void trace(RequestEvent::Kind what, const Asked& r, RequestId id, const Try* attempt = nullptr,
+             AttemptVerdict stopped = AttemptVerdict::kAllowed) const;
 
   Trace trace_;
-  std::optional<Cause> giving_up_;  // why, while the answer is settled
-  std::optional<Settings> settings_;
+  std::optional<RejectionReason> giving_up_;  // why, while the answer is settled
+  std::optional<AdmissionSettings> settings_;
   std::unordered_map<HostId, Listed> listed_;  // hosts that take new requests
-  CauseFigures causes_;
-  RuleFigures rule_figures_;
-  AttemptFigures attempt_figures_;
-  std::vector<ClassFigures> figures_;  // bounded by the classes that the front ends know
+  RejectionMetrics causes_;
+  RuleMetrics rule_figures_;
+  AttemptMetrics attempt_figures_;
+  std::vector<ClassMetrics> figures_;  // bounded by the classes that the front ends know
   std::priority_queue<Timer, std::vector<Timer>, std::greater<>> timers_;
   std::optional<Ms> stop_at_;
 };
--- a/src/explore/chooser.h
+++ b/src/explore/chooser.h
@@ -23,7 +23,7 @@
   // Options past the 250th are out of reach.
   //
   // Danger: choices are made inside calls whose exceptions the engine must bear, so what is wrong with a
-  // choice is kept in `fault`, not thrown.
+  // choice is kept in `error`, not thrown.
   template <class LabelOf>
   std::size_t choose(std::size_t count, LabelOf&& label_of) {
     if (count > 250) fault_ = "too many options at one choice";
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -62,7 +62,7 @@
 
 struct Found {
   Path path;
-  rules::Breach breach;
+  rules::Violation breach;
 };
 
 // What one thread adds up in one layer.
@@ -178,9 +178,9 @@
   return result;
 }
 
-std::optional<rules::Breach> replay(const Scenario& scenario, engine::Mutant mutant,
-                                    const std::vector<std::string>& trace,
-                                    const std::function<void(const std::string&)>& say, Fit fit) {
+std::optional<rules::Violation> replay(const Scenario& scenario, engine::Mutant mutant,
+                                       const std::vector<std::string>& trace,
+                                       const std::function<void(const std::string&)>& say, Fit fit) {
   set_mutant(mutant);
   Chooser chooser(trace);
   if (say) chooser.on_choice = say;
--- a/src/explore/explorer.h
+++ b/src/explore/explorer.h
@@ -26,7 +26,7 @@
   std::uint32_t sights = 0;     // see world.h: what some run has been through
   bool complete = true;         // false: `most_states` was reached
   double seconds = 0;
-  std::optional<rules::Breach> breach;
+  std::optional<rules::Violation> breach;
   std::vector<std::string> trace;  // the choices that lead to it, by name
   std::size_t trace_events = 0;
 };
@@ -45,10 +45,10 @@
 
 // Plays choices by name, then the plain end, and reports each event and action through `say`. Nothing is
 // returned if no rule is broken. Throws std::runtime_error if a strict trace does not fit the scenario.
-std::optional<rules::Breach> replay(const Scenario& scenario, engine::Mutant mutant,
-                                    const std::vector<std::string>& trace,
-                                    const std::function<void(const std::string&)>& say,
-                                    Fit fit = Fit::kStrict);
+std::optional<rules::Violation> replay(const Scenario& scenario, engine::Mutant mutant,
+                                       const std::vector<std::string>& trace,
+                                       const std::function<void(const std::string&)>& say,
+                                       Fit fit = Fit::kStrict);
 
 // The mutants by name.
 std::string name_of(engine::Mutant mutant);
--- a/src/explore/scenario.cpp
+++ b/src/explore/scenario.cpp
@@ -6,8 +6,8 @@
 
 namespace {
 
-const char* letter(Repeat r) {
-  return r == Repeat::kSafe ? "safe" : r == Repeat::kKeyed ? "keyed" : "unsafe";
+const char* letter(Idempotency r) {
+  return r == Idempotency::kIdempotent ? "safe" : r == Idempotency::kIdempotencyKey ? "keyed" : "unsafe";
 }
 
 // What goes wrong with answers and connections, and what the list may say meanwhile.
@@ -26,7 +26,8 @@
   const auto add = [&](Scenario s) { all.push_back(std::move(s)); };
 
   // The real module, two requests of each kind of class, everything that can go wrong.
-  for (const auto repeat : {Repeat::kSafe, Repeat::kKeyed, Repeat::kUnsafe}) {
+  for (const auto repeat :
+       {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent}) {
     Scenario s;
     s.name = std::string("real-") + letter(repeat);
     s.about = "the real module, two requests of one kind, any trouble";
@@ -47,7 +48,7 @@
     s.name = "real-mixed-pipelined";
     s.about =
         "the real module, a safe and an unsafe request on one connection; answers in order, ids used again";
-    s.requests = {Repeat::kUnsafe, Repeat::kSafe};
+    s.requests = {Idempotency::kNonIdempotent, Idempotency::kIdempotent};
     s.one_connection = true;
     s.faults = faults;
     s.menu = trouble();
@@ -55,7 +56,7 @@
     add(s);
     s.name = "real-no-cancel";
     s.about = "the real module where it may neither cancel nor send second copies";
-    s.requests = {Repeat::kSafe};
+    s.requests = {Idempotency::kIdempotent};
     s.one_connection = false;
     s.second_copies = s.may_cancel = false;
     s.faults = faults + 1;
@@ -66,8 +67,8 @@
     add(s);
     s.name = "real-keyed-cell";
     s.about = "the real module, a keyed class whose group is one host";
-    s.requests = {Repeat::kKeyed};
-    s.group = KeyGroup::kCell;
+    s.requests = {Idempotency::kIdempotencyKey};
+    s.group = IdempotencyScope::kCell;
     s.second_copies = true;
     add(s);
   }
@@ -77,7 +78,7 @@
     s.real_module = false;
     s.name = "any-one";
     s.about = "a module that decides anything, one request, any trouble, stop and crash";
-    s.requests = {Repeat::kSafe};
+    s.requests = {Idempotency::kIdempotent};
     s.module_acts = 1;
     s.faults = faults;
     s.menu = trouble();
@@ -85,7 +86,7 @@
     add(s);
     s.name = "any-two";
     s.about = "a module that decides anything, two requests on one connection, ids used again";
-    s.requests = {Repeat::kSafe, Repeat::kUnsafe};
+    s.requests = {Idempotency::kIdempotent, Idempotency::kNonIdempotent};
     s.one_connection = true;
     s.module_acts = small ? 0 : 1;
     s.faults = 1;
--- a/src/explore/scenario.h
+++ b/src/explore/scenario.h
@@ -32,10 +32,11 @@
 struct Scenario {
   std::string name;
   std::string about;
-  bool real_module = true;                                     // else a stand-in that may decide anything
-  std::vector<Repeat> requests{Repeat::kSafe, Repeat::kSafe};  // one of each entry, in this order
-  bool one_connection = false;                                 // else a connection for each request
-  KeyGroup group = KeyGroup::kAll;
+  bool real_module = true;  // else a stand-in that may decide anything
+  std::vector<Idempotency> requests{Idempotency::kIdempotent,
+                                    Idempotency::kIdempotent};  // one of each entry, in this order
+  bool one_connection = false;                                  // else a connection for each request
+  IdempotencyScope group = IdempotencyScope::kAll;
   std::size_t hosts = 2;
   bool second_copies = true;
   bool may_cancel = true;
--- a/src/explore/trace.cpp
+++ b/src/explore/trace.cpp
@@ -20,7 +20,8 @@
   std::string text = json::serialize(head) + "\n";
   for (const auto& choice : trace.choices) text += json::serialize(json::object{{"choice", choice}}) + "\n";
   if (!trace.breach.rule.empty()) {
-    text += json::serialize(json::object{{"rule", trace.breach.rule}, {"why", trace.breach.why}}) + "\n";
+    text +=
+        json::serialize(json::object{{"rule", trace.breach.rule}, {"why", trace.breach.description}}) + "\n";
   }
   return text;
 }
@@ -48,7 +49,7 @@
   if (o.contains("attempts")) s.max_attempts = o.at("attempts").to_number<double>();
   s.requests.clear();
   for (const auto& r : o.at("requests").as_array())
-    s.requests.push_back(static_cast<Repeat>(r.to_number<int>()));
+    s.requests.push_back(static_cast<Idempotency>(r.to_number<int>()));
   const auto mutant = mutant_named(text_at(o, "mutant"));
   if (!mutant) throw std::runtime_error("no such mutant; cometfold-explore --list names them");
   trace.mutant = *mutant;
--- a/src/explore/world.cpp
+++ b/src/explore/world.cpp
@@ -49,19 +49,19 @@
 void World::begin() {
   node_ = std::make_unique<Node>(*this, settings_);
   node_->engine.start(now_);
-  list(ListKind::kCached, listed_);
+  list(HostListUpdate::kCached, listed_);
   node_->front.set_ready();
 }
 
-void World::list(ListKind kind, std::vector<HostEntry> entries) {
+void World::list(HostListUpdate kind, std::vector<HostEntry> entries) {
   for (const auto& e : entries) {
     if (e.state == HostState::kReady)
-      node_->pool.add(e.id, {"10.0.0." + std::to_string(e.cell.value_or(0)), 1}, e.started_at);
+      node_->pool.add_host(e.id, {"10.0.0." + std::to_string(e.cell.value_or(0)), 1}, e.started_at);
   }
-  node_->engine.on_list(now_, kind, entries);
-  node_->pool.end_stale(now_);
+  node_->engine.on_host_list(now_, kind, entries);
+  node_->pool.fail_stale_attempts(now_);
   for (const auto& e : entries) {
-    Event told{.kind = Event::kTold, .gateway = 1, .host = e.id};
+    Event told{.kind = Event::kHostUpdate, .gateway = 1, .host = e.id};
     told.entry = e;
     report(told);
   }
@@ -87,19 +87,19 @@
   } catch (const std::exception& error) {
     complain("the engine's promise", std::string("an exception came out: ") + error.what());
   }
-  rules_.at(now_);
-  for (; breaches_seen_ < rules_.breaches().size(); ++breaches_seen_) {
-    const auto& b = rules_.breaches()[breaches_seen_];
+  rules_.check_deadlines(now_);
+  for (; breaches_seen_ < rules_.violations().size(); ++breaches_seen_) {
+    const auto& b = rules_.violations()[breaches_seen_];
     // A module that decides anything breaks what is the module's to keep.
     const bool engines = b.rule == "no request lost" || b.rule == "drains kept";
-    if (scenario_.real_module || engines) complain(b.rule, b.why);
+    if (scenario_.real_module || engines) complain(b.rule, b.description);
   }
   return !breach_;
 }
 
 void World::complain(const std::string& rule, const std::string& why) {
   if (breach_) return;
-  breach_ = rules::Breach{rule, why};
+  breach_ = rules::Violation{rule, why};
   say("BROKEN: " + rule + ": " + why);
 }
 
@@ -109,11 +109,11 @@
 
 void World::report(Event event) {
   event.at = now_;
-  rules_.see(event);
+  rules_.observe(event);
 }
 
 bool World::anything_open() const {
-  if (node_->engine.held() > 0) return true;
+  if (node_->engine.open_count() > 0) return true;
   return std::any_of(clients_.begin(), clients_.end(), [](const auto& c) { return !c.owed.empty(); });
 }
 
@@ -126,43 +126,46 @@
   conn->state = Conn::kUp;
   conns_.push_back(conn);
   clients_[i].conn = conn;
-  const auto link = std::make_shared<resp::ClientLink>(*this, node_->totals, conn->id, now_);
+  const auto link = std::make_shared<resp::ClientConnection>(*this, node_->totals, conn->id, now_);
   conn->events = link;
   node_->links.emplace(conn->id, link);
   link->start(std::make_unique<SimStream>(*this, conn));
 }
 
-resp::Named World::on_command(Ms now, resp::Ticket ticket, std::span<const resp::Item> words, Ms waited) {
+resp::CommandResult World::on_command(Ms now, resp::ResponseHandle ticket, std::span<const resp::Item> words,
+                                      Ms waited) {
   return node_->front.on_command(now, ticket, words, waited);
 }
-void World::on_unsent(std::uint64_t identity) { node_->front.on_unsent(identity); }
-void World::on_sent(std::uint64_t identity) { node_->front.on_sent(identity); }
-void World::on_client_gone(Ms now, std::uint64_t name) { node_->engine.gone(now, name); }
+void World::on_reply_pending(std::uint64_t identity) { node_->front.on_reply_pending(identity); }
+void World::on_reply_flushed(std::uint64_t identity) { node_->front.on_reply_flushed(identity); }
+void World::on_client_disconnected(Ms now, std::uint64_t name) {
+  node_->engine.on_client_disconnected(now, name);
+}
 void World::on_closed(std::uint64_t id) { node_->links.erase(id); }
 
-void World::answer(Ms now, resp::Ticket ticket, std::string_view reply) {
-  if (!answered_.insert({ticket.connection, ticket.place}).second) {
+void World::send_reply(Ms now, resp::ResponseHandle ticket, std::string_view reply) {
+  if (!answered_.insert({ticket.connection, ticket.sequence}).second) {
     complain("the engine's promise", "a second answer reached the front end for one request");
   }
   const auto it = node_->links.find(ticket.connection);
-  if (it != node_->links.end()) std::shared_ptr(it->second)->answer(now, ticket.place, reply);
+  if (it != node_->links.end()) std::shared_ptr(it->second)->send_reply(now, ticket.sequence, reply);
 }
-void World::reject(Ms now, resp::Ticket ticket, std::string_view why) {
+void World::send_error(Ms now, resp::ResponseHandle ticket, std::string_view why) {
   const auto it = node_->links.find(ticket.connection);
-  if (it != node_->links.end()) std::shared_ptr(it->second)->reject(now, ticket.place, why);
+  if (it != node_->links.end()) std::shared_ptr(it->second)->send_error(now, ticket.sequence, why);
 }
 
 // The client takes in what the gateway has written: answers in the order of its requests.
 void World::client_reads(Conn& conn) {
   Client& client = clients_[conn.client];
   while (!conn.sent.empty()) {
-    const auto space = client.reader.space();
+    const auto space = client.reader.prepare();
     const auto n = std::min(space.size(), conn.sent.size());
     std::memcpy(space.data(), conn.sent.data(), n);
     client.reader.commit(n);
     conn.sent.erase(0, n);
     resp::Frame frame;
-    while (client.reader.next(frame) == resp::Progress::kFrame) {
+    while (client.reader.next(frame) == resp::ReadResult::kFrame) {
       if (client.owed.empty()) {
         complain("no request lost", "an answer came on a connection on which none is owed");
         return;
@@ -170,7 +173,7 @@
       const auto request = client.owed.front().request;
       client.owed.erase(client.owed.begin());
       const auto& item = frame.items.at(0);
-      const bool value = item.kind == resp::Kind::kBulk, refused = item.text.starts_with("BUSY");
+      const bool value = item.type == resp::ItemType::kBulk, refused = item.text.starts_with("BUSY");
       say("  client: request " + std::to_string(request) + " gets '" + std::string(item.text) + "'");
       answered_at_[request] = now_;
       if (request == 0) {
@@ -181,7 +184,7 @@
         complain("the engine's promise", "a request whose id is free was turned away");
       }
       report({.kind = value     ? Event::kServed
-                      : refused ? Event::kRefused
+                      : refused ? Event::kRejected
                                 : Event::kFailed,
               .gateway = 1,
               .request = request,
@@ -192,14 +195,15 @@
 
 // ---- hosts ----
 
-std::unique_ptr<resp::Stream> World::dial(const resp::Address& at, Ms timeout, resp::StreamEvents& events) {
+std::unique_ptr<resp::Stream> World::dial(const resp::Address& at, Ms timeout,
+                                          resp::StreamCallbacks& events) {
   const auto conn = std::make_shared<Conn>();
   conn->id = ++last_conn_;
   conn->to_host = true;
   // Whoever is at the address now: the process that was listed there last.
   const auto cell = static_cast<std::uint32_t>(std::stoul(at.ip.substr(at.ip.rfind('.') + 1)));
   for (const auto& e : listed_) {
-    if (e.cell == cell && (conn->host == 0 || e.state != HostState::kGone)) conn->host = e.id;
+    if (e.cell == cell && (conn->host == 0 || e.state != HostState::kRemoved)) conn->host = e.id;
   }
   conn->events = events.weak_from_this();
   conn->connect_by = now_ + timeout;
@@ -213,7 +217,7 @@
   if (conn.request == 0) {
     // The body names the request, whatever id it has; a part that is written holds all but the last byte.
     conn.request = std::stoull(conn.sent.substr(conn.sent.rfind("\r\nL") + 3));
-    report({.kind = Event::kSendBegun,
+    report({.kind = Event::kAttemptFirstByte,
             .gateway = 1,
             .request = conn.request,
             .connection = conn.id,
@@ -225,7 +229,7 @@
   saw(Sight::kSecondCopyOut, copies_out());
   conn.number = sends_[conn.request];
   say("  host " + std::to_string(conn.host) + ": has request " + std::to_string(conn.request) + " whole");
-  report({.kind = Event::kSendWhole,
+  report({.kind = Event::kAttemptWritten,
           .gateway = 1,
           .request = conn.request,
           .connection = conn.id,
@@ -235,7 +239,7 @@
 // The attempt on this connection is out no more.
 void World::over(Conn& conn, bool never_ran) {
   if (conn.request == 0) return;
-  const auto kind = never_ran || !conn.whole ? Event::kNeverRan : Event::kOver;
+  const auto kind = never_ran || !conn.whole ? Event::kNotExecuted : Event::kAttemptEnded;
   report({.kind = kind, .gateway = 1, .request = conn.request, .connection = conn.id, .host = conn.host});
   conn.request = 0;
   conn.whole = false;
@@ -278,7 +282,7 @@
 // ---- crash and end ----
 
 void World::crashes(const Option&) {
-  report({.kind = Event::kCrashed, .gateway = 1});
+  report({.kind = Event::kGatewayCrashed, .gateway = 1});
   for (const auto& c : conns_) {
     saw(Sight::kCrashWithAttemptOut, c->to_host && c->whole && c->state != Conn::kClosed);
     if (c->state != Conn::kClosed && c->to_host) over(*c, false);
@@ -288,7 +292,7 @@
   for (auto& c : clients_) {  // what it held is lost with it; a client that has more to ask connects anew
     c.owed.clear();
     c.conn.reset();
-    c.reader = resp::Reader(resp::Limits{}, false);
+    c.reader = resp::RespReader(resp::RespLimits{}, false);
   }
   told_ = {};
   ++life_;
@@ -299,10 +303,11 @@
 void World::final_checks() {
   if (anything_open())
     return complain("no request lost", "an answer is owed, and nothing can happen any more");
-  if (node_->engine.owed() > 0)
+  if (node_->engine.unanswered_count() > 0)
     return complain("the engine's promise", "it counts requests that nobody has open");
-  if (node_->engine.held_bytes() > 0) return complain("the engine's promise", "it holds payloads of nothing");
-  if (node_->totals.unsent > 0)
+  if (node_->engine.payload_bytes() > 0)
+    return complain("the engine's promise", "it holds payloads of nothing");
+  if (node_->totals.unsent_bytes > 0)
     return complain("the engine's promise", "it counts unsent answers, and all are sent");
   if (scenario_.real_module && node_->tap->out() > 0)
     return complain("the engine's promise", "the module was not told of an attempt's end");
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -44,9 +44,9 @@
 using Sights = std::uint32_t;
 
 class World : private resp::Dialer,
-              private resp::HostEvents,
-              public resp::ClientOwner,
-              private resp::Replies {
+              private resp::HostPoolCallbacks,
+              public resp::ClientConnectionCallbacks,
+              private resp::ReplySink {
  public:
   using Log = std::function<void(const std::string&)>;
 
@@ -56,7 +56,7 @@
   // One event, chosen. False if nothing can happen any more, or the depth is reached.
   bool step();
   // The first rule broken so far, or a promise of the engine's own; empty if none.
-  const std::optional<rules::Breach>& breach() const { return breach_; }
+  const std::optional<rules::Violation>& breach() const { return breach_; }
   bool cut_off() const { return cut_off_; }  // the depth ended it, not the world
   std::uint64_t fingerprint() const;
   Sights sights() const { return sights_; }
@@ -83,27 +83,30 @@
 
   // resp::Dialer
   std::unique_ptr<resp::Stream> dial(const resp::Address& at, Ms timeout,
-                                     resp::StreamEvents& events) override;
-  bool make_room() override { return false; }
+                                     resp::StreamCallbacks& events) override;
+  bool free_descriptor() override { return false; }
   // resp::HostEvents
   void on_attempt_end(Ms now, engine::AttemptId attempt, Outcome outcome, std::string_view value,
                       std::string_view report) override;
   std::optional<Ms> may_write(Ms now, engine::AttemptId attempt, bool begun) override;
   // resp::ClientOwner, resp::Replies
-  resp::Named on_command(Ms now, resp::Ticket ticket, std::span<const resp::Item> words, Ms waited) override;
-  void on_unsent(std::uint64_t identity) override;
-  void on_sent(std::uint64_t identity) override;
-  void on_client_gone(Ms now, std::uint64_t name) override;
+  resp::CommandResult on_command(Ms now, resp::ResponseHandle ticket, std::span<const resp::Item> words,
+                                 Ms waited) override;
+  void on_reply_pending(std::uint64_t identity) override;
+  void on_reply_flushed(std::uint64_t identity) override;
+  void on_client_disconnected(Ms now, std::uint64_t name) override;
   void on_closed(std::uint64_t id) override;
-  void answer(Ms now, resp::Ticket ticket, std::string_view reply) override;
-  void reject(Ms now, resp::Ticket ticket, std::string_view why) override;
+  void send_reply(Ms now, resp::ResponseHandle ticket, std::string_view reply) override;
+  void send_error(Ms now, resp::ResponseHandle ticket, std::string_view why) override;
   // The hosts here give short values only.
-  void begin_value(Ms, resp::Ticket, std::size_t) override { complain("the explorer", "a long value"); }
-  bool add_to_value(Ms, resp::Ticket, std::string_view) override { return true; }
-  void end_value(Ms, resp::Ticket) override {}
+  void start_value(Ms, resp::ResponseHandle, std::size_t) override {
+    complain("the explorer", "a long value");
+  }
+  bool append_value(Ms, resp::ResponseHandle, std::string_view) override { return true; }
+  void finish_value(Ms, resp::ResponseHandle) override {}
 
   void begin();
-  void list(ListKind kind, std::vector<HostEntry> entries);
+  void list(HostListUpdate kind, std::vector<HostEntry> entries);
   void options(std::vector<Option>& all);
   void client_options(std::vector<Option>& all);
   void host_options(std::vector<Option>& all);
@@ -151,7 +154,7 @@
   void say(const std::string& text);
 
   Scenario scenario_;
-  Settings settings_;
+  AdmissionSettings settings_;
   Chooser& chooser_;
   Log log_;
   Ms now_ = 14'400'000;
@@ -163,9 +166,9 @@
   std::map<std::uint64_t, std::size_t> sends_;  // whole, of each request
   std::map<std::uint64_t, Ms> expires_;
   std::map<std::uint64_t, Ms> answered_at_;  // requests, by their clients
-  rules::Rules rules_;
+  rules::RuleMonitors rules_;
   std::size_t breaches_seen_ = 0;
-  std::optional<rules::Breach> breach_;
+  std::optional<rules::Violation> breach_;
   engine::Digest told_;  // all that the module has been told
   std::vector<HostEntry> listed_;
   std::vector<std::shared_ptr<Conn>> conns_;
