--- a/src/explore/world_events.cpp
+++ b/src/explore/world_events.cpp
@@ -115,7 +115,7 @@
   Conn& conn = *o.conn;
   const auto value = "v" + std::to_string(conn.request) + "." + std::to_string(conn.id);
   if (o.n == kGood || o.n == kTwin || o.n == kHalf) {
-    report({.kind = Event::kMade, .request = conn.request, .host = conn.host, .value = value});
+    report({.kind = Event::kExecuted, .request = conn.request, .host = conn.host, .value = value});
   }
   saw(Sight::kAnswerAfterRetry, conn.number < sends_of(conn.request) && o.n == kGood);
   saw(Sight::kLossBeforeRetry, o.n == kNone || o.n == kHalf || o.n == kSpoilt);
@@ -152,7 +152,7 @@
   const auto add = [&](bool on, const char* text, Change change) {
     if (on) all.push_back({text, true, &World::list_changes, nullptr, change});
   };
-  const bool ready = first->state == HostState::kReady, there = first->state != HostState::kGone;
+  const bool ready = first->state == HostState::kReady, there = first->state != HostState::kRemoved;
   add(menu.drain && ready, "list: host 1 drains", kDrains);
   add(menu.restarted && ready && first->started_at == 0, "list: host 1 has restarted", kRestarted);
   add(menu.gone && there, "list: host 1 is gone", kGone);
@@ -161,22 +161,22 @@
   if (menu.crash && life_ == 0) {
     all.push_back({"the gateway crashes and starts again", true, &World::crashes});
   }
-  if (menu.stop && !node_->engine.settle_at()) all.push_back({"SIGTERM", true, &World::stop_begins});
-  if (node_->engine.settle_at() && !winding_down_) {
+  if (menu.stop && !node_->engine.shutdown_deadline()) all.push_back({"SIGTERM", true, &World::stop_begins});
+  if (node_->engine.shutdown_deadline() && !winding_down_) {
     all.push_back({"the stop winds down", false, &World::stop_winds_down});
   }
 }
 
 std::optional<Ms> World::next_time() const {
-  std::optional<Ms> next = node_->engine.next_due();
+  std::optional<Ms> next = node_->engine.next_timer();
   const auto sooner = [&](Ms at) {
     if (!next || at < *next) next = at;
   };
   for (const auto& c : conns_) {
     if (c->state == Conn::kConnecting) sooner(c->connect_by);
   }
-  const auto settle = node_->engine.settle_at();
-  if (settle && node_->engine.owed() > 0) sooner(*settle);
+  const auto settle = node_->engine.shutdown_deadline();
+  if (settle && node_->engine.unanswered_count() > 0) sooner(*settle);
   return next;
 }
 
@@ -191,10 +191,10 @@
 }
 
 void World::time_options(std::vector<Option>& all) {
-  const auto due = node_->engine.next_due();
-  const auto settle = node_->engine.settle_at();
+  const auto due = node_->engine.next_timer();
+  const auto settle = node_->engine.shutdown_deadline();
   if (due && *due <= now_) all.push_back({"due timers run", false, &World::timers_run});
-  if (settle && *settle <= now_ && node_->engine.owed() > 0) {
+  if (settle && *settle <= now_ && node_->engine.unanswered_count() > 0) {
     all.push_back({"the stop settles all", false, &World::stop_settles});
   }
   const auto next = next_time();
@@ -217,9 +217,9 @@
   }
   const bool mistake = same && first_open;
   client.owed.push_back({mistake ? 0 : i + 1});
-  const Repeat repeat = scenario_.requests[i];
+  const Idempotency repeat = scenario_.requests[i];
   if (!mistake) {
-    Event taken{.kind = Event::kTaken, .gateway = 1, .request = i + 1};
+    Event taken{.kind = Event::kRequestReceived, .gateway = 1, .request = i + 1};
     taken.class_index = static_cast<std::uint32_t>(repeat);
     taken.customer = 1;
     taken.expires_at = now_ + scenario_.wait;
@@ -229,7 +229,7 @@
   }
   std::string text;
   resp::append_array(text, 5);
-  resp::append_bulk(text, repeat == Repeat::kSafe ? "SVC.QUERY" : "SVC.SUBMIT");
+  resp::append_bulk(text, repeat == Idempotency::kIdempotent ? "SVC.QUERY" : "SVC.SUBMIT");
   resp::append_bulk(text, hex(1));
   resp::append_bulk(text, hex(same ? 1 : i + 1));
   resp::append_bulk(text, std::string("c=") + name_of(repeat) +
@@ -245,7 +245,8 @@
   for (const auto& [request, at] : answered_at_) saw(Sight::kGoneAfterAnswerAtOnce, at == now_);
   for (const auto& owed : client.owed) {
     saw(Sight::kGoneWithAttemptOut, sends_of(owed.request) > 0);
-    if (owed.request != 0) report({.kind = Event::kGone, .gateway = 1, .request = owed.request});
+    if (owed.request != 0)
+      report({.kind = Event::kClientDisconnected, .gateway = 1, .request = owed.request});
   }
   client.owed.clear();
   end_stream(*client.conn);
@@ -253,7 +254,7 @@
 
 void World::loop_comes_back(const Option& o) {
   o.conn->later = false;
-  if (const auto events = o.conn->events.lock()) events->on_later(now_);
+  if (const auto events = o.conn->events.lock()) events->on_posted(now_);
 }
 
 void World::room_to_write(const Option& o) {
@@ -302,10 +303,10 @@
       changes = {entry(1, HostState::kReady, now_)};
       break;
     case kGone:
-      changes = {entry(1, HostState::kGone)};
+      changes = {entry(1, HostState::kRemoved)};
       break;
     case kReplaced:
-      changes = {entry(1, HostState::kGone), entry(9, HostState::kReady, now_)};
+      changes = {entry(1, HostState::kRemoved), entry(9, HostState::kReady, now_)};
       changes.back().cell = 1;  // host 1's address
       break;
   }
@@ -313,24 +314,25 @@
     std::erase_if(listed_, [&](const auto& known) { return known.id == e.id; });
     listed_.push_back(e);
   }
-  list(ListKind::kChanges, changes);
+  list(HostListUpdate::kDelta, changes);
 }
 
-void World::reloads(const Option&) { list(ListKind::kWhole, listed_); }
+void World::reloads(const Option&) { list(HostListUpdate::kSnapshot, listed_); }
 void World::stop_begins(const Option&) {
   saw(Sight::kStopWithSecondCopy, copies_out());
-  node_->engine.stop(now_);
+  node_->engine.begin_shutdown(now_);
 }
 
 void World::stop_winds_down(const Option&) {
   winding_down_ = true;
   const auto links = node_->links;
-  for (const auto& [id, link] : links) link->wind_down(now_);
+  for (const auto& [id, link] : links) link->start_draining(now_);
 }
 
 void World::stop_settles(const Option&) {
-  node_->engine.settle_all(now_);
-  if (node_->engine.owed() > 0) complain("no request lost", "the stop left a request without its answer");
+  node_->engine.fail_all(now_);
+  if (node_->engine.unanswered_count() > 0)
+    complain("no request lost", "the stop left a request without its answer");
 }
 
 void World::timers_run(const Option&) {
@@ -338,7 +340,7 @@
     const bool out = c->to_host && c->state != Conn::kClosed && c->whole;
     saw(Sight::kDeadlineBeforeAnswer, out && now_ == expires_[c->request]);
   }
-  node_->engine.run_due(now_);
+  node_->engine.run_timers(now_);
 }
 
 void World::time_passes(const Option&) {
--- a/src/explore/world_parts.h
+++ b/src/explore/world_parts.h
@@ -35,46 +35,48 @@
   return i == 0 ? "all can be written" : "all but the last byte can be written";
 }
 
-inline const char* name_of(Repeat repeat) {
+inline const char* name_of(Idempotency repeat) {
   switch (repeat) {
-    case Repeat::kSafe:
+    case Idempotency::kIdempotent:
       return "safe";
-    case Repeat::kKeyed:
+    case Idempotency::kIdempotencyKey:
       return "keyed";
-    case Repeat::kUnsafe:
+    case Idempotency::kNonIdempotent:
       return "unsafe";
   }
   return "";
 }
 
-inline Settings settings_of(const Scenario& s) {
-  Settings set;
-  for (const auto repeat : {Repeat::kSafe, Repeat::kKeyed, Repeat::kUnsafe}) {
+inline AdmissionSettings settings_of(const Scenario& s) {
+  AdmissionSettings set;
+  for (const auto repeat :
+       {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent}) {
     ClassSettings c;
     c.deadline_ms = s.wait;
-    c.aim_ms = s.aim;
-    c.repeat = repeat;
-    if (repeat == Repeat::kKeyed) c.group = s.group, c.key_ttl_ms = 10'000;
+    c.latency_objective_ms = s.aim;
+    c.idempotency = repeat;
+    if (repeat == Idempotency::kIdempotencyKey)
+      c.idempotency_scope = s.group, c.idempotency_key_ttl_ms = 10'000;
     set.classes.push_back(c);
   }
   PlanSettings plan;
-  plan.quota_rate = plan.burst = 1000;
+  plan.quota_rate = plan.quota_burst = 1000;
   set.plans = {plan};
-  set.second_copies = s.second_copies;
-  set.may_cancel = s.may_cancel;
-  set.retry_after = true;
+  set.hedging_allowed = s.second_copies;
+  set.cancellation_allowed = s.may_cancel;
+  set.retry_after_allowed = true;
   set.max_attempts = s.max_attempts;
   set.max_retry_after_ms = 1000;
-  set.tick_ms = 4;
-  set.cold_from = 0.2;
-  set.warm_after_ms = 1000;
+  set.min_event_interval_ms = 4;
+  set.slow_start_initial_weight = 0.2;
+  set.slow_start_duration_ms = 1000;
   set.overload_factor = 2;
-  set.fall_ms = 1000;
+  set.overload_window_ms = 1000;
   return set;
 }
 
-inline rules::Rules::Figures figures() {
-  return {.answer_slack = kAnswerSlack, .drain_grace = 0, .wider = 150};
+inline rules::RuleMonitors::Tolerances figures() {
+  return {.reply_slack_ms = kAnswerSlack, .drain_grace_ms = 0, .ceiling_slack_ms = 150};
 }
 
 inline std::string served(const std::string& value) {
@@ -95,7 +97,7 @@
   HostId host = 0;  // whose process it reaches
   std::size_t client = 0;
   enum { kConnecting, kUp, kClosed } state = kConnecting;
-  std::weak_ptr<resp::StreamEvents> events;
+  std::weak_ptr<resp::StreamCallbacks> events;
   Ms connect_by = 0;
   std::span<char> space;
   bool reading = false, awaits_end = false, awaits_room = false, blocked = false, later = false;
@@ -117,7 +119,7 @@
     std::uint64_t request = 0;  // 0: a mistake, owed an error
   };
   std::vector<Owed> owed;  // answers still to come, in order
-  resp::Reader reader{resp::Limits{}, false};
+  resp::RespReader reader{resp::RespLimits{}, false};
   bool gone = false;
 };
 
@@ -125,7 +127,7 @@
  public:
   SimStream(World& world, std::shared_ptr<Conn> conn) : world_(world), conn_(std::move(conn)) {}
 
-  Written write(std::string_view bytes) override {
+  WriteResult write(std::string_view bytes) override {
     Conn& c = *conn_;
     if (c.state == Conn::kClosed || c.peer_ended) return {0, false, true};
     if (c.blocked) return {0, true, false};
@@ -145,15 +147,15 @@
     conn_->space = space;
     conn_->reading = true;
   }
-  void await_end() override {
+  void await_peer_close() override {
     conn_->reading = false;
     conn_->awaits_end = true;
   }
-  void later() override { conn_->later = true; }
-  std::size_t unread() override { return conn_->incoming.size(); }
-  bool quiet() override { return conn_->incoming.empty() && !conn_->peer_ended; }
-  bool ended() override { return conn_->peer_ended; }
-  void shut_send() override {
+  void post() override { conn_->later = true; }
+  std::size_t unread_bytes() override { return conn_->incoming.size(); }
+  bool is_quiet() override { return conn_->incoming.empty() && !conn_->peer_ended; }
+  bool peer_closed() override { return conn_->peer_ended; }
+  void shutdown_send() override {
     conn_->shut = true;
     if (!world_.clients_[conn_->client].owed.empty()) {
       world_.complain("no request lost", "the gateway ended a connection on which it owes an answer");
@@ -175,42 +177,44 @@
 
 // Passes on, and remembers what was told: a deterministic module's state is a function of that. Also judges
 // that each attempt's end is told once.
-class World::TapModule : public engine::Module, private Actions {
+class World::TapModule : public engine::AdmissionPolicy, private ActionSink {
  public:
-  TapModule(World& world, std::unique_ptr<engine::Module> inner) : world_(world), inner_(std::move(inner)) {}
+  TapModule(World& world, std::unique_ptr<engine::AdmissionPolicy> inner)
+      : world_(world), inner_(std::move(inner)) {}
 
-  void start(Ms now, Actions& out) override {
+  void start(Ms now, ActionSink& out) override {
     with(out, [&] { inner_->start(now, *this); });
   }
-  void on_list(Ms now, ListKind kind, std::span<const HostEntry> entries, Actions& out) override {
+  void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries,
+                    ActionSink& out) override {
     mark(now, 1);
     for (const auto& e : entries) {
       world_.told_.add(std::uint64_t{e.id} << 2 | static_cast<std::uint64_t>(e.state));
       world_.told_.add(e.started_at);
     }
-    with(out, [&] { inner_->on_list(now, kind, entries, *this); });
+    with(out, [&] { inner_->on_host_list(now, kind, entries, *this); });
   }
-  void on_request(Ms now, const Request& request, Actions& out) override {
+  void on_request(Ms now, const Request& request, ActionSink& out) override {
     mark(now, 2);
     world_.told_.add(request.id);
     with(out, [&] { inner_->on_request(now, request, *this); });
   }
-  void on_attempt_end(Ms now, const AttemptEnd& e, Actions& out) override {
+  void on_attempt_end(Ms now, const AttemptResult& e, ActionSink& out) override {
     mark(now, 3);
     world_.told_.add(e.request << 8 | e.attempt);
     world_.told_.add(std::uint64_t{e.host} << 8 | static_cast<std::uint64_t>(e.outcome) << 1 |
-                     std::uint64_t{e.finished});
+                     std::uint64_t{e.request_finished});
     if (!out_.erase({e.request, e.attempt})) {
       world_.complain("the engine's promise", "the module was told of an attempt's end that is not out");
     }
     with(out, [&] { inner_->on_attempt_end(now, e, *this); });
   }
-  void on_gone(Ms now, RequestId request, Actions& out) override {
+  void on_client_disconnected(Ms now, RequestId request, ActionSink& out) override {
     mark(now, 4);
     world_.told_.add(request);
-    with(out, [&] { inner_->on_gone(now, request, *this); });
+    with(out, [&] { inner_->on_client_disconnected(now, request, *this); });
   }
-  void on_timer(Ms now, std::uint64_t token, Actions& out) override {
+  void on_timer(Ms now, std::uint64_t token, ActionSink& out) override {
     mark(now, 5);
     world_.told_.add(token);
     with(out, [&] { inner_->on_timer(now, token, *this); });
@@ -223,10 +227,10 @@
     world_.told_.add(kind);
   }
   template <class Call>
-  void with(Actions& out, Call&& call) {
-    Actions* const before = std::exchange(to_, &out);
-    const std::unique_ptr<Actions*, std::function<void(Actions**)>> back(
-        &to_, [before](Actions** to) { *to = before; });
+  void with(ActionSink& out, Call&& call) {
+    ActionSink* const before = std::exchange(to_, &out);
+    const std::unique_ptr<ActionSink*, std::function<void(ActionSink**)>> back(
+        &to_, [before](ActionSink** to) { *to = before; });
     call();
   }
   // The engine knows attempts by their number among a request's sends; sends for what it has never taken, or
@@ -240,49 +244,49 @@
     world_.say("  module: cancel attempt " + std::to_string(a) + " of request " + std::to_string(r));
     to_->cancel(r, a);
   }
-  void refuse(RequestId r, Ms t, Cause why) override {
+  void reject(RequestId r, Ms t, RejectionReason why) override {
     world_.say("  module: refuse request " + std::to_string(r));
-    to_->refuse(r, t, why);
+    to_->reject(r, t, why);
   }
-  void fail(RequestId r, Cause why) override {
+  void fail(RequestId r, RejectionReason why) override {
     world_.say("  module: fail request " + std::to_string(r));
     to_->fail(r, why);
   }
-  void wake(Ms t, std::uint64_t token) override { to_->wake(t, token); }
-  void probe(HostId) override {}
-  void follow_list() override {}
-  void fetch_list() override {}
-  void note(std::string_view text) override { world_.say("  module: " + std::string(text)); }
+  void schedule_timer(Ms t, std::uint64_t token) override { to_->schedule_timer(t, token); }
+  void send_health_check(HostId) override {}
+  void watch_hosts() override {}
+  void poll_hosts() override {}
+  void log(std::string_view text) override { world_.say("  module: " + std::string(text)); }
 
   World& world_;
-  std::unique_ptr<engine::Module> inner_;
-  Actions* to_ = nullptr;
+  std::unique_ptr<engine::AdmissionPolicy> inner_;
+  ActionSink* to_ = nullptr;
   std::map<RequestId, std::uint32_t> attempts_;
   std::set<std::pair<RequestId, std::uint32_t>> out_;
 };
 
 // Decides anything that the interface can express, the unlawful too: sends after the end and to hosts that
 // are gone, cancels of what has ended, second answers, throws.
-class World::AnyModule : public engine::Module {
+class World::AnyModule : public engine::AdmissionPolicy {
  public:
   explicit AnyModule(World& world) : world_(world), left_(world.scenario_.module_acts) {}
 
-  void start(Ms, Actions&) override {}
-  void on_list(Ms, ListKind, std::span<const HostEntry>, Actions& out) override {
+  void start(Ms, ActionSink&) override {}
+  void on_host_list(Ms, HostListUpdate, std::span<const HostEntry>, ActionSink& out) override {
     if (requests_.empty()) return;  // the first list: nothing to decide yet
     act(out, requests_.back(), "told a list", false);
   }
-  void on_request(Ms, const Request& q, Actions& out) override {
+  void on_request(Ms, const Request& q, ActionSink& out) override {
     requests_.push_back(q.id);
-    out.wake(100, q.id);
+    out.schedule_timer(100, q.id);
     ++left_;  // the first act on a request is free
     act(out, q.id, "asked", true);
   }
-  void on_attempt_end(Ms, const AttemptEnd& e, Actions& out) override {
+  void on_attempt_end(Ms, const AttemptResult& e, ActionSink& out) override {
     act(out, e.request, "told an end", false);
   }
-  void on_gone(Ms, RequestId r, Actions& out) override { act(out, r, "told gone", false); }
-  void on_timer(Ms, std::uint64_t token, Actions& out) override { act(out, token, "woken", false); }
+  void on_client_disconnected(Ms, RequestId r, ActionSink& out) override { act(out, r, "told gone", false); }
+  void on_timer(Ms, std::uint64_t token, ActionSink& out) override { act(out, token, "woken", false); }
   void digest(engine::Digest& into) const {
     into.add(static_cast<std::uint64_t>(left_));
     for (const auto r : requests_) into.add(r);
@@ -309,7 +313,7 @@
   }
 
   // One or more acts about a request; the first option is the plain one.
-  void act(Actions& out, RequestId r, const char* when, bool fresh) {
+  void act(ActionSink& out, RequestId r, const char* when, bool fresh) {
     while (left_ > 0) {
       const auto all = menu(std::exchange(fresh, false));
       const Act& picked = all[world_.chooser_.choose(
@@ -317,8 +321,8 @@
       if (picked.kind == Act::kNothing) return;
       --left_;
       if (picked.kind == Act::kSend) out.send(r, picked.which, 0);
-      if (picked.kind == Act::kRefuse) out.refuse(r, 10, Cause::kShed);
-      if (picked.kind == Act::kFail) out.fail(r, Cause::kEnded);
+      if (picked.kind == Act::kRefuse) out.reject(r, 10, RejectionReason::kLoadShed);
+      if (picked.kind == Act::kFail) out.fail(r, RejectionReason::kAttemptsExhausted);
       if (picked.kind == Act::kCancel) out.cancel(r, picked.which);
       world_.saw(Sight::kModuleThrew, picked.kind == Act::kThrow);
       world_.saw(Sight::kSentAfterEnd, picked.kind != Act::kCancel && world_.answered_at_.contains(r));
@@ -332,28 +336,36 @@
 };
 
 struct World::Node {
-  Node(World& world, const Settings& settings)
+  Node(World& world, const AdmissionSettings& settings)
       : any(nullptr),
         tap(make_tap(world, settings)),
         pool(world, world,
-             resp::PoolLimits{
-                 .connect_timeout = kConnectTimeout, .connections = 8, .per_host = 4, .rest = kRest},
+             resp::HostPoolLimits{.connect_timeout_ms = kConnectTimeout,
+                                  .max_connections = 8,
+                                  .max_connections_per_host = 4,
+                                  .reuse_delay_ms = kRest},
              [&world](std::string_view what, std::string_view why) {
                world.say("  pool: " + std::string(what) + ", " + std::string(why));
              }),
-        engine(*tap, pool, {.open = 10, .bytes = 1000, .margin = 0, .settle_within = kSettleWithin},
+        engine(*tap, pool,
+               {.max_open_requests = 10,
+                .max_payload_bytes = 1000,
+                .deadline_margin_ms = 0,
+                .shutdown_timeout_ms = kSettleWithin},
                [&world](std::string_view what, std::string_view detail) {
                  world.say("  engine: " + std::string(what) + " " + std::string(detail));
                }),
-        front(
-            engine, world,
-            {{"safe", "keyed", "unsafe"}, {"team"}, {Repeat::kSafe, Repeat::kKeyed, Repeat::kUnsafe}, 1, 4}) {
-  }
+        front(engine, world,
+              {{"safe", "keyed", "unsafe"},
+               {"team"},
+               {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent},
+               1,
+               4}) {}
 
-  std::unique_ptr<TapModule> make_tap(World& world, const Settings& settings) {
-    std::unique_ptr<engine::Module> inner;
+  std::unique_ptr<TapModule> make_tap(World& world, const AdmissionSettings& settings) {
+    std::unique_ptr<engine::AdmissionPolicy> inner;
     if (world.scenario_.real_module) {
-      inner = std::make_unique<engine::ControlModule>(settings, 7);
+      inner = std::make_unique<engine::ControllerPolicy>(settings, 7);
     } else {
       auto module = std::make_unique<AnyModule>(world);
       any = module.get();
@@ -366,9 +378,9 @@
   std::unique_ptr<TapModule> tap;
   resp::HostPool pool;
   Engine engine;
-  resp::Front front;
+  resp::RespHandler front;
   resp::ClientTotals totals;
-  std::map<std::uint64_t, std::shared_ptr<resp::ClientLink>> links;
+  std::map<std::uint64_t, std::shared_ptr<resp::ClientConnection>> links;
 };
 
 }  // namespace cometfold::explore
--- a/src/extproc/host_load.cpp
+++ b/src/extproc/host_load.cpp
@@ -33,9 +33,9 @@
 
 LoadReport report_of(const LoadMapping& mapping, const Figure& figure) {
   LoadReport load;
-  load.queue = first_of(mapping.queue, figure);
-  load.in_hand = first_of(mapping.in_flight, figure);
-  load.busy = first_of(mapping.busy, figure);
+  load.queue_length = first_of(mapping.queue, figure);
+  load.in_flight = first_of(mapping.in_flight, figure);
+  load.utilization = first_of(mapping.busy, figure);
   return load;
 }
 
@@ -45,7 +45,7 @@
   return text;
 }
 
-// The value behind `name` in a list of pairs.
+// The value behind `request_id` in a list of pairs.
 std::optional<double> in_text(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const auto pair = trimmed(list.substr(0, list.find(',')));
@@ -147,9 +147,9 @@
     const auto n = in_text(value, name);
     return n ? sensible(*n) : std::nullopt;
   };
-  load.queue = figure("queue");
-  load.in_hand = figure("in_flight");
-  load.busy = figure("busy");
+  load.queue_length = figure("queue");
+  load.in_flight = figure("in_flight");
+  load.utilization = figure("busy");
   return load;
 }
 
--- a/src/extproc/mapper.cpp
+++ b/src/extproc/mapper.cpp
@@ -77,8 +77,9 @@
   for (const auto& r : m.rules) {
     known(names.classes, r.cls, "class", r.at);
     known(names.plans, r.plan, "plan", r.at);
-    if (r.units && *r.units > names.settings.largest_units) {
-      throw SettingsError(r.at + ": units must be at most " + std::to_string(names.settings.largest_units));
+    if (r.units && *r.units > names.settings.max_request_units) {
+      throw SettingsError(r.at + ": units must be at most " +
+                          std::to_string(names.settings.max_request_units));
     }
   }
 }
@@ -176,16 +177,16 @@
   q.customer = customer_number(name, seed_);
 
   q.units = rule && rule->units ? *rule->units : map.default_units;
-  const double most = names_.settings.largest_units;
+  const double most = names_.settings.max_request_units;
   if (!found[kUnits].empty() && !(read_number(found[kUnits], q.units) && q.units > 0)) {
     return map.units_header + " must be a number above 0, not " + quoted(found[kUnits]);
   }
   if (!(q.units <= most * (1 + 1e-6))) return "units are more than " + std::to_string(most);
-  q.spread = map.default_spread > 0 ? std::min(map.default_spread, names_.settings.gateways)
-                                    : names_.settings.gateways;
-  if (!found[kSpread].empty() &&
-      !(read_number(found[kSpread], q.spread) && q.spread >= 1 && q.spread <= names_.settings.gateways)) {
-    return map.spread_header + " must be a number from 1 to " + std::to_string(names_.settings.gateways);
+  q.gateway_count = map.default_spread > 0 ? std::min(map.default_spread, names_.settings.gateway_count)
+                                           : names_.settings.gateway_count;
+  if (!found[kSpread].empty() && !(read_number(found[kSpread], q.gateway_count) && q.gateway_count >= 1 &&
+                                   q.gateway_count <= names_.settings.gateway_count)) {
+    return map.spread_header + " must be a number from 1 to " + std::to_string(names_.settings.gateway_count);
   }
 
   m.wait = longest(q);
@@ -202,7 +203,7 @@
     // Envoy says 0 for no timeout.
     if (said > 0 || header == "grpc-timeout") m.wait = std::min(said, kLongestWait);
   }
-  q.repeat = m.attempt > 1;
+  q.is_client_retry = m.attempt > 1;
   if (rule && rule->bounds && names_.classes[q.class_index] == rule->cls) {
     q.bounds = *rule->bounds;
   } else if (q.class_index < names_.bounds.size()) {
--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -16,7 +16,7 @@
   explicit Fields(std::string_view bytes)
       : in_(reinterpret_cast<const std::uint8_t*>(bytes.data()), static_cast<int>(bytes.size())) {}
 
-  // The next field, or 0 at the end, where `whole` says whether the message was good.
+  // The next field, or 0 at the end, where `undivided_quota_level` says whether the message was good.
   int next() {
     tag_ = in_.ReadTag();
     if (tag_ == 0) whole_ = in_.ConsumedEntireMessage() && whole_;
--- a/src/extproc/messages.h
+++ b/src/extproc/messages.h
@@ -12,7 +12,7 @@
 namespace cometfold::extproc {
 
 struct Message {
-  enum Part : std::uint8_t {  // the published numbers of the oneof `request`
+  enum Part : std::uint8_t {  // the published numbers of the oneof `is_request`
     kNone = 0,
     kRequestHeaders = 2,
     kResponseHeaders = 3,
--- a/src/extproc/outcomes.cpp
+++ b/src/extproc/outcomes.cpp
@@ -25,10 +25,11 @@
     {"upstream_reset_before_response_started{connection_timeout", Outcome::kConnectFailed,
      "no connection came up in time"},
     {"upstream_reset_before_response_started{overflow", Outcome::kNotSent, "the proxy's own limit"},
-    {"upstream_reset_before_response_started{remote_refused_stream_reset", Outcome::kFull,
+    {"upstream_reset_before_response_started{remote_refused_stream_reset", Outcome::kOverloaded,
      "the host refused the stream (RFC 9113 section 8.7)"},
-    {"upstream_reset_before_response_started", Outcome::kBroken, "the connection broke"},
-    {"upstream_reset_after_response_started", Outcome::kBroken, "the connection broke inside the answer"},
+    {"upstream_reset_before_response_started", Outcome::kConnectionLost, "the connection broke"},
+    {"upstream_reset_after_response_started", Outcome::kConnectionLost,
+     "the connection broke inside the answer"},
     {"upstream_response_timeout", Outcome::kTimedOut, "the time told was up"},
     {"response_timeout", Outcome::kTimedOut, "the time told was up"},
     {"upstream_per_try_timeout", Outcome::kTimedOut, "the try's time was up"},
@@ -59,7 +60,7 @@
 }
 
 Outcome by_status(int status, std::span<const int> not_run) {
-  if (std::find(not_run.begin(), not_run.end(), status) != not_run.end()) return Outcome::kFull;
+  if (std::find(not_run.begin(), not_run.end(), status) != not_run.end()) return Outcome::kOverloaded;
   if (status == 408 || status == 504) return Outcome::kTimedOut;
   if (status >= 500 || status < 100) return Outcome::kError;
   return Outcome::kOk;
@@ -71,13 +72,13 @@
       return "answered | yes";
     case Outcome::kError:
       return "error | may have";
-    case Outcome::kFull:
+    case Outcome::kOverloaded:
       return "full | no";
     case Outcome::kTimedOut:
       return "timed out | may have";
     case Outcome::kConnectFailed:
       return "not connected | no";
-    case Outcome::kBroken:
+    case Outcome::kConnectionLost:
       return "broken | may have";
     case Outcome::kCancelled:
       return "not known | may have";
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -12,8 +12,8 @@
 namespace cometfold::extproc {
 
 using engine::AttemptId;
+using engine::ResponseHandle;
 using engine::StartResult;
-using engine::Ticket;
 
 // A request between its first call and the end of its last attempt.
 struct Processor::Record {
@@ -143,13 +143,13 @@
       r.shared = true;
     }
   }
-  engine::Ask ask{mapped.request, mapped.wait, seed_ ^ id,
-                  std::make_unique<Order>(id, sizeof(Record) + mapped.id.size()), this};
+  engine::IncomingRequest ask{mapped.request, mapped.wait, seed_ ^ id,
+                              std::make_unique<Order>(id, sizeof(Record) + mapped.id.size()), this};
   RequestId name = 0;
-  const auto taken = engine_.take(now, *this, Ticket{id, 0}, std::move(ask), name);
+  const auto taken = engine_.accept(now, *this, ResponseHandle{id, 0}, std::move(ask), name);
   Record* still = find(id);
   if (!still) return;
-  if (taken != engine::Taken::kYes) {  // nothing has been sent for it, so a refusal is lawful
+  if (taken != engine::AcceptResult::kAccepted) {  // nothing has been sent for it, so a refusal is lawful
     settle(*still, {Verdict::kRefused, 429, 8, 0, "cometfold_no_room"});
     return forget_if_done(id);
   }
@@ -159,7 +159,8 @@
 // What a request's class and key say of sending it once more.
 bool Processor::class_allows(const Record& r) const {
   const auto& c = names_.settings.classes[r.class_index];
-  return !r.shared && (c.repeat == Repeat::kSafe || (c.repeat == Repeat::kKeyed && r.has_key));
+  return !r.shared && (c.idempotency == Idempotency::kIdempotent ||
+                       (c.idempotency == Idempotency::kIdempotencyKey && r.has_key));
 }
 
 bool Processor::may_come_again(const Record& r) const {
@@ -171,9 +172,10 @@
 // it; one that holds in a zone or cell does not, as it is not known which.
 bool Processor::allowed_unknown(const Mapped& m) const {
   const auto& c = names_.settings.classes[m.request.class_index];
-  if (c.repeat == Repeat::kSafe) return true;
+  if (c.idempotency == Idempotency::kIdempotent) return true;
   const Ms waits = std::max(m.wait, c.deadline_ms);
-  return c.repeat == Repeat::kKeyed && m.has_key && c.group == KeyGroup::kAll && c.key_ttl_ms > waits;
+  return c.idempotency == Idempotency::kIdempotencyKey && m.has_key &&
+         c.idempotency_scope == IdempotencyScope::kAll && c.idempotency_key_ttl_ms > waits;
 }
 
 void Processor::ask_again(Ms now, Exchange& exchange, const Mapped& mapped) {
@@ -194,7 +196,7 @@
     verdict = o.verdict;
     allowed = o.verdict.kind == Verdict::kUnsent;  // nothing of it ever went out
     if (o.verdict.kind == Verdict::kServed) {
-      allowed = names_.settings.classes[o.class_index].repeat == Repeat::kSafe;
+      allowed = names_.settings.classes[o.class_index].idempotency == Idempotency::kIdempotent;
       verdict = {Verdict::kFailed, 503, 14, 0, "cometfold_already_done"};
     }
   }
@@ -269,29 +271,29 @@
   remember(r, kept);
 }
 
-void Processor::served(Ms, Ticket ticket, std::string_view) {
+void Processor::on_served(Ms, ResponseHandle ticket, std::string_view) {
   if (Record* r = find(ticket.connection)) settle(*r, {Verdict::kServed, 200, 0, 0, ""});
 }
 
-void Processor::refused(Ms, Ticket ticket, Ms retry_after) {
+void Processor::on_rejected(Ms, ResponseHandle ticket, Ms retry_after) {
   Record* r = find(ticket.connection);
   if (!r) return;
   settle(*r, {Verdict::kRefused, 429, 8, retry_after, "cometfold_refused"});
   forget_if_done(ticket.connection);
 }
 
-void Processor::failed(Ms, Ticket ticket, engine::Failure why) {
+void Processor::on_failed(Ms, ResponseHandle ticket, engine::FailureReason why) {
   Record* r = find(ticket.connection);
   if (!r) return;
   switch (why) {
-    case engine::Failure::kTimedOut:
+    case engine::FailureReason::kTimedOut:
       settle(*r, {Verdict::kFailed, 504, 4, 0, "cometfold_timed_out"});
       break;
-    case engine::Failure::kStopping:
+    case engine::FailureReason::kShuttingDown:
       settle(*r, {Verdict::kFailed, 503, 14, 0, "cometfold_stopping"});
       break;
-    case engine::Failure::kGivenUp:
-    case engine::Failure::kInternal:
+    case engine::FailureReason::kPolicy:
+    case engine::FailureReason::kInternal:
       settle(*r, {Verdict::kFailed, 503, 14, 0, "cometfold_given_up"});
       break;
   }
@@ -333,11 +335,11 @@
                              Ms left) {
   Record* r = find(static_cast<const Order&>(payload).record());
   const auto h = hosts_.find(host);
-  if (!r || h == hosts_.end()) return StartResult::kNoHost;
+  if (!r || h == hosts_.end()) return StartResult::kHostUnavailable;
   // One call carries one attempt: there is no second copy on this wire.
-  if (r->attempt != 0) return StartResult::kNoRoomHere;
+  if (r->attempt != 0) return StartResult::kNoLocalCapacity;
   const bool waits = r->exchange && r->exchange->waits();
-  if (!waits && !may_come_again(*r)) return StartResult::kNoRoomHere;
+  if (!waits && !may_come_again(*r)) return StartResult::kNoLocalCapacity;
   if (!waits && r->exchange) {  // what it may still report is of an attempt that is over
     r->exchange->unbind();
     r->exchange = nullptr;
@@ -391,14 +393,14 @@
   return true;
 }
 
-bool Processor::waits(AttemptId attempt) const {
+bool Processor::awaits_first_byte(AttemptId attempt) const {
   const auto it = attempts_.find(attempt);
   return it != attempts_.end() && records_.at(it->second).offered;
 }
 
 // What waits for a call, or has not left yet, goes elsewhere. Ends may lead to new attempts: so first all are
 // found, then ended.
-void Processor::retire(Ms now, HostId host) {
+void Processor::retire_host(Ms now, HostId host) {
   const auto h = hosts_.find(host);
   if (h == hosts_.end()) return;
   const auto endpoint = h->second;
@@ -424,7 +426,7 @@
   if (last) {
     r.answered = true;
     remember(r, {!r.left ? Verdict::kUnsent : Verdict::kServed, 503, 14, 0, "cometfold_already_done"});
-    engine_.on_last_end(now, attempt, outcome, load);
+    engine_.on_final_attempt_end(now, attempt, outcome, load);
   } else {
     engine_.on_attempt_end(now, attempt, outcome, {}, load);
   }
@@ -463,7 +465,7 @@
     if (!r->answered) {
       r->answered = true;
       remember(*r, {r->left ? Verdict::kServed : Verdict::kUnsent, 503, 14, 0, "cometfold_already_done"});
-      engine_.gone(now, r->name);
+      engine_.on_client_disconnected(now, r->name);
     }
     return forget_if_done(id);
   }
--- a/src/extproc/processor.h
+++ b/src/extproc/processor.h
@@ -58,19 +58,21 @@
 };
 std::string to_text(const Totals& totals);
 
-class Processor : public engine::FrontEnd, public engine::HostSide, public http2::grpc::Service {
+class Processor : public engine::DownstreamHandler,
+                  public engine::UpstreamTransport,
+                  public http2::grpc::Service {
  public:
-  // The engine must have this as one of its ways to the hosts (`Engine::add_hosts`). Throws SettingsError.
+  // The engine must have this as one of its ways to the hosts (`Engine::add_upstream`). Throws SettingsError.
   Processor(engine::Engine& engine, Names names, Settings settings, std::uint64_t seed);
   ~Processor() override;
 
-  // A host that may be named from now on, until the engine retires it. Before `Engine::on_list`.
+  // A host that may be named from now on, until the engine retires it. Before `Engine::on_host_list`.
   void add(HostId host, std::string endpoint);
   // Other settings and names for calls from now on; a class or plan must keep its number. Throws
   // SettingsError, and keeps what it has.
   void reload(Settings settings, Names names);
 
-  // When `run_due` has something to do; nothing if never.
+  // When `run_timers` has something to do; nothing if never.
   std::optional<Ms> next_due() const;
   void run_due(Ms now);
 
@@ -90,16 +92,16 @@
   using RecordId = std::uint64_t;
 
   // engine::FrontEnd
-  void served(Ms now, engine::Ticket ticket, std::string_view value) override;
-  void refused(Ms now, engine::Ticket ticket, Ms retry_after) override;
-  void failed(Ms now, engine::Ticket ticket, engine::Failure why) override;
+  void on_served(Ms now, engine::ResponseHandle ticket, std::string_view value) override;
+  void on_rejected(Ms now, engine::ResponseHandle ticket, Ms retry_after) override;
+  void on_failed(Ms now, engine::ResponseHandle ticket, engine::FailureReason why) override;
   // engine::HostSide
   engine::StartResult start(Ms now, engine::AttemptId attempt, HostId host, const engine::Payload& payload,
                             Ms left) override;
   bool abandon(Ms now, engine::AttemptId attempt) override;
   bool withdraw(Ms now, engine::AttemptId attempt) override;
-  bool waits(engine::AttemptId attempt) const override;
-  void retire(Ms now, HostId host) override;
+  bool awaits_first_byte(engine::AttemptId attempt) const override;
+  void retire_host(Ms now, HostId host) override;
 
   // A decision as it is told and remembered.
   struct Verdict {
--- a/src/extproc/processor_settings.h
+++ b/src/extproc/processor_settings.h
@@ -83,7 +83,7 @@
 // What the module knows of classes and plans.
 struct Names {
   std::vector<std::string> classes, plans;
-  cometfold::Settings settings;
+  cometfold::AdmissionSettings settings;
   std::vector<RequestBounds> bounds = {};  // by class; none: no further bounds
 };
 
--- a/src/http2/grpc_server.h
+++ b/src/http2/grpc_server.h
@@ -14,7 +14,7 @@
 
 class Connection;
 
-// What a service hears of one call. Destroyed after `on_gone`.
+// What a service hears of one call. Destroyed after `on_client_disconnected`.
 class CallEvents {
  public:
   virtual ~CallEvents() = default;
@@ -25,7 +25,7 @@
   virtual void on_gone(Ms now) = 0;
 };
 
-// One call, for the service. Valid until `on_gone` has returned.
+// One call, for the service. Valid until `on_client_disconnected` has returned.
 class Call {
  public:
   virtual ~Call() = default;
--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -21,75 +21,77 @@
 
 // A value and the line on which it is written.
 template <class Value>
-struct Said {
+struct SourceValue {
   Value value{};
   int line = 0;
 };
 
 // A closed interval of milliseconds.
-struct Span {
-  Ms least = 0, most = 0;
+struct Interval {
+  Ms min = 0, max = 0;
 };
 
 // What one entry says; what it does not say stays as its class, then the site, has it.
-struct Entry {
-  std::string cls;       // the class's name
-  std::string route;     // method and path as written; empty: the class itself
-  std::size_t rule = 0;  // a route's number among the rules
+struct LimitEntry {
+  std::string class_name;      // the class's name
+  std::string route;           // method and path as written; empty: the class itself
+  std::size_t rule_index = 0;  // a route's number among the rules
   int line = 0;
-  std::optional<Said<double>> attempts;     // at most, the first included; whole
-  std::optional<Said<Ms>> attempt_ms;       // one attempt is given up after it
-  std::optional<Said<Ms>> send_until_ms;    // from a request's arrival: no further attempt is sent later
-  std::optional<Said<bool>> second_copies;  // whether one may go out while another is
-  bool says_something() const { return attempts || attempt_ms || send_until_ms || second_copies; }
+  std::optional<SourceValue<double>> max_attempts;    // at most, the first included; whole
+  std::optional<SourceValue<Ms>> attempt_timeout_ms;  // one attempt is given up after it
+  std::optional<SourceValue<Ms>>
+      retry_window_ms;  // from a request's arrival: no further attempt is sent later
+  std::optional<SourceValue<bool>> hedging_allowed;  // whether one may go out while another is
+  bool has_limits() const { return max_attempts || attempt_timeout_ms || retry_window_ms || hedging_allowed; }
 };
 
 // The file as it was read.
-struct Written {
+struct LimitsFile {
   std::string file;
-  Span network{0, 0};  // one way between gateway and host
-  int network_line = 0;
-  Ms clock_error = 0;  // between the gateway's clock and a host's
-  std::vector<Entry> entries;
+  Interval network_delay{0, 0};  // one way between gateway and host
+  int network_delay_line = 0;
+  Ms clock_error_ms = 0;  // between the gateway's clock and a host's
+  std::vector<LimitEntry> entries;
 };
 
 // What the platform's configuration says of classes, by number; a class of no name is withdrawn.
-struct Site {
-  std::vector<std::string> classes;
-  Settings settings;
+struct PlatformTerms {
+  std::vector<std::string> class_names;
+  AdmissionSettings settings;
   Ms connect_timeout_ms = 0;
 };
 
-struct Refusal {
+struct LimitError {
   std::string file;
   int line = 0;
-  std::string setting;  // such as limits.class.NAME.send_until_ms
-  std::string why;      // one sentence, with the chain of events where there is one
-  std::string nearest;  // the nearest value that would be lawful, as it would be written; empty: none is
+  std::string setting;      // such as limits.class.NAME.send_until_ms
+  std::string description;  // one sentence, with the chain of events where there is one
+  std::string
+      nearest_valid;  // the nearest value that would be lawful, as it would be written; empty: none is
   // FILE:LINE: SETTING: WHY; lawful: NEAREST
-  std::string line_text() const;
+  std::string to_text() const;
 };
 
 // Bounds by class number, and by entry for those that name a route. Never changed once made.
-struct Bounds {
+struct ProvenBounds {
   std::vector<RequestBounds> by_class;
   std::vector<RequestBounds> by_entry;  // as `Written::entries`
 };
 
-// Either bounds, or at least one refusal. `settings.classes` and `classes` have one length.
-struct Verdict {
-  Bounds bounds;
-  std::vector<Refusal> refusals;
-  bool lawful() const { return refusals.empty(); }
+// Either bounds, or at least one refusal. `settings.classes` and `class_names` have one length.
+struct ProofResult {
+  ProvenBounds bounds;
+  std::vector<LimitError> errors;
+  bool valid() const { return errors.empty(); }
 };
-Verdict prove(const Written& written, const Site& site);
+ProofResult prove(const LimitsFile& written, const PlatformTerms& site);
 
 // When the last of `attempts` may be sent, counted from the first one's send, and when the last has ended at
 // the latest: each before it takes up to the connect time-out and then its own. Without a time-out of
-// attempts an attempt may end at any time up to `patience`.
-struct Chain {
-  Ms last_sent = 0, last_ended = 0;
+// attempts an attempt may end at any time up to `unreachable_timeout_ms`.
+struct AttemptChain {
+  Ms last_sent_ms = 0, last_ended_ms = 0;
 };
-Chain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms patience);
+AttemptChain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms patience);
 
 }  // namespace cometfold::limits
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -37,8 +37,8 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-std::uint64_t hash_of(const Record& r) {
-  const std::uint64_t numbers[] = {r.start, r.life, static_cast<std::uint64_t>(r.kind)};
+std::uint64_t hash_of(const MemberRecord& r) {
+  const std::uint64_t numbers[] = {r.incarnation, r.process_nonce, static_cast<std::uint64_t>(r.status)};
   return hash_of({reinterpret_cast<const char*>(numbers), sizeof numbers}, hash_of(r.name)) | 1;
 }
 
@@ -48,18 +48,19 @@
 
 }  // namespace
 
-std::size_t size_of(const Record& r) {
-  return 64 + r.name.size() + r.address.size() + r.by.size() + r.extra.size();
+std::size_t encoded_size_bound(const MemberRecord& r) {
+  return 64 + r.name.size() + r.address.size() + r.reported_by.size() + r.unknown_fields.size();
 }
-std::size_t size_of(const Accusation& a) { return 56 + a.name.size() + a.by.size(); }
+std::size_t encoded_size_bound(const Suspicion& a) { return 56 + a.name.size() + a.suspector.size(); }
 
-Membership::Membership(const Settings& settings, Record self, std::vector<std::string> seeds, Draw draw)
+Membership::Membership(const MembershipSettings& settings, MemberRecord self, std::vector<std::string> seeds,
+                       Draw draw)
     : settings_(settings),
       self_(std::move(self)),
       seeds_(std::move(seeds)),
       draw_(std::move(draw)),
-      standing_(settings.better_after),
-      rings_(settings.watchers) {
+      standing_(settings.recovery_hold_ms),
+      rings_(settings.observers_per_member) {
   std::erase(seeds_, self_.address);
   number_ = draw_(std::uint64_t{1} << 62);
 }
@@ -72,7 +73,7 @@
   set_record(now, me, self_);
   spread(me);
   hurry_ = kHurryTicks;
-  next_tick_ = now + static_cast<Ms>(draw_(static_cast<std::uint64_t>(settings_.period)));
+  next_tick_ = now + static_cast<Ms>(draw_(static_cast<std::uint64_t>(settings_.ping_interval_ms)));
   for (std::size_t i = 0; i < std::min<std::size_t>(3, seeds_.size()); ++i) {
     ask_sync(now, seeds_[(draw_(seeds_.size()) + i) % seeds_.size()]);
   }
@@ -82,45 +83,49 @@
 
 void Membership::receive(Ms now, const Message& m) {
   if (m.sender.name == self_.name) {
-    if (m.sender.life != self_.life) rival_said(now, m);
+    if (m.sender.process_nonce != self_.process_nonce) rival_said(now, m);
     return;
   }
   if (asked_anew_) {
-    const bool answer = m.type == Message::kSyncReply || m.type == Message::kAck || m.type == Message::kTell;
-    if (!answer || m.number <= *asked_anew_ || m.number > number_) return;
+    const bool answer =
+        m.type == Message::kSyncReply || m.type == Message::kAck || m.type == Message::kCorrection;
+    if (!answer || m.sequence <= *asked_anew_ || m.sequence > number_) return;
     asked_anew_.reset();
   }
   merge(now, m.sender, true);
   const auto it = members_.find(m.sender.name);
   const bool known = it != members_.end();
-  const bool current = known && it->second.record.kind == Kind::kAlive &&
-                       same_start(it->second.record, m.sender) && m.sender.kind == Kind::kAlive;
+  const bool current = known && it->second.record.status == MemberStatus::kAlive &&
+                       same_incarnation(it->second.record, m.sender) &&
+                       m.sender.status == MemberStatus::kAlive;
   if (!current) return receive_stale(now, m, known ? &it->second : nullptr);
   contact(now, it->second);
-  const std::uint64_t before = self_.start;
-  std::vector<Record> over;
+  const std::uint64_t before = self_.incarnation;
+  std::vector<MemberRecord> over;
   for (const auto& r : m.records) {
     merge(now, r, false);
     // Forgotten here, and still counted there: it is over, or it will take a new number when it hears so.
-    const bool forgotten = r.kind == Kind::kAlive && r.start <= floor_ && !members_.contains(r.name);
+    const bool forgotten =
+        r.status == MemberStatus::kAlive && r.incarnation <= floor_ && !members_.contains(r.name);
     if (!forgotten || over.size() >= kMostTold) continue;
     over.push_back(r);
-    over.back().kind = Kind::kFailed;
-    over.back().by = self_.name;
-    over.back().age_ms = settings_.forget / 2;
+    over.back().status = MemberStatus::kFailed;
+    over.back().reported_by = self_.name;
+    over.back().age_ms = settings_.tombstone_retention_ms / 2;
   }
   if (!over.empty() && tells_left_ > 0) {
     --tells_left_;
-    Message tell = message(now, Message::kTell);
+    Message tell = message(now, Message::kCorrection);
     tell.records = std::move(over);
     send(now, m.sender.address, std::move(tell));
   }
-  for (const auto& a : m.accusations) take_accusation(now, a);
-  if (m.floor >= self_.start) raise(now, m.floor, "the others have forgotten lower numbers");
-  if (self_.start != before) ask_sync(now, m.sender.address);
+  for (const auto& a : m.suspicions) take_accusation(now, a);
+  if (m.incarnation_floor >= self_.incarnation)
+    raise(now, m.incarnation_floor, "the others have forgotten lower numbers");
+  if (self_.incarnation != before) ask_sync(now, m.sender.address);
   if (m.type == Message::kPing) {
     Message answer = message(now, Message::kAck);
-    answer.number = m.number;
+    answer.sequence = m.sequence;
     ride_along(now, answer);
     send(now, m.sender.address, std::move(answer));
   } else if (m.type == Message::kAck) {
@@ -130,7 +135,7 @@
   }
   const bool news = m.type == Message::kPing || m.type == Message::kAck;
   // While news is on its way everywhere digests differ; one that stays different has missed something.
-  if (news && m.digest != digest_ && now - digest_at_ > 3 * settings_.period && syncs_left_ > 0 &&
+  if (news && m.digest != digest_ && now - digest_at_ > 3 * settings_.ping_interval_ms && syncs_left_ > 0 &&
       !mutant(Mutant::kNoDigests)) {
     --syncs_left_;
     ask_sync(now, m.sender.address);
@@ -140,40 +145,44 @@
 // From one that is over as far as is known here: it is told so, and what it says of this one counts, as each
 // side of a healed cut takes the other for over.
 void Membership::receive_stale(Ms now, const Message& m, const Member* known) {
-  ++counts_.stale;
-  const std::uint64_t before = self_.start;
+  ++counts_.stale_messages;
+  const std::uint64_t before = self_.incarnation;
   for (const auto& r : m.records) {
     if (r.name == self_.name) merge_self(now, r);
   }
-  if (m.floor >= self_.start) raise(now, m.floor, "the others have forgotten lower numbers");
-  if (self_.start != before) ask_sync(now, m.sender.address);
-  if (m.sender.kind != Kind::kAlive || tells_left_ <= 0) return;
+  if (m.incarnation_floor >= self_.incarnation)
+    raise(now, m.incarnation_floor, "the others have forgotten lower numbers");
+  if (self_.incarnation != before) ask_sync(now, m.sender.address);
+  if (m.sender.status != MemberStatus::kAlive || tells_left_ <= 0) return;
   --tells_left_;
-  Message tell = message(now, Message::kTell);
-  tell.number = m.number;
+  Message tell = message(now, Message::kCorrection);
+  tell.sequence = m.sequence;
   if (known) {
     tell.records.push_back(told(now, *known));
   } else {
-    tell.floor = floor_;
+    tell.incarnation_floor = floor_;
   }
   send(now, m.sender.address, std::move(tell));
 }
 
-bool Membership::merge(Ms now, const Record& r, bool own_word) {
+bool Membership::merge(Ms now, const MemberRecord& r, bool own_word) {
   if (r.name == self_.name) {
     if (!own_word) merge_self(now, r);
     return false;
   }
-  if (r.name.empty() || r.name.size() > kLargestName || r.address.empty()) return ++counts_.refused, false;
+  if (r.name.empty() || r.name.size() > kMaxNameBytes || r.address.empty())
+    return ++counts_.rejected_members, false;
   const auto it = members_.find(r.name);
   if (it != members_.end()) {
     Member& m = it->second;
-    if (m.dropped && !own_word && r.kind == Kind::kAlive && order_of(r) <= order_of(m.record)) {
+    if (m.dropped && !own_word && r.status == MemberStatus::kAlive &&
+        precedence_of(r) <= precedence_of(m.record)) {
       return hearsay_of_dropped(now, m, r);
     }
-    if (order_of(r) <= order_of(m.record) && !mutant(Mutant::kMergesByArrival)) {
+    if (precedence_of(r) <= precedence_of(m.record) && !mutant(Mutant::kMergesByArrival)) {
       // Who still tells of one that is over is told; such a record may be too old for the digests.
-      if (m.record.kind != Kind::kAlive && r.kind == Kind::kAlive && !own_word && m.record_sends == 0)
+      if (m.record.status != MemberStatus::kAlive && r.status == MemberStatus::kAlive && !own_word &&
+          m.record_sends == 0)
         spread(m);
       return false;
     }
@@ -182,11 +191,12 @@
     return true;
   }
   // Of a name that is not known, only who hears it has anything to tell: others may have kept an old copy.
-  const bool old = r.kind == Kind::kAlive
-                       ? r.start <= floor_ || (!own_word && r.age_ms > 0 && !mutant(Mutant::kBelievesHearsay))
-                       : r.age_ms >= settings_.forget;
+  const bool old =
+      r.status == MemberStatus::kAlive
+          ? r.incarnation <= floor_ || (!own_word && r.age_ms > 0 && !mutant(Mutant::kBelievesHearsay))
+          : r.age_ms >= settings_.tombstone_retention_ms;
   if (old) return false;
-  if (members_.size() >= settings_.most) return ++counts_.refused, false;
+  if (members_.size() >= settings_.max_members) return ++counts_.rejected_members, false;
   Member& m = members_[r.name];
   m.hash = hash_of(r.name);
   set_record(now, m, r);
@@ -195,39 +205,42 @@
 }
 
 // What others say of this one.
-void Membership::merge_self(Ms now, const Record& r) {
-  if (left_ || order_of(r) <= order_of(self_)) return;
-  if (same_start(r, self_)) {
+void Membership::merge_self(Ms now, const MemberRecord& r) {
+  if (left_ || precedence_of(r) <= precedence_of(self_)) return;
+  if (same_incarnation(r, self_)) {
     if (mutant(Mutant::kStaysFailed)) return;
-    ++counts_.returned;
-    return raise(now, r.start, r.kind == Kind::kLeft ? "others say that it left" : "others called it failed");
+    ++counts_.incarnations_raised;
+    return raise(now, r.incarnation,
+                 r.status == MemberStatus::kLeft ? "others say that it left" : "others called it failed");
   }
-  if (r.kind != Kind::kAlive) {
+  if (r.status != MemberStatus::kAlive) {
     return raise(
-        now, r.start,
+        now, r.incarnation,
         displaced_ ? "the other process of this name is over" : "a process before it had a higher number");
   }
   if (displaced_) return yield_to(now, r);
   // The first time it may be this one's own past, which the others don't know to be over. The dead raise no
   // numbers: who is above this one's new number again runs.
   if (claims_.size() >= kMostClaims) claims_.clear();
-  const int claims = ++claims_[r.life];
-  if (claims > 1 && r.life > self_.life && !mutant(Mutant::kNeverYields)) return yield_to(now, r);
-  if (claims > 1) set_rival(now, r.address, r.start);
-  raise(now, r.start,
+  const int claims = ++claims_[r.process_nonce];
+  if (claims > 1 && r.process_nonce > self_.process_nonce && !mutant(Mutant::kNeverYields))
+    return yield_to(now, r);
+  if (claims > 1) set_rival(now, r.address, r.incarnation);
+  raise(now, r.incarnation,
         claims > 1 ? "another process has this name" : "this name was known with a higher number");
 }
 
 // The younger process keeps the name. This one takes no part until the other is over.
-void Membership::yield_to(Ms now, const Record& r) {
+void Membership::yield_to(Ms now, const MemberRecord& r) {
   if (!displaced_) subjects_.clear();
   displaced_ = true;
-  set_rival(now, r.address, r.start);
+  set_rival(now, r.address, r.incarnation);
   set_record(now, members_[self_.name], r);
 }
 
 void Membership::set_rival(Ms now, const std::string& address, std::uint64_t start) {
-  if (rival_ != address) change(Change::kConflict, self_.name, start, State::kAlive, address);
+  if (rival_ != address)
+    change(MembershipEvent::kNameConflict, self_.name, start, MemberState::kAlive, address);
   rival_ = address;
   rival_at_ = now;
   rival_start_ = start;
@@ -235,26 +248,27 @@
 
 void Membership::raise(Ms now, std::uint64_t above, const char* why) {
   if (left_) return;
-  self_.start = above + 1;
+  self_.incarnation = above + 1;
   displaced_ = false;
   Member& me = members_[self_.name];
   set_record(now, me, self_);
   spread(me);
   rings_old_ = true;
-  change(Change::kNewStart, self_.name, self_.start, State::kAlive, why);
+  change(MembershipEvent::kNewIncarnation, self_.name, self_.incarnation, MemberState::kAlive, why);
 }
 
 // Another process with this one's name. Its word alone proves nothing, it may be old; that it knows this
 // one's present start number does.
 void Membership::rival_said(Ms now, const Message& m) {
-  if (order_of(m.sender) > order_of(self_)) return merge_self(now, m.sender);
-  if (m.displaced_by == self_.start && !displaced_) set_rival(now, m.sender.address, m.sender.start);
+  if (precedence_of(m.sender) > precedence_of(self_)) return merge_self(now, m.sender);
+  if (m.displaced_by == self_.incarnation && !displaced_)
+    set_rival(now, m.sender.address, m.sender.incarnation);
   for (const auto& r : m.records) {
     if (r.name == self_.name) merge_self(now, r);
   }
   if (tells_left_ <= 0) return;
   --tells_left_;
-  Message tell = message(now, Message::kTell);
+  Message tell = message(now, Message::kCorrection);
   tell.records.push_back(self_);
   send(now, m.sender.address, std::move(tell));
 }
@@ -267,13 +281,13 @@
 
 // A copy that somebody merely kept takes nobody back: the teller has to hear it. Who counts on it because
 // this one, a watcher in its eyes, does not complain is told.
-bool Membership::hearsay_of_dropped(Ms now, Member& m, const Record& r) {
-  if ((r.age_ms <= 0 || mutant(Mutant::kBelievesHearsay)) && same_start(r, m.record)) {
+bool Membership::hearsay_of_dropped(Ms now, Member& m, const MemberRecord& r) {
+  if ((r.age_ms <= 0 || mutant(Mutant::kBelievesHearsay)) && same_incarnation(r, m.record)) {
     take_back(now, m);
     return true;
   }
   if (m.record_sends == 0) spread(m);
-  put_accuser(now, m, {self_.name, self_.start, ++version_, now + kLastsLater, false});
+  put_accuser(now, m, {self_.name, self_.incarnation, ++version_, now + kLastsLater, false});
   return false;
 }
 
@@ -285,23 +299,25 @@
   const bool accused =
       std::any_of(m.accusers.begin(), m.accusers.end(), [&](auto& a) { return a.by == self_.name; });
   m.accusers.clear();
-  if (accused) put_accuser(now, m, {self_.name, self_.start, ++version_, 0, true});
+  if (accused) put_accuser(now, m, {self_.name, self_.incarnation, ++version_, 0, true});
   rings_old_ = true;
   set_digest(now, m);
   show(now, m);
   spread(m);
 }
 
-void Membership::take_accusation(Ms now, const Accusation& a) {
-  if (a.by == self_.name) return;
+void Membership::take_accusation(Ms now, const Suspicion& a) {
+  if (a.suspector == self_.name) return;
   const auto it = members_.find(a.name);
-  const auto by = members_.find(a.by);
-  if (it == members_.end() || by == members_.end() || !counts(by->second)) return;
+  const auto by = members_.find(a.suspector);
+  if (it == members_.end() || by == members_.end() || !metrics(by->second)) return;
   Member& m = it->second;
-  if (!counts(m) || m.record.start != a.start || m.record.life != a.life) return;
-  if (by->second.record.start != a.by_start) return;
+  if (!metrics(m) || m.record.incarnation != a.incarnation || m.record.process_nonce != a.process_nonce)
+    return;
+  if (by->second.record.incarnation != a.suspector_incarnation) return;
   put_accuser(now, m,
-              {a.by, a.by_start, a.version, now + std::min(a.lasts_ms, kLastsLater), a.lasts_ms <= 0});
+              {a.suspector, a.suspector_incarnation, a.version, now + std::min(a.valid_for_ms, kLastsLater),
+               a.valid_for_ms <= 0});
 }
 
 void Membership::put_accuser(Ms now, Member& m, Accuser accuser) {
@@ -316,7 +332,7 @@
     if (std::pair{it->by_start, it->version} >= std::pair{accuser.by_start, accuser.version}) return;
     *it = std::move(accuser);
   }
-  m.accusation_sends = kSendsByWatcher * static_cast<int>(settings_.watchers);
+  m.accusation_sends = kSendsByWatcher * static_cast<int>(settings_.observers_per_member);
   queue(m);
   show(now, m);
 }
@@ -325,7 +341,7 @@
   const auto subject = subjects_.find(m.sender.name);
   if (subject == subjects_.end()) return;
   Subject& s = subject->second;
-  const auto it = std::find_if(s.out.begin(), s.out.end(), [&](auto& p) { return p.first == m.number; });
+  const auto it = std::find_if(s.out.begin(), s.out.end(), [&](auto& p) { return p.first == m.sequence; });
   if (it == s.out.end()) return;
   constexpr double kOne = 1.0 / 32, kAll = 1.0 / 256;
   const auto learn = [&](double lost) {
@@ -341,16 +357,16 @@
 }
 
 void Membership::sync(Ms now, const Message& m) {
-  if (m.buckets.size() != kBuckets) return;
-  if (m.type == Message::kSync) send_records(now, m, Message::kSyncReply);
-  if (m.type == Message::kSyncReply) send_records(now, m, Message::kSyncBack);
+  if (m.bucket_digests.size() != kDigestBuckets) return;
+  if (m.type == Message::kSyncRequest) send_records(now, m, Message::kSyncReply);
+  if (m.type == Message::kSyncReply) send_records(now, m, Message::kSyncFinal);
 }
 
 // ---- time ----
 
 void Membership::tick(Ms now) {
   notice_jump(now);
-  next_tick_ = now + settings_.period;
+  next_tick_ = now + settings_.ping_interval_ms;
   last_tick_ = now;
   syncs_left_ = kSyncsATick;
   tells_left_ = kTellsATick;
@@ -364,7 +380,7 @@
   ping_subjects(now);
   reconnect(now);
   if (!rival_.empty() && !displaced_ && now - rival_at_ > kRivalFades) {
-    change(Change::kConflictOver, self_.name, rival_start_, State::kAlive, rival_);
+    change(MembershipEvent::kNameConflictResolved, self_.name, rival_start_, MemberState::kAlive, rival_);
     rival_.clear();
   }
 }
@@ -372,17 +388,18 @@
 // Time that passed without this process running is nobody else's fault: pings that went unanswered in it, and
 // silences, are forgiven.
 void Membership::notice_jump(Ms now) {
-  const Ms late = last_tick_ > 0 ? now - last_tick_ - settings_.period : 0;
-  if (late <= kLateByTicks * settings_.period || mutant(Mutant::kIgnoresStop)) {
+  const Ms late = last_tick_ > 0 ? now - last_tick_ - settings_.ping_interval_ms : 0;
+  if (late <= kLateByTicks * settings_.ping_interval_ms || mutant(Mutant::kIgnoresStop)) {
     if (trouble_ > 0 && now - trouble_at_ > kTroubleFades) --trouble_, trouble_at_ = now;
     return;
   }
-  trouble_ = std::min(kMostTrouble, trouble_ + (late > 4 * settings_.period ? kTroubled : 1));
+  trouble_ = std::min(kMostTrouble, trouble_ + (late > 4 * settings_.ping_interval_ms ? kTroubled : 1));
   trouble_at_ = now;
   starved_until_ = now + hearing_window();
   if (late > 1000)
-    change(Change::kStopped, self_.name, self_.start, State::kAlive, std::to_string(std::lround(late)));
-  if (late > settings_.forget / 2 && !mutant(Mutant::kKeepsTheLiving)) return start_over(now);
+    change(MembershipEvent::kProcessPaused, self_.name, self_.incarnation, MemberState::kAlive,
+           std::to_string(std::lround(late)));
+  if (late > settings_.tombstone_retention_ms / 2 && !mutant(Mutant::kKeepsTheLiving)) return start_over(now);
   for (auto& [name, s] : subjects_) {
     s.out.clear();
     if (s.accused) accuse(now, members_.at(name), s, false);
@@ -399,23 +416,23 @@
   for (auto it = members_.begin(); it != members_.end();) {
     Member& m = (it++)->second;
     m.watchers.clear();
-    if (m.record.name == self_.name || m.record.kind != Kind::kAlive) continue;
+    if (m.record.name == self_.name || m.record.status != MemberStatus::kAlive) continue;
     const auto& address = m.record.address;
     if (seeds_.size() < kMostContacts && std::find(seeds_.begin(), seeds_.end(), address) == seeds_.end()) {
       seeds_.push_back(address);
     }
-    bucket_digests_[m.hash % kBuckets] ^= m.digest;
+    bucket_digests_[m.hash % kDigestBuckets] ^= m.digest;
     digest_ ^= m.digest;
     std::erase(news_, &m);
     members_.erase(std::prev(it));
   }
   subjects_.clear();
-  rings_.assign(settings_.watchers, {});
+  rings_.assign(settings_.observers_per_member, {});
   hurry_ = kHurryTicks;
   // What waited in the socket meanwhile is as old: only answers to what it asks from now on count at first.
   number_ = draw_(std::uint64_t{1} << 62);
   asked_anew_ = number_;
-  raise(now, self_.start, "it was stopped for longer than the others remember");
+  raise(now, self_.incarnation, "it was stopped for longer than the others remember");
 }
 
 void Membership::rebuild_rings(Ms now) {
@@ -423,7 +440,7 @@
   for (std::size_t r = 0; r < rings_.size(); ++r) {
     rings_[r].clear();
     for (auto& [name, m] : members_) {
-      if (counts(m)) rings_[r].push_back({ring_hash(m.hash, r), &m});
+      if (metrics(m)) rings_[r].push_back({ring_hash(m.hash, r), &m});
     }
     std::sort(rings_[r].begin(), rings_[r].end(), [](auto& a, auto& b) {
       return std::tie(a.hash, a.member->record.name) < std::tie(b.hash, b.member->record.name);
@@ -431,7 +448,7 @@
   }
   std::map<std::string, Subject> chosen;
   for (auto& [name, m] : members_) {
-    if (!counts(m)) {
+    if (!metrics(m)) {
       m.watchers.clear();
       continue;
     }
@@ -440,14 +457,14 @@
                                   [&](const Member* w) { return w->record.name == self_.name; });
     if (!mine || displaced_) continue;
     const auto had = subjects_.find(name);
-    const bool same = had != subjects_.end() && had->second.start == m.record.start;
-    chosen.emplace(name, same ? had->second : Subject{.start = m.record.start, .loss = loss_});
+    const bool same = had != subjects_.end() && had->second.start == m.record.incarnation;
+    chosen.emplace(name, same ? had->second : Subject{.start = m.record.incarnation, .loss = loss_});
   }
   // Who is no longer watched is no longer accused. Danger: of one that counts no more nothing is taken back,
   // as others, for whom it still does, would take that for a good word.
   for (auto& [name, s] : subjects_) {
     const auto m = members_.find(name);
-    if (s.accused && !chosen.contains(name) && m != members_.end() && counts(m->second))
+    if (s.accused && !chosen.contains(name) && m != members_.end() && metrics(m->second))
       accuse(now, m->second, s, false);
   }
   subjects_ = std::move(chosen);
@@ -479,11 +496,12 @@
   return static_cast<int>(n) + trouble_;
 }
 
-Ms Membership::hearing_window() const { return (needed_misses(loss_) + 1) * settings_.period; }
+Ms Membership::hearing_window() const { return (needed_misses(loss_) + 1) * settings_.ping_interval_ms; }
 
 void Membership::judge_subjects(Ms now) {
   for (auto& [name, s] : subjects_) {
-    const Ms patient = std::clamp(3 * s.round_trip, 0.8 * settings_.period, 4 * settings_.period);
+    const Ms patient =
+        std::clamp(3 * s.round_trip, 0.8 * settings_.ping_interval_ms, 4 * settings_.ping_interval_ms);
     const auto misses =
         std::count_if(s.out.begin(), s.out.end(), [&](auto& p) { return now - p.second >= patient; });
     if (!s.accused && misses < needed_misses(std::max(loss_, s.loss))) continue;
@@ -492,18 +510,18 @@
 }
 
 void Membership::accuse(Ms now, Member& m, Subject& s, bool on) {
-  if (on && !s.accused) s.accused_at = now, ++counts_.accused;
-  if (!on) ++counts_.withdrawn;
+  if (on && !s.accused) s.accused_at = now, ++counts_.suspicions_raised;
+  if (!on) ++counts_.suspicions_withdrawn;
   s.accused = on;
   s.said_at = now;
   s.lasts = now - s.accused_at < kFresh ? kLastsFirst : kLastsLater;
-  put_accuser(now, m, {self_.name, self_.start, ++version_, now + s.lasts, !on});
+  put_accuser(now, m, {self_.name, self_.incarnation, ++version_, now + s.lasts, !on});
 }
 
 bool Membership::fresh(Ms now, const Accuser& a) const {
   if (a.withdrawn || a.until <= now) return false;
   const auto by = members_.find(a.by);
-  return by != members_.end() && counts(by->second) && by->second.record.start == a.by_start;
+  return by != members_.end() && metrics(by->second) && by->second.record.incarnation == a.by_start;
 }
 
 std::size_t Membership::accusers(Ms now, const Member& m) const {
@@ -519,7 +537,7 @@
 bool Membership::enough_accuse(Ms now, const Member& m) const {
   if (mutant(Mutant::kFailsByOne)) return accusers(now, m) > 0;
   const std::size_t most = m.watchers.size() / 2 + 1;
-  return !m.watchers.empty() && accusers(now, m) >= std::min(settings_.quorum, most);
+  return !m.watchers.empty() && accusers(now, m) >= std::min(settings_.suspicion_quorum, most);
 }
 
 // Who is heard: whoever spoke to this one of late, and whoever has watchers that are heard, of which no more
@@ -529,7 +547,7 @@
   const Ms window = hearing_window();
   bool all = true;
   for (auto& [name, m] : members_) {
-    if (!counts(m)) continue;
+    if (!metrics(m)) continue;
     std::erase_if(m.accusers, [&](auto& a) { return a.until <= now; });
     m.heard = name == self_.name ||
               (now - m.heard_at <= window && !accuses(now, self_.name, m) && !enough_accuse(now, m));
@@ -538,7 +556,7 @@
   for (bool more = !all; more;) {
     more = false;
     for (auto& [name, m] : members_) {
-      if (!counts(m) || m.heard || enough_accuse(now, m)) continue;
+      if (!metrics(m) || m.heard || enough_accuse(now, m)) continue;
       std::size_t speak = 0, complain = 0;
       for (const Member* w : m.watchers) {
         if (w->heard) ++(accuses(now, w->record.name, m) ? complain : speak);
@@ -547,11 +565,12 @@
       more |= m.heard;
     }
   }
-  Hearing hearing{0, 0, starved(now) || trouble_ >= kTroubled || displaced_ || !rival_.empty()};
+  ReachabilitySample hearing{0, 0,
+                             recently_paused(now) || trouble_ >= kTroubled || displaced_ || !rival_.empty()};
   for (auto& [name, m] : members_) {
-    if (!counts(m)) continue;
+    if (!metrics(m)) continue;
     ++hearing.known;
-    hearing.heard += m.heard;
+    hearing.reachable += m.heard;
     if (m.heard) {
       m.unheard_since = -1;
     } else if (m.unheard_since < 0) {
@@ -559,29 +578,30 @@
     }
     show(now, m);
   }
-  if (standing_.look(now, hearing)) {
-    change(Change::kStanding, self_.name, self_.start, State::kAlive, std::string(name_of(standing_.now())));
+  if (standing_.update(now, hearing)) {
+    change(MembershipEvent::kConnectivityChanged, self_.name, self_.incarnation, MemberState::kAlive,
+           std::string(name_of(standing_.state())));
   }
 }
 
 void Membership::judge(Ms now) {
-  if (starved(now)) return;
+  if (recently_paused(now)) return;
   for (auto& [name, m] : members_) {
-    if (!counts(m) || name == self_.name) continue;
+    if (!metrics(m) || name == self_.name) continue;
     if (!enough_accuse(now, m)) {
       m.quorum_since = -1;
     } else if (m.quorum_since < 0) {
       m.quorum_since = now;
     }
-    const bool accused = m.quorum_since >= 0 && now - m.quorum_since >= settings_.settle;
-    const bool silent = m.unheard_since >= 0 && now - m.unheard_since >= settings_.patience;
-    const bool may_judge = standing_.may_judge() || mutant(Mutant::kJudgesCutOff);
+    const bool accused = m.quorum_since >= 0 && now - m.quorum_since >= settings_.quorum_hold_ms;
+    const bool silent = m.unheard_since >= 0 && now - m.unheard_since >= settings_.unreachable_timeout_ms;
+    const bool may_judge = standing_.may_declare_failed() || mutant(Mutant::kJudgesCutOff);
     if ((accused || silent) && may_judge) {
-      ++counts_.judged;
-      Record failed = m.record;
-      failed.kind = Kind::kFailed;
+      ++counts_.members_failed;
+      MemberRecord failed = m.record;
+      failed.status = MemberStatus::kFailed;
       failed.age_ms = 0;
-      failed.by = self_.name;
+      failed.reported_by = self_.name;
       set_record(now, m, failed);
       spread(m);
     } else if (silent) {
@@ -597,10 +617,11 @@
     Member& m = (it++)->second;
     const Ms age = now - (m.dropped ? m.unheard_since : m.since);
     const bool early = mutant(Mutant::kForgetsTooEarly);
-    if (counts(m) || (age < settings_.forget / 2 && !early) || m.record.name == self_.name) continue;
+    if (metrics(m) || (age < settings_.tombstone_retention_ms / 2 && !early) || m.record.name == self_.name)
+      continue;
     set_digest(now, m);
-    if (age < settings_.forget && !early) continue;
-    if (!m.dropped && !early) floor_ = std::max(floor_, m.record.start);
+    if (age < settings_.tombstone_retention_ms && !early) continue;
+    if (!m.dropped && !early) floor_ = std::max(floor_, m.record.incarnation);
     std::erase(news_, &m);
     members_.erase(std::prev(it));
   }
@@ -609,8 +630,8 @@
 void Membership::ping_subjects(Ms now) {
   for (auto& [name, s] : subjects_) {
     Message ping = message(now, Message::kPing);
-    ping.number = ++number_;
-    s.out.emplace_back(ping.number, now);
+    ping.sequence = ++number_;
+    s.out.emplace_back(ping.sequence, now);
     if (s.out.size() > kMostOut) s.out.pop_front();
     if (s.out.size() <= kNewsUpTo) ride_along(now, ping);  // news is not wasted on the silent
     send(now, members_.at(name).record.address, std::move(ping));
@@ -621,23 +642,23 @@
 // this one.
 void Membership::reconnect(Ms now) {
   ++ticks_;
-  const bool lonely = standing_.now() == Standing::kAlone && hurry_ > 0;
+  const bool lonely = standing_.state() == ConnectivityState::kIsolated && hurry_ > 0;
   if (lonely) --hurry_;
   if (!lonely && ticks_ % kReconnectTicks != 0) return;
   std::vector<const std::string*> silent, nobody;
   for (const auto& [name, m] : members_) {
-    const bool over = m.record.kind == Kind::kFailed || m.dropped || (counts(m) && !m.heard);
+    const bool over = m.record.status == MemberStatus::kFailed || m.dropped || (metrics(m) && !m.heard);
     if (over && name != self_.name) silent.push_back(&m.record.address);
   }
   for (const auto& seed : seeds_) {
     const bool heard = std::any_of(members_.begin(), members_.end(), [&](auto& entry) {
-      return entry.second.record.address == seed && counts(entry.second) && entry.second.heard;
+      return entry.second.record.address == seed && metrics(entry.second) && entry.second.heard;
     });
     if (!heard) nobody.push_back(&seed);
   }
   if (!silent.empty()) {
     Message ping = message(now, Message::kPing);
-    ping.number = ++number_;
+    ping.sequence = ++number_;
     send(now, *silent[draw_(silent.size())], std::move(ping));
   }
   if (!nobody.empty()) ask_sync(now, *nobody[draw_(nobody.size())]);
@@ -645,7 +666,7 @@
     send(now, rival_, message(now, Message::kPing));
     std::vector<const std::string*> heard;
     for (const auto& [name, m] : members_) {
-      if (counts(m) && name != self_.name) heard.push_back(&m.record.address);
+      if (metrics(m) && name != self_.name) heard.push_back(&m.record.address);
     }
     if (!heard.empty()) ask_sync(now, *heard[draw_(heard.size())]);
   }
@@ -655,8 +676,8 @@
   if (left_) return;
   left_ = true;
   if (displaced_) return;
-  self_.kind = Kind::kLeft;
-  self_.by = self_.name;
+  self_.status = MemberStatus::kLeft;
+  self_.reported_by = self_.name;
   set_record(now, members_.at(self_.name), self_);
   goodbyes_ = kGoodbyes;
   say_goodbye(now);
@@ -684,9 +705,9 @@
   return m;
 }
 
-Record Membership::told(Ms now, const Member& m) const {
-  Record r = m.record;
-  if (r.kind == Kind::kAlive) {
+MemberRecord Membership::told(Ms now, const Member& m) const {
+  MemberRecord r = m.record;
+  if (r.status == MemberStatus::kAlive) {
     r.age_ms = m.unheard_since < 0 ? 0 : std::max(1.0, now - m.unheard_since);
   } else {
     r.age_ms = std::max(0.0, now - m.since);
@@ -701,12 +722,12 @@
     const auto first = static_cast<std::ptrdiff_t>(draw_(news_.size()));
     std::rotate(news_.begin(), news_.begin() + first, news_.end());
   }
-  std::size_t used = size_of(message.sender) + 40;
+  std::size_t used = encoded_size_bound(message.sender) + 40;
   for (std::size_t i = news_.size(); i > 0; --i) {
     Member& m = *news_.front();
     if (m.record_sends > 0) {
-      const std::size_t more = size_of(m.record);
-      if (used + more > kLargestMessage) return;
+      const std::size_t more = encoded_size_bound(m.record);
+      if (used + more > kMaxMessageBytes) return;
       used += more;
       --m.record_sends;
       message.records.push_back(told(now, m));
@@ -714,13 +735,13 @@
     if (m.accusation_sends > 0) {
       std::size_t more = 0;
       for (const auto& a : m.accusers) more += 56 + m.record.name.size() + a.by.size();
-      if (used + more > kLargestMessage) return;
+      if (used + more > kMaxMessageBytes) return;
       used += more;
       --m.accusation_sends;
       for (const auto& a : m.accusers) {
         if (!a.withdrawn && a.until <= now) continue;
-        message.accusations.push_back({m.record.name, m.record.start, m.record.life, a.by, a.by_start,
-                                       a.version, a.withdrawn ? 0 : a.until - now});
+        message.suspicions.push_back({m.record.name, m.record.incarnation, m.record.process_nonce, a.by,
+                                      a.by_start, a.version, a.withdrawn ? 0 : a.until - now});
       }
     }
     news_.pop_front();
@@ -730,9 +751,9 @@
 }
 
 void Membership::ask_sync(Ms now, const std::string& to) {
-  Message m = message(now, Message::kSync);
-  m.buckets = bucket_digests_;
-  m.number = ++number_;
+  Message m = message(now, Message::kSyncRequest);
+  m.bucket_digests = bucket_digests_;
+  m.sequence = ++number_;
   ++counts_.syncs;
   send(now, to, std::move(m));
 }
@@ -742,8 +763,8 @@
 void Membership::send_records(Ms now, const Message& asked, Message::Type type) {
   std::vector<const Member*> differ;
   for (const auto& [name, m] : members_) {
-    const std::size_t bucket = m.hash % kBuckets;
-    if (m.digest != 0 && asked.buckets[bucket] != bucket_digests_[bucket]) differ.push_back(&m);
+    const std::size_t bucket = m.hash % kDigestBuckets;
+    if (m.digest != 0 && asked.bucket_digests[bucket] != bucket_digests_[bucket]) differ.push_back(&m);
   }
   const bool reply = type == Message::kSyncReply;
   if (differ.empty() && !reply) return;
@@ -751,26 +772,27 @@
   std::size_t next = 0;
   for (int n = 1; n <= kSyncDatagrams; ++n) {
     Message m = message(now, type);
-    m.number = asked.number;
-    std::size_t used = size_of(m.sender) + 40 + 9 * kBuckets;
+    m.sequence = asked.sequence;
+    std::size_t used = encoded_size_bound(m.sender) + 40 + 9 * kDigestBuckets;
     for (; next < differ.size(); ++next) {
       const Member& member = *differ[(first + next) % differ.size()];
-      used += size_of(member.record);
-      if (used > kLargestMessage) break;
+      used += encoded_size_bound(member.record);
+      if (used > kMaxMessageBytes) break;
       m.records.push_back(told(now, member));
     }
     const bool last = n == kSyncDatagrams || next == differ.size();
-    if (reply && last) m.buckets = bucket_digests_;
+    if (reply && last) m.bucket_digests = bucket_digests_;
     send(now, asked.sender.address, std::move(m));
     if (last) return;
   }
 }
 
 void Membership::send(Ms now, const std::string& to, Message message) {
-  allowance_ = std::min(kBurst, allowance_ + (now - allowance_at_) * settings_.datagrams_rate / 1000);
+  allowance_ =
+      std::min(kBurst, allowance_ + (now - allowance_at_) * settings_.max_datagrams_per_second / 1000);
   allowance_at_ = now;
   if (allowance_ < 1) {
-    ++counts_.held_back;
+    ++counts_.rate_limited;
     return;
   }
   allowance_ -= 1;
@@ -779,15 +801,15 @@
 
 // ---- state ----
 
-void Membership::set_record(Ms now, Member& m, const Record& record) {
-  const bool same = same_start(m.record, record) && !m.record.name.empty();
+void Membership::set_record(Ms now, Member& m, const MemberRecord& record) {
+  const bool same = same_incarnation(m.record, record) && !m.record.name.empty();
   m.record = record;
   m.record.age_ms = 0;
-  m.since = now - (record.kind == Kind::kAlive ? 0 : record.age_ms);
+  m.since = now - (record.status == MemberStatus::kAlive ? 0 : record.age_ms);
   m.dropped = false;
   m.unheard_since = m.quorum_since = -1;
-  if (!same || record.kind != Kind::kAlive) m.accusers.clear();
-  if (!same && (record.kind != Kind::kAlive || record.age_ms <= 0)) {
+  if (!same || record.status != MemberStatus::kAlive) m.accusers.clear();
+  if (!same && (record.status != MemberStatus::kAlive || record.age_ms <= 0)) {
     m.heard_at = now;  // it is given time to speak
     m.heard = true;
   }
@@ -797,32 +819,33 @@
 }
 
 void Membership::set_digest(Ms now, Member& m) {
-  const bool fading = m.record.kind != Kind::kAlive && now - m.since >= settings_.forget / 2;
+  const bool fading =
+      m.record.status != MemberStatus::kAlive && now - m.since >= settings_.tombstone_retention_ms / 2;
   const std::uint64_t digest = m.dropped || fading ? 0 : hash_of(m.record);
   if (digest == m.digest) return;
-  bucket_digests_[m.hash % kBuckets] ^= m.digest ^ digest;
+  bucket_digests_[m.hash % kDigestBuckets] ^= m.digest ^ digest;
   digest_ ^= m.digest ^ digest;
   m.digest = digest;
   digest_at_ = now;
 }
 
 void Membership::show(Ms now, Member& m, bool anew) {
-  State state = State::kAlive;
-  if (m.record.kind == Kind::kLeft) {
-    state = State::kLeft;
-  } else if (m.record.kind == Kind::kFailed) {
-    state = State::kFailed;
+  MemberState state = MemberState::kAlive;
+  if (m.record.status == MemberStatus::kLeft) {
+    state = MemberState::kLeft;
+  } else if (m.record.status == MemberStatus::kFailed) {
+    state = MemberState::kFailed;
   } else if (!m.heard || accusers(now, m) > 0) {
-    state = State::kSuspect;
+    state = MemberState::kSuspect;
   }
   if (m.dropped || (state == m.shown && !anew)) return;
   m.shown = state;
-  m.shown_since = state >= State::kFailed ? m.since : now;
-  change(Change::kMember, m.record.name, m.record.start, state, m.record.by);
+  m.shown_since = state >= MemberState::kFailed ? m.since : now;
+  change(MembershipEvent::kMemberChanged, m.record.name, m.record.incarnation, state, m.record.reported_by);
 }
 
 void Membership::spread(Member& m) {
-  m.record_sends = kSendsByWatcher * static_cast<int>(settings_.watchers);
+  m.record_sends = kSendsByWatcher * static_cast<int>(settings_.observers_per_member);
   queue(m);
 }
 
@@ -830,35 +853,36 @@
   if (!std::exchange(m.queued, true)) news_.push_back(&m);
 }
 
-void Membership::change(Change::What what, std::string name, std::uint64_t start, State state,
+void Membership::change(MembershipEvent::Kind what, std::string name, std::uint64_t start, MemberState state,
                         std::string detail) {
-  if (changes_.size() < 4 * settings_.most) {
+  if (changes_.size() < 4 * settings_.max_members) {
     changes_.push_back({what, std::move(name), start, state, std::move(detail)});
   }
 }
 
-std::vector<Seen> Membership::members(Ms now) const {
-  std::vector<Seen> all;
+std::vector<MemberView> Membership::members(Ms now) const {
+  std::vector<MemberView> all;
   for (const auto& [name, m] : members_) {
     if (m.dropped) continue;
-    Seen seen{name, m.record.address, m.record.start, m.shown, m.shown_since, m.record.by, {}, {}};
+    MemberView seen{
+        name, m.record.address, m.record.incarnation, m.shown, m.shown_since, m.record.reported_by, {}, {}};
     for (const auto& a : m.accusers) {
-      if (m.shown == State::kSuspect && fresh(now, a)) seen.by = a.by;
+      if (m.shown == MemberState::kSuspect && fresh(now, a)) seen.reported_by = a.by;
     }
     if (const auto s = subjects_.find(name); s != subjects_.end() && s->second.round_trip >= 0) {
-      seen.round_trip = s->second.round_trip;
-      seen.loss = s->second.loss;
+      seen.round_trip_ms = s->second.round_trip;
+      seen.loss_rate = s->second.loss;
     }
     all.push_back(std::move(seen));
   }
   return all;
 }
 
-std::size_t Membership::bytes() const {
+std::size_t Membership::memory_bytes() const {
   std::size_t sum = sizeof *this;
   for (const auto& [name, m] : members_) {
-    sum += sizeof m + 48 + 3 * name.size() + m.record.address.size() + m.record.by.size() +
-           m.record.extra.size() + m.accusers.capacity() * sizeof(Accuser) +
+    sum += sizeof m + 48 + 3 * name.size() + m.record.address.size() + m.record.reported_by.size() +
+           m.record.unknown_fields.size() + m.accusers.capacity() * sizeof(Accuser) +
            m.watchers.capacity() * sizeof(Member*) + rings_.size() * sizeof(RingPlace);
   }
   return sum;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -25,63 +25,64 @@
 namespace cometfold::membership {
 
 // Times in milliseconds.
-struct Settings {
-  Ms period = 250;              // between two pings to each of those watched
-  std::size_t watchers = 5;     // of each member
-  std::size_t quorum = 3;       // of its watchers make it failed; never more than most of those it has
-  Ms settle = 750;              // a quorum has to last, so that a cut is seen as one
-  Ms patience = 20'000;         // nobody heard says that it hears this one: after it, it counts as failed
-  Ms forget = 600'000;          // the failed and left are remembered
-  Ms better_after = 1000;       // a better standing has to last
-  std::size_t most = 4096;      // members, the failed and left among them; more are not taken
-  double datagrams_rate = 200;  // out, a second; acks and pings beyond are dropped and counted
+struct MembershipSettings {
+  Ms ping_interval_ms = 250;             // between two pings to each of those watched
+  std::size_t observers_per_member = 5;  // of each member
+  std::size_t suspicion_quorum = 3;  // of its watchers make it failed; never more than most of those it has
+  Ms quorum_hold_ms = 750;           // a quorum has to last, so that a cut is seen as one
+  Ms unreachable_timeout_ms =
+      20'000;  // nobody heard says that it hears this one: after it, it counts as failed
+  Ms tombstone_retention_ms = 600'000;    // the failed and left are remembered
+  Ms recovery_hold_ms = 1000;             // a better standing has to last
+  std::size_t max_members = 4096;         // members, the failed and left among them; more are not taken
+  double max_datagrams_per_second = 200;  // out, a second; acks and pings beyond are dropped and counted
 };
 
 // State as shown: a record's kind, or suspect where an alive one is accused or not heard.
-enum class State : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
-constexpr std::string_view name_of(State s) {
+enum class MemberState : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
+constexpr std::string_view name_of(MemberState s) {
   constexpr std::string_view kNames[] = {"alive", "suspect", "failed", "left"};
   return kNames[static_cast<std::size_t>(s)];
 }
 
-struct Seen {
+struct MemberView {
   std::string name, address;
-  std::uint64_t start = 0;
-  State state = State::kAlive;
-  Ms since = 0;                  // when it became so, here
-  std::string by;                // whose word: a watcher's or this one's name
-  std::optional<Ms> round_trip;  // of those this one watches
-  std::optional<double> loss;    // part of pings without an answer
+  std::uint64_t incarnation = 0;
+  MemberState state = MemberState::kAlive;
+  Ms since = 0;                     // when it became so, here
+  std::string reported_by;          // whose word: a watcher's or this one's name
+  std::optional<Ms> round_trip_ms;  // of those this one watches
+  std::optional<double> loss_rate;  // part of pings without an answer
 };
 
-struct Change {
-  enum What : std::uint8_t {
-    kMember,    // `name` at `start` went to `state`; forgotten and dropped ones do not show
-    kStanding,  // `detail` names it
-    kNewStart,  // this one takes part with another start number, `detail` says why
-    kConflict,  // another process has this one's name: `detail` is its address
-    kConflictOver,
-    kStopped,  // this process did not run for `detail` milliseconds
+struct MembershipEvent {
+  enum Kind : std::uint8_t {
+    kMemberChanged,  // `request_id` at `incarnation` went to `state`; forgotten and dropped ones do not show
+    kConnectivityChanged,  // `detail` names it
+    kNewIncarnation,       // this one takes part with another start number, `detail` says why
+    kNameConflict,         // another process has this one's name: `detail` is its address
+    kNameConflictResolved,
+    kProcessPaused,  // this process did not run for `detail` milliseconds
   };
-  What what = kMember;
+  Kind kind = kMemberChanged;
   std::string name;
-  std::uint64_t start = 0;
-  State state = State::kAlive;
+  std::uint64_t incarnation = 0;
+  MemberState state = MemberState::kAlive;
   std::string detail;
 };
 
-struct Envelope {
+struct OutgoingMessage {
   std::string to;  // address
   Message message;
 };
 
-struct Counts {
-  std::uint64_t held_back = 0;               // datagrams above the rate
-  std::uint64_t refused = 0;                 // members above the bound, names that are none
-  std::uint64_t stale = 0;                   // messages of members that are over
-  std::uint64_t accused = 0, withdrawn = 0;  // by this one
-  std::uint64_t judged = 0;                  // members that this one's word made failed
-  std::uint64_t returned = 0;                // own start numbers that others had called failed
+struct MembershipMetrics {
+  std::uint64_t rate_limited = 0;      // datagrams above the rate
+  std::uint64_t rejected_members = 0;  // members above the bound, names that are none
+  std::uint64_t stale_messages = 0;    // messages of members that are over
+  std::uint64_t suspicions_raised = 0, suspicions_withdrawn = 0;  // by this one
+  std::uint64_t members_failed = 0;                               // members that this one's word made failed
+  std::uint64_t incarnations_raised = 0;  // own start numbers that others had called failed
   std::uint64_t syncs = 0;
 };
 
@@ -92,31 +93,32 @@
 
   // `self` names this member and where it is reached, with a first start number (a hint: it is raised where
   // others know a higher one) and a life. `seeds` are addresses; its own among them does no harm.
-  Membership(const Settings& settings, Record self, std::vector<std::string> seeds, Draw draw);
+  Membership(const MembershipSettings& settings, MemberRecord self, std::vector<std::string> seeds,
+             Draw draw);
 
   void start(Ms now);
   void receive(Ms now, const Message& message);
   // To be called when `next_due` has come; late calls are noticed.
   void tick(Ms now);
-  Ms next_due() const { return next_tick_; }
+  Ms next_tick() const { return next_tick_; }
   // Tells the others that this one goes; it still answers, and takes part no more.
   void leave(Ms now);
 
-  std::vector<Envelope> take_messages() { return std::exchange(out_, {}); }
-  std::vector<Change> take_changes() { return std::exchange(changes_, {}); }
+  std::vector<OutgoingMessage> take_messages() { return std::exchange(out_, {}); }
+  std::vector<MembershipEvent> take_events() { return std::exchange(changes_, {}); }
 
-  const Record& self() const { return self_; }
-  Standing standing() const { return standing_.now(); }
-  Ms standing_since() const { return standing_.since(); }
+  const MemberRecord& self() const { return self_; }
+  ConnectivityState connectivity() const { return standing_.state(); }
+  Ms connectivity_since() const { return standing_.since(); }
   // All members by name, this one included.
-  std::vector<Seen> members(Ms now) const;
+  std::vector<MemberView> members(Ms now) const;
   std::uint64_t digest() const { return digest_; }
-  const Counts& counts() const { return counts_; }
+  const MembershipMetrics& metrics() const { return counts_; }
   // The other process that has this one's name; empty if there is none of late.
-  const std::string& rival() const { return rival_; }
+  const std::string& conflicting_address() const { return rival_; }
   // Silence that is likely this one's own fault: it was stopped or starved within the last moments.
-  bool starved(Ms now) const { return now < starved_until_; }
-  std::size_t bytes() const;  // about what all this takes, for bounds
+  bool recently_paused(Ms now) const { return now < starved_until_; }
+  std::size_t memory_bytes() const;  // about what all this takes, for bounds
 
  private:
   struct Accuser {
@@ -126,14 +128,14 @@
     bool withdrawn = false;
   };
   struct Member {
-    Record record;
+    MemberRecord record;
     Ms since = 0;           // of the record's kind
     Ms heard_at = -1e12;    // by this one itself
     bool heard = true;      // by itself or through another, as last looked at
     Ms unheard_since = -1;  // less than 0: it is heard
     Ms quorum_since = -1;   // enough accuse it
     bool dropped = false;   // not heard for too long while cut off: it counts no more, and binds nobody
-    State shown = State::kAlive;
+    MemberState shown = MemberState::kAlive;
     Ms shown_since = 0;
     std::vector<Accuser> accusers;
     std::vector<Member*> watchers;
@@ -157,16 +159,16 @@
   };
 
   void receive_stale(Ms now, const Message& message, const Member* known);
-  bool merge(Ms now, const Record& record, bool own_word);
-  void merge_self(Ms now, const Record& record);
-  void yield_to(Ms now, const Record& record);
+  bool merge(Ms now, const MemberRecord& record, bool own_word);
+  void merge_self(Ms now, const MemberRecord& record);
+  void yield_to(Ms now, const MemberRecord& record);
   void set_rival(Ms now, const std::string& address, std::uint64_t start);
   void raise(Ms now, std::uint64_t above, const char* why);
   void rival_said(Ms now, const Message& message);
   void contact(Ms now, Member& member);
-  bool hearsay_of_dropped(Ms now, Member& member, const Record& record);
+  bool hearsay_of_dropped(Ms now, Member& member, const MemberRecord& record);
   void take_back(Ms now, Member& member);
-  void take_accusation(Ms now, const Accusation& accusation);
+  void take_accusation(Ms now, const Suspicion& accusation);
   void put_accuser(Ms now, Member& member, Accuser accuser);
   void ack(Ms now, const Message& message);
   void sync(Ms now, const Message& message);
@@ -191,31 +193,32 @@
   void say_goodbye(Ms now);
 
   Message message(Ms now, Message::Type type) const;
-  Record told(Ms now, const Member& member) const;
+  MemberRecord told(Ms now, const Member& member) const;
   void ride_along(Ms now, Message& message);
   void ask_sync(Ms now, const std::string& to);
   void send_records(Ms now, const Message& asked, Message::Type type);
   void send(Ms now, const std::string& to, Message message);
 
-  bool counts(const Member& m) const { return m.record.kind == Kind::kAlive && !m.dropped; }
-  void set_record(Ms now, Member& member, const Record& record);
+  bool metrics(const Member& m) const { return m.record.status == MemberStatus::kAlive && !m.dropped; }
+  void set_record(Ms now, Member& member, const MemberRecord& record);
   void set_digest(Ms now, Member& member);
   void show(Ms now, Member& member, bool anew = false);
   void spread(Member& member);
   void queue(Member& member);
-  void change(Change::What what, std::string name, std::uint64_t start, State state, std::string detail);
+  void change(MembershipEvent::Kind what, std::string name, std::uint64_t start, MemberState state,
+              std::string detail);
 
-  Settings settings_;
-  Record self_;
+  MembershipSettings settings_;
+  MemberRecord self_;
   std::vector<std::string> seeds_;
   Draw draw_;
-  StandingRule standing_;
+  ConnectivityTracker standing_;
   std::map<std::string, Member> members_;  // this one included; places are stable
   std::vector<std::vector<RingPlace>> rings_;
   std::map<std::string, Subject> subjects_;
   std::deque<Member*> news_;
   std::unordered_map<std::uint64_t, int> claims_;  // by life: how often another had this one's name
-  std::vector<std::uint64_t> bucket_digests_ = std::vector<std::uint64_t>(kBuckets, 0);
+  std::vector<std::uint64_t> bucket_digests_ = std::vector<std::uint64_t>(kDigestBuckets, 0);
   std::uint64_t digest_ = 0;
   Ms digest_at_ = 0;         // when it last changed
   std::uint64_t floor_ = 0;  // no start number up to it comes in by hearsay where the name is not known
@@ -235,9 +238,9 @@
   std::string rival_;
   Ms rival_at_ = 0;
   std::uint64_t rival_start_ = 0;
-  std::vector<Envelope> out_;
-  std::vector<Change> changes_;
-  Counts counts_;
+  std::vector<OutgoingMessage> out_;
+  std::vector<MembershipEvent> changes_;
+  MembershipMetrics counts_;
 };
 
 }  // namespace cometfold::membership
--- a/src/membership/standing.cpp
+++ b/src/membership/standing.cpp
@@ -4,15 +4,15 @@
 
 namespace cometfold::membership {
 
-Standing StandingRule::of(const Hearing& h) {
-  if (h.heard <= 1) return Standing::kAlone;
-  if (2 * h.heard < h.known) return Standing::kCutOff;
-  if (h.own_fault || 4 * h.heard <= 3 * h.known) return Standing::kDoubtful;
-  return Standing::kTogether;
+ConnectivityState ConnectivityTracker::classify(const ReachabilitySample& h) {
+  if (h.reachable <= 1) return ConnectivityState::kIsolated;
+  if (2 * h.reachable < h.known) return ConnectivityState::kPartitioned;
+  if (h.local_fault || 4 * h.reachable <= 3 * h.known) return ConnectivityState::kDegraded;
+  return ConnectivityState::kConnected;
 }
 
-bool StandingRule::look(Ms now, const Hearing& hearing) {
-  const Standing seen = of(hearing);
+bool ConnectivityTracker::update(Ms now, const ReachabilitySample& hearing) {
+  const ConnectivityState seen = classify(hearing);
   if (seen == now_) {
     better_since_ = -1;
     return false;
@@ -21,7 +21,7 @@
     if (better_since_ < 0) better_since_ = now, worst_lately_ = seen;
     worst_lately_ = std::max(worst_lately_, seen);
     // The first word from another ends being alone at once: there is nothing to swing back to.
-    const bool first = now_ == Standing::kAlone && since_ == 0;
+    const bool first = now_ == ConnectivityState::kIsolated && since_ == 0;
     if (!first && now - better_since_ < better_after_) return false;
     now_ = first ? seen : worst_lately_;
   } else {
--- a/src/membership/standing.h
+++ b/src/membership/standing.h
@@ -24,37 +24,37 @@
 
 namespace cometfold::membership {
 
-enum class Standing : std::uint8_t { kTogether, kDoubtful, kCutOff, kAlone };
+enum class ConnectivityState : std::uint8_t { kConnected, kDegraded, kPartitioned, kIsolated };
 
-constexpr std::string_view name_of(Standing s) {
+constexpr std::string_view name_of(ConnectivityState s) {
   constexpr std::string_view kNames[] = {"together", "doubtful", "cut-off", "alone"};
   return kNames[static_cast<std::size_t>(s)];
 }
 
-struct Hearing {
-  std::size_t known = 1, heard = 1;  // members neither failed nor left, this one included
-  bool own_fault = false;            // it was stopped or starved, or its name is another's
+struct ReachabilitySample {
+  std::size_t known = 1, reachable = 1;  // members neither failed nor left, this one included
+  bool local_fault = false;              // it was stopped or starved, or its name is another's
 };
 
-class StandingRule {
+class ConnectivityTracker {
  public:
-  explicit StandingRule(Ms better_after) : better_after_(better_after) {}
+  explicit ConnectivityTracker(Ms better_after) : better_after_(better_after) {}
 
   // What this hearing alone says.
-  static Standing of(const Hearing& hearing);
+  static ConnectivityState classify(const ReachabilitySample& hearing);
   // True if the standing changed.
-  bool look(Ms now, const Hearing& hearing);
-  Standing now() const { return now_; }
+  bool update(Ms now, const ReachabilitySample& hearing);
+  ConnectivityState state() const { return now_; }
   Ms since() const { return since_; }
   // May this one's word make another failed?
-  bool may_judge() const { return now_ <= Standing::kDoubtful; }
+  bool may_declare_failed() const { return now_ <= ConnectivityState::kDegraded; }
 
  private:
   Ms better_after_;
-  Standing now_ = Standing::kAlone;
+  ConnectivityState now_ = ConnectivityState::kIsolated;
   Ms since_ = 0;
   Ms better_since_ = -1;  // less than 0: it is not better than it stands
-  Standing worst_lately_ = Standing::kTogether;
+  ConnectivityState worst_lately_ = ConnectivityState::kConnected;
 };
 
 }  // namespace cometfold::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -10,19 +10,19 @@
 
 namespace cometfold::membership {
 
-inline constexpr std::size_t kLargestDatagram = 1200;
+inline constexpr std::size_t kMaxDatagramBytes = 1200;
 
-enum class Unread : std::uint8_t {
+enum class DecodeError : std::uint8_t {
   kNone,
-  kForeign,    // no frame of ours, or another cluster's
-  kVersion,    // framed by another version
-  kSpoilt,     // the checksum differs
-  kMalformed,  // whole, and not a message: an unknown type, a bound exceeded
+  kForeign,           // no frame of ours, or another cluster's
+  kVersionMismatch,   // framed by another version
+  kChecksumMismatch,  // the checksum differs
+  kMalformed,         // whole, and not a message: an unknown type, a bound exceeded
 };
 
 std::string encode(const Message& message, std::string_view cluster);
 
-// Nothing, with the reason in `why`, if it is not to be read.
-std::optional<Message> decode(std::string_view datagram, std::string_view cluster, Unread& why);
+// Nothing, with the reason in `description`, if it is not to be read.
+std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& why);
 
 }  // namespace cometfold::membership
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -49,10 +49,10 @@
     }
     if (error) return answer({400, "not a call in HTTP/1.1: " + error.message() + "\n"});
     const auto& call = parser_.get();
-    answer(ops::call(owner_.gateway_, std::string(call.method_string()), std::string(call.target())));
+    answer(ops::handle_call(owner_.gateway_, std::string(call.method_string()), std::string(call.target())));
   }
 
-  void answer(ops::Answer given) {
+  void answer(ops::CallResponse given) {
     answering_ = true;
     response_.version(11);
     response_.result(static_cast<unsigned>(given.status));
@@ -96,7 +96,7 @@
   bool answering_ = false;
 };
 
-AdminServer::AdminServer(asio::io_context& io, ops::Operable& gateway)
+AdminServer::AdminServer(asio::io_context& io, ops::GatewayOperations& gateway)
     : io_(io), gateway_(gateway), acceptor_(io), again_(io) {}
 AdminServer::~AdminServer() = default;
 
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -13,7 +13,7 @@
 class AdminServer {
  public:
   // `gateway` must outlast the server.
-  AdminServer(boost::asio::io_context& io, ops::Operable& gateway);
+  AdminServer(boost::asio::io_context& io, ops::GatewayOperations& gateway);
   ~AdminServer();
 
   // Throws boost::system::system_error if the address can't be had.
@@ -27,7 +27,7 @@
   void make_room();
 
   boost::asio::io_context& io_;
-  ops::Operable& gateway_;
+  ops::GatewayOperations& gateway_;
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer again_;
   std::list<std::shared_ptr<Caller>> callers_;  // in the order in which they came
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -25,7 +25,7 @@
 // 321 gateways some waited 24 s and sent to hosts that drain. So both times are bounded.
 class Backoff {
  public:
-  // `gateways` call the same discovery; from 1.
+  // `gateway_count` call the same discovery; from 1.
   explicit Backoff(double gateways = 1) : fleet_(std::clamp(gateways, 1.0, kMostGateways)) {}
 
   // Danger: what an agent on this machine has counts as told, and nobody else presses it: a gateway that
--- a/src/net/clients.cpp
+++ b/src/net/clients.cpp
@@ -44,7 +44,7 @@
       events_(events),
       most_(limits.connections),
       kept_(limits.kept),
-      totals_{.most_unsent = limits.unsent, .most_buffered = limits.buffered},
+      totals_{.max_unsent_bytes = limits.unsent, .max_buffered_bytes = limits.buffered},
       acceptor_(io),
       retry_accept_(io),
       leavers_timer_(io),
@@ -90,8 +90,8 @@
 void Clients::set_limits(const ClientLimits& limits) {
   most_ = limits.connections;
   kept_ = limits.kept;
-  totals_.most_unsent = limits.unsent;
-  totals_.most_buffered = limits.buffered;
+  totals_.max_unsent_bytes = limits.unsent;
+  totals_.max_buffered_bytes = limits.buffered;
 }
 
 void Clients::accept() {
@@ -139,115 +139,117 @@
   socket.non_blocking(true, ignored);
   socket.set_option(tcp::no_delay(true), ignored);
   const auto id = ++last_id_;
-  const auto link = std::make_shared<resp::ClientLink>(*this, totals_, id, clock_.now());
+  const auto link = std::make_shared<resp::ClientConnection>(*this, totals_, id, clock_.now());
   connections_.emplace(id, link);
   if (late_since_) account_for_wait(socket, *link);
-  if (draining_) link->end_after_next();
+  if (draining_) link->close_after_next_reply();
   link->start(std::make_unique<TcpStream>(std::move(socket), clock_, *link));
-  if (winding_down_) link->wind_down(clock_.now());
+  if (winding_down_) link->start_draining(clock_.now());
   trim();
 }
 
 // Danger: a request's time runs while its connection waits for a place here.
-void Clients::account_for_wait(tcp::socket& socket, resp::ClientLink& link) {
+void Clients::account_for_wait(tcp::socket& socket, resp::ClientConnection& link) {
   error_code error;
   if (socket.available(error) == 0 || error) return;
   const Ms now = clock_.now();
   const Ms at_most = now - *late_since_;
-  link.unread_since(now - std::min(quiet_for(socket.native_handle()).value_or(at_most), at_most));
+  link.set_arrival_bound(now - std::min(quiet_for(socket.native_handle()).value_or(at_most), at_most));
 }
 
 // Danger: clients that ask once and keep their connection use up what their side may open here, long before
 // this table is full; whoever comes then is turned away over there, and nothing of it is seen here. So few
 // are kept unused, the one used last for longest goes first.
 void Clients::trim() {
-  std::shared_ptr<resp::ClientLink> oldest;
+  std::shared_ptr<resp::ClientConnection> oldest;
   std::size_t unused = 0;
   for (const auto& [id, c] : connections_) {
-    if (!c->answered() || !c->idle()) continue;
+    if (!c->has_replied() || !c->is_idle()) continue;
     ++unused;
-    if (!oldest || c->used() < oldest->used()) oldest = c;
+    if (!oldest || c->last_used() < oldest->last_used()) oldest = c;
   }
   const Ms now = clock_.now();
-  if (unused > kept_ && may_close(resp::CloseReason::kNoRoom, oldest->state(now))) {
-    oldest->close(now, resp::CloseReason::kNoRoom);
+  if (unused > kept_ && may_close(resp::CloseReason::kEvicted, oldest->state(now))) {
+    oldest->close(now, resp::CloseReason::kEvicted);
   }
 }
 
-void Clients::answer(Ms now, Ticket ticket, std::string_view reply) {
+void Clients::send_reply(Ms now, ResponseHandle ticket, std::string_view reply) {
   const auto it = connections_.find(ticket.connection);
-  if (it != connections_.end()) it->second->answer(now, ticket.place, reply);
+  if (it != connections_.end()) it->second->send_reply(now, ticket.sequence, reply);
 }
 
-void Clients::reject(Ms now, Ticket ticket, std::string_view why) {
+void Clients::send_error(Ms now, ResponseHandle ticket, std::string_view why) {
   const auto it = connections_.find(ticket.connection);
-  if (it != connections_.end()) it->second->reject(now, ticket.place, why);
+  if (it != connections_.end()) it->second->send_error(now, ticket.sequence, why);
 }
 
-void Clients::begin_value(Ms now, Ticket ticket, std::size_t size) {
+void Clients::start_value(Ms now, ResponseHandle ticket, std::size_t size) {
   const auto it = connections_.find(ticket.connection);
-  if (it != connections_.end()) it->second->begin_value(now, ticket.place, size);
+  if (it != connections_.end()) it->second->start_value(now, ticket.sequence, size);
 }
 
-bool Clients::add_to_value(Ms now, Ticket ticket, std::string_view bytes) {
+bool Clients::append_value(Ms now, ResponseHandle ticket, std::string_view bytes) {
   const auto it = connections_.find(ticket.connection);
-  return it == connections_.end() || it->second->add_to_value(now, ticket.place, bytes);
+  return it == connections_.end() || it->second->append_value(now, ticket.sequence, bytes);
 }
 
-void Clients::end_value(Ms now, Ticket ticket) {
+void Clients::finish_value(Ms now, ResponseHandle ticket) {
   const auto it = connections_.find(ticket.connection);
-  if (it != connections_.end()) it->second->end_value(now, ticket.place);
+  if (it != connections_.end()) it->second->finish_value(now, ticket.sequence);
 }
 
-bool Clients::client_left(Ticket ticket) {
+bool Clients::client_disconnected(ResponseHandle ticket) {
   const auto it = connections_.find(ticket.connection);
-  return it == connections_.end() || it->second->client_left();
+  return it == connections_.end() || it->second->client_disconnected();
 }
 
-resp::Named Clients::on_command(Ms, Ticket ticket, std::span<const resp::Item> words, Ms waited) {
+resp::CommandResult Clients::on_command(Ms, ResponseHandle ticket, std::span<const resp::Item> words,
+                                        Ms waited) {
   return events_.on_command(ticket, words, waited);
 }
 
-void Clients::on_client_gone(Ms, std::uint64_t name) { events_.on_client_gone(name); }
+void Clients::on_client_disconnected(Ms, std::uint64_t name) { events_.on_client_gone(name); }
 
 // Danger: if only idle clients made room, those that say nothing or half of something would keep others out.
 // Where they are many the oldest of them goes first: a usual client sends at once, so its turn does not come.
 // One with something unread has a request here, or half of one, and stays.
 bool Clients::make_room() {
-  std::shared_ptr<resp::ClientLink> worst, silent;
+  std::shared_ptr<resp::ClientConnection> worst, silent;
   std::size_t silent_ones = 0;
   for (const auto& [id, c] : connections_) {
-    const int spare = c->spare();
+    const int spare = c->eviction_priority();
     if (spare == 0) continue;
-    const bool silently = c->silent() && ++silent_ones && (!silent || c->used() < silent->used());
-    const bool worse =
-        !worst || spare > worst->spare() || (spare == worst->spare() && c->used() < worst->used());
-    if ((!silently && !worse) || !may_close(resp::CloseReason::kNoRoom, c->state(clock_.now()))) continue;
+    const bool silently =
+        c->is_silent() && ++silent_ones && (!silent || c->last_used() < silent->last_used());
+    const bool worse = !worst || spare > worst->eviction_priority() ||
+                       (spare == worst->eviction_priority() && c->last_used() < worst->last_used());
+    if ((!silently && !worse) || !may_close(resp::CloseReason::kEvicted, c->state(clock_.now()))) continue;
     if (silently) silent = c;
     if (worse) worst = c;
   }
   if (!worst) return false;
   (silent && silent_ones * kManySilent > most_ ? silent : worst)
-      ->close(clock_.now(), resp::CloseReason::kNoRoom);
+      ->close(clock_.now(), resp::CloseReason::kEvicted);
   return true;
 }
 
 // Danger: whoever is held back is not read from, so nothing tells that it has gone, and attempts for it that
 // begin later than 0.1 s after that are lost requests.
-void Clients::on_held_back() {
+void Clients::on_reads_paused() {
   if (std::exchange(looking_for_leavers_, true)) return;
   leavers_timer_.expires_after(kLookForLeavers);
   leavers_timer_.async_wait([this](error_code error) {
     if (error) return;
     looking_for_leavers_ = false;
     const auto all = connections_;  // a look may close some
-    for (const auto& [id, c] : all) c->look_for_end(clock_.now());
+    for (const auto& [id, c] : all) c->check_disconnected(clock_.now());
   });
 }
 
 void Clients::sweep() {
   const auto all = connections_;  // a sweep may close some
-  for (const auto& [id, c] : all) c->sweep(clock_.now());
+  for (const auto& [id, c] : all) c->close_if_timed_out(clock_.now());
   sweep_timer_.expires_after(kSweep);
   sweep_timer_.async_wait([this](error_code error) {
     if (!error) sweep();
@@ -290,12 +292,12 @@
 void Clients::set_draining(bool on) {
   draining_ = on;
   if (!on) return;
-  for (const auto& [id, c] : connections_) c->end_after_next();
+  for (const auto& [id, c] : connections_) c->close_after_next_reply();
 }
 
 void Clients::end_idle() {
   const auto all = connections_;
-  for (const auto& [id, c] : all) c->wind_down(clock_.now());
+  for (const auto& [id, c] : all) c->start_draining(clock_.now());
 }
 
 std::size_t Clients::connections() const {
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -16,13 +16,14 @@
 
 namespace cometfold::net {
 
-using resp::Ticket;
+using resp::ResponseHandle;
 
 class ClientEvents {
  public:
   virtual ~ClientEvents() = default;
   // A well-framed command, which came up to `waited` milliseconds ago.
-  virtual resp::Named on_command(Ticket ticket, std::span<const resp::Item> words, Ms waited) = 0;
+  virtual resp::CommandResult on_command(ResponseHandle ticket, std::span<const resp::Item> words,
+                                         Ms waited) = 0;
   virtual void on_client_gone(std::uint64_t name) = 0;
   virtual void on_room(std::uint64_t name) = 0;
   // See resp::ClientOwner.
@@ -37,7 +38,7 @@
   std::size_t buffered = 24 * 1024 * 1024;  // bytes of buffers for commands, before large halves are refused
 };
 
-class Clients : public resp::Replies, public resp::ClientOwner {
+class Clients : public resp::ReplySink, public resp::ClientConnectionCallbacks {
  public:
   Clients(boost::asio::io_context& io, Clock& clock, ClientEvents& events, const ClientLimits& limits);
   ~Clients() override;
@@ -55,16 +56,16 @@
   const resp::ClientTotals& totals() const { return totals_; }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  void answer(Ms now, Ticket ticket, std::string_view reply) override;
-  void reject(Ms now, Ticket ticket, std::string_view why) override;
-  void begin_value(Ms now, Ticket ticket, std::size_t size) override;
-  bool add_to_value(Ms now, Ticket ticket, std::string_view bytes) override;
-  void end_value(Ms now, Ticket ticket) override;
-  bool client_left(Ticket ticket) override;
+  void send_reply(Ms now, ResponseHandle ticket, std::string_view reply) override;
+  void send_error(Ms now, ResponseHandle ticket, std::string_view why) override;
+  void start_value(Ms now, ResponseHandle ticket, std::size_t size) override;
+  bool append_value(Ms now, ResponseHandle ticket, std::string_view bytes) override;
+  void finish_value(Ms now, ResponseHandle ticket) override;
+  bool client_disconnected(ResponseHandle ticket) override;
 
   // From here on nobody new; connections close as soon as nothing is owed on them.
   void wind_down();
-  // Those that are open; while the queue of newcomers is not empty yet after `wind_down`, one more.
+  // Those that are open; while the queue of newcomers is not empty yet after `start_draining`, one more.
   std::size_t connections() const;
 
   // Drain on demand. While it is on, connections end after their next answer, new ones too.
@@ -76,19 +77,20 @@
   bool make_room();
 
  private:
-  resp::Named on_command(Ms now, Ticket ticket, std::span<const resp::Item> words, Ms waited) override;
-  void on_unsent(std::uint64_t identity) override { events_.on_unsent(identity); }
-  void on_sent(std::uint64_t identity) override { events_.on_sent(identity); }
-  void on_client_gone(Ms now, std::uint64_t name) override;
-  void on_room(Ms, std::uint64_t name) override { events_.on_room(name); }
+  resp::CommandResult on_command(Ms now, ResponseHandle ticket, std::span<const resp::Item> words,
+                                 Ms waited) override;
+  void on_reply_pending(std::uint64_t identity) override { events_.on_unsent(identity); }
+  void on_reply_flushed(std::uint64_t identity) override { events_.on_sent(identity); }
+  void on_client_disconnected(Ms now, std::uint64_t name) override;
+  void on_client_writable(Ms, std::uint64_t name) override { events_.on_room(name); }
   void on_closed(std::uint64_t id) override { connections_.erase(id); }
-  void on_held_back() override;
+  void on_reads_paused() override;
 
   void accept();
   void accept_later();
   void accept_one();
   void accepted(boost::asio::ip::tcp::socket socket);
-  void account_for_wait(boost::asio::ip::tcp::socket& socket, resp::ClientLink& link);
+  void account_for_wait(boost::asio::ip::tcp::socket& socket, resp::ClientConnection& link);
   void empty_queue();
   void sweep();
   void trim();
@@ -101,7 +103,7 @@
   boost::asio::ip::tcp::acceptor acceptor_;
   boost::asio::steady_timer retry_accept_, leavers_timer_;
   boost::asio::steady_timer sweep_timer_;
-  std::unordered_map<std::uint64_t, std::shared_ptr<resp::ClientLink>> connections_;
+  std::unordered_map<std::uint64_t, std::shared_ptr<resp::ClientConnection>> connections_;
   std::uint64_t last_id_ = 0;
   std::optional<Ms> late_since_;  // newcomers have waited since then at most; none: they were taken at once
   bool begun_ = false, winding_down_ = false, draining_ = false, looking_for_leavers_ = false;
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -270,14 +270,15 @@
   const auto verdict =
       limits::prove(written, {config.class_names, config.settings, config.connect_timeout_ms});
   std::string wrong;
-  for (const auto& refusal : verdict.refusals) {
+  for (const auto& refusal : verdict.errors) {
     if (!wrong.empty()) wrong += '\n';
-    wrong += refusal.line_text();
+    wrong += refusal.to_text();
   }
   if (!wrong.empty()) throw ConfigError(wrong);
   for (std::size_t i = 0; i < written.entries.size(); ++i) {
     const auto& e = written.entries[i];
-    if (!e.route.empty()) config.own.processor.mapping.rules[e.rule].bounds = verdict.bounds.by_entry[i];
+    if (!e.route.empty())
+      config.own.processor.mapping.rules[e.rule_index].bounds = verdict.bounds.by_entry[i];
   }
   config.bounds.clear();
   for (std::size_t i = 0; i < config.class_names.size(); ++i) {
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -34,7 +34,7 @@
   TargetList known;
 
   std::string settings_text;  // as they came, to tell whether they changed
-  Settings settings;
+  AdmissionSettings settings;
   // What the sockets need of the settings beside the module's own part.
   std::vector<std::string> class_names, plan_names, zones, kinds, report_names;
   Ms conn_idle_ms = 0;
--- a/src/net/departed_hosts.h
+++ b/src/net/departed_hosts.h
@@ -17,7 +17,7 @@
   // Of so many the last are kept: a list that is older than that is not of this deployment.
   static constexpr std::size_t kMost = 8192;
 
-  // `boot_ms`: of the process that leaves, as discovery has it.
+  // `boot_unix_ms`: of the process that leaves, as discovery has it.
   void note(HostId host, std::optional<double> boot_ms) {
     if (departed_.insert_or_assign(host, boot_ms).second) order_.push_back(host);
     while (order_.size() > kMost) {
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -195,7 +195,7 @@
   }
 }
 
-// Drawn evenly from `least` to `span` more than that.
+// Drawn evenly from `min` to `span` more than that.
 asio::awaitable<void> Discovery::Watch::pause(std::chrono::milliseconds span,
                                               std::chrono::milliseconds least) {
   if (span.count() <= 0) co_return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -67,7 +67,7 @@
             const Caller& caller, DiscoveryEvents& events);
   ~Discovery();
 
-  // `known`: the list as of the last process, which the first watch goes on from.
+  // `known_host_count`: the list as of the last process, which the first watch goes on from.
   void start(const TargetList& known);
   void move(const boost::asio::ip::tcp::endpoint& at);
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -57,23 +57,23 @@
   return index;
 }
 
-PoolLimits pool_limits(const Config& config) {
-  PoolLimits limits;
+HostPoolLimits pool_limits(const Config& config) {
+  HostPoolLimits limits;
   const auto sockets = config.sockets > kSpareSockets ? config.sockets - kSpareSockets : 2;
   const auto share = static_cast<double>(sockets) * config.own.descriptors_share;
-  limits.connections = std::max<std::size_t>(1, static_cast<std::size_t>(share));
-  limits.per_host = std::min(config.own.per_host, limits.connections);
-  limits.idle_per_host = config.own.idle_per_host;
-  limits.idle_limit = config.conn_idle_ms;
-  limits.rest = config.own.rest_ms;
-  limits.connect_timeout = config.connect_timeout_ms;
+  limits.max_connections = std::max<std::size_t>(1, static_cast<std::size_t>(share));
+  limits.max_connections_per_host = std::min(config.own.per_host, limits.max_connections);
+  limits.max_idle_per_host = config.own.idle_per_host;
+  limits.idle_timeout_ms = config.conn_idle_ms;
+  limits.reuse_delay_ms = config.own.rest_ms;
+  limits.connect_timeout_ms = config.connect_timeout_ms;
   return limits;
 }
 
 ClientLimits client_limits(const Config& config) {
   ClientLimits limits;
   const auto sockets = config.sockets > kSpareSockets ? config.sockets - kSpareSockets : 2;
-  limits.connections = std::max<std::size_t>(1, sockets - pool_limits(config).connections);
+  limits.connections = std::max<std::size_t>(1, sockets - pool_limits(config).max_connections);
   limits.kept = std::max<std::size_t>(1, sockets / kKeptUnused);
   // Bodies have an eighth too and as much again for their copies: the sum stays well under the limit.
   limits.unsent = limits.buffered = config.memory_mb * 1024 * 1024 / 8;
@@ -85,36 +85,39 @@
 //
 // Danger: the time to settle ends before SIGKILL comes, and that goes by the longest deadline of the classes
 // there are now: one that new settings withdrew has no name any more and bounds nothing.
-engine::Limits engine_limits(const Config& config) {
+engine::EngineLimits engine_limits(const Config& config) {
   Ms longest = 0;
   for (std::size_t i = 0; i < config.settings.classes.size(); ++i) {
     if (!config.class_names[i].empty()) longest = std::max(longest, config.settings.classes[i].deadline_ms);
   }
-  return {.open = config.max_open,
-          .bytes = config.memory_mb * 1024 * 1024 / 8,
-          .margin = kMargin,
-          .settle_within = std::min(longest, kLongestDeadline) + kSettleMargin};
+  return {.max_open_requests = config.max_open,
+          .max_payload_bytes = config.memory_mb * 1024 * 1024 / 8,
+          .deadline_margin_ms = kMargin,
+          .shutdown_timeout_ms = std::min(longest, kLongestDeadline) + kSettleMargin};
 }
 
 // Gateways that press the same discovery. Danger: where it pushes, its agent on this machine answers at once,
 // and what it has counts as told: waiting with the call let drained hosts have more.
 Discovery::Caller callers(const Config& config) {
-  if (!config.settings.must_subscribe) return {.gateways = 1, .agent = true};
-  return {.gateways = config.settings.gateways, .agent = false};
+  if (!config.settings.host_watch_required) return {.gateways = 1, .agent = true};
+  return {.gateways = config.settings.gateway_count, .agent = false};
 }
 
-resp::Names names_of(const Config& config) {
-  resp::Names names{
-      config.class_names, config.plan_names, {}, config.settings.gateways, config.settings.largest_units};
-  for (const auto& c : config.settings.classes) names.repeats.push_back(c.repeat);
+resp::CommandNames names_of(const Config& config) {
+  resp::CommandNames names{config.class_names,
+                           config.plan_names,
+                           {},
+                           config.settings.gateway_count,
+                           config.settings.max_request_units};
+  for (const auto& c : config.settings.classes) names.idempotency.push_back(c.idempotency);
   names.bounds = bounds_of(config, config.class_names);
   return names;
 }
 
 std::vector<std::pair<std::string_view, std::uint64_t>> closed_connections(const resp::ClientTotals& totals) {
   std::vector<std::pair<std::string_view, std::uint64_t>> all;
-  for (std::size_t i = 0; i < resp::kCloseReasons; ++i)
-    all.emplace_back(resp::kCloseReasonNames[i], totals.closed[i]);
+  for (std::size_t i = 0; i < resp::kCloseReasonCount; ++i)
+    all.emplace_back(resp::kCloseReasonNames[i], totals.closed_by_reason[i]);
   return all;
 }
 
@@ -133,8 +136,8 @@
       decision_log_(module_, config_.settings, [](const std::string& line) { log_line("decision", line); }),
       clients_(io, clock, *this, client_limits(config_)),
       hosts_(io, clock, *this, pool_limits(config_)),
-      engine_(config_.own.decisions ? static_cast<engine::Module&>(decision_log_) : module_, hosts_.pool(),
-              engine_limits(config_), log_line),
+      engine_(config_.own.decisions ? static_cast<engine::AdmissionPolicy&>(decision_log_) : module_,
+              hosts_.pool(), engine_limits(config_), log_line),
       front_(engine_, clients_, names_of(config_)),
       discovery_(io, config_.discovery, config_.seed, callers(config_), *this),
       on_stopped_(std::move(on_stopped)),
@@ -148,9 +151,9 @@
   hosts_.set_make_room([this] { return clients_.make_room(); });
   engine_.set_rules(config_.settings);
   if (config_.own.requests) {
-    engine_.set_trace([](const engine::Transition& step) { log_line("request", to_line(step)); });
+    engine_.set_trace([](const engine::RequestEvent& step) { log_line("request", to_line(step)); });
   }
-  if (config_.admin) admin_ = std::make_unique<AdminServer>(io, static_cast<ops::Operable&>(*this));
+  if (config_.admin) admin_ = std::make_unique<AdminServer>(io, static_cast<ops::GatewayOperations&>(*this));
   if (!config_.handover.empty()) {
     predecessor_ = Predecessor::find(io, config_.handover);
     handover_ = std::make_unique<Handover>(
@@ -170,7 +173,7 @@
 
 void Gateway::start() {
   engine_.start(clock_.now());
-  apply(config_.known, ListKind::kCached);
+  apply(config_.known, HostListUpdate::kCached);
   if (predecessor_) {
     handed_to_ = true;
     OwnedFd socket = predecessor_->take_listening_socket();
@@ -238,7 +241,7 @@
     e.id = id;
     e.state = t.state == TargetState::kActive    ? HostState::kReady
               : t.state == TargetState::kLeaving ? HostState::kDraining
-                                                 : HostState::kGone;
+                                                 : HostState::kRemoved;
     e.started_at = known.started_at;
     e.kind = index_of(config_.kinds, t.kind);
     e.zone = known_index(config_.zones, t.zone);
@@ -253,24 +256,24 @@
   return all;
 }
 
-void Gateway::apply(const TargetList& list, ListKind kind) {
+void Gateway::apply(const TargetList& list, HostListUpdate kind) {
   auto all = entries(list);
-  if (kind == ListKind::kWhole) {  // whoever is not named any more is gone
+  if (kind == HostListUpdate::kSnapshot) {  // whoever is not named any more is gone
     std::unordered_set<HostId> named;
     for (const auto& e : all) named.insert(e.id);
     for (const auto& [id, known] : known_) {
-      if (!named.contains(id)) all.push_back(HostEntry::gone(id));
+      if (!named.contains(id)) all.push_back(HostEntry::removed(id));
     }
   }
-  engine_.on_list(clock_.now(), kind, all);
-  hosts_.pool().end_stale(clock_.now());
+  engine_.on_host_list(clock_.now(), kind, all);
+  hosts_.pool().fail_stale_attempts(clock_.now());
   for (const auto& e : all) {
     if (e.state == HostState::kReady) {
       departed_.forget(e.id);
     } else {
       departed_.note(e.id, known_[e.id].boot_ms);
     }
-    if (e.state == HostState::kGone) known_.erase(e.id);
+    if (e.state == HostState::kRemoved) known_.erase(e.id);
   }
   if (!list.targets.empty()) front_.set_ready();
   arm_timer();
@@ -278,29 +281,29 @@
 
 void Gateway::on_targets(const TargetList& list) {
   told_ = true;
-  apply(list, list.whole ? ListKind::kWhole : ListKind::kChanges);
+  apply(list, list.whole ? HostListUpdate::kSnapshot : HostListUpdate::kDelta);
 }
 
 // ---- clients and hosts ----
 
-resp::Named Gateway::on_command(Ticket ticket, std::span<const resp::Item> words, Ms waited) {
+resp::CommandResult Gateway::on_command(ResponseHandle ticket, std::span<const resp::Item> words, Ms waited) {
   const auto named = front_.on_command(clock_.now(), ticket, words, waited);
   arm_timer();
   return named;
 }
 
-void Gateway::on_client_gone(std::uint64_t name) { engine_.gone(clock_.now(), name); }
+void Gateway::on_client_gone(std::uint64_t name) { engine_.on_client_disconnected(clock_.now(), name); }
 
 void Gateway::on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                              std::string_view report) {
-  engine_.on_attempt_end(now, attempt, outcome, value, resp::read_report(report, wire::load_field));
+  engine_.on_attempt_end(now, attempt, outcome, value, resp::parse_load_report(report, wire::load_field));
   arm_timer();
 }
 
 // ---- time ----
 
 void Gateway::arm_timer() {
-  auto due = engine_.next_due();
+  auto due = engine_.next_timer();
   if (processor_) {
     const auto fetch = processor_->processor().next_due();
     if (fetch && (!due || *fetch < *due)) due = fetch;
@@ -318,7 +321,7 @@
 
 void Gateway::run_due() {
   const Ms now = clock_.now();
-  engine_.run_due(now);
+  engine_.run_timers(now);
   if (processor_) processor_->run_due(now);
 }
 
@@ -327,7 +330,7 @@
 // Danger: nothing may be changed before all of it is known to be good.
 void Gateway::reload(const Config& config) {
   const bool anew = config.settings_text != config_.settings_text;
-  settings::Numbered numbered{config_.class_names, config_.plan_names, config_.settings};
+  settings::NumberedSettings numbered{config_.class_names, config_.plan_names, config_.settings};
   if (anew) numbered = settings::renumber(numbered, {config.class_names, config.plan_names, config.settings});
   if (processor_) {
     processor_->reload(
@@ -354,7 +357,7 @@
 }
 
 // Requests under way keep their class, by its number; commands from now on are read with the new names.
-void Gateway::take_settings(const Config& config, const settings::Numbered& numbered) {
+void Gateway::take_settings(const Config& config, const settings::NumberedSettings& numbered) {
   config_.settings_text = config.settings_text;
   config_.settings = numbered.settings;
   config_.class_names = numbered.classes;
@@ -363,16 +366,16 @@
   config_.conn_idle_ms = config.conn_idle_ms;
   config_.connect_timeout_ms = config.connect_timeout_ms;
   // Hosts in the list go by these numbers too.
-  settings::extend(config_.kinds, config.kinds);
-  settings::extend(config_.zones, config.zones);
-  if (config.settings.my_zone < config.zones.size()) {
-    config_.settings.my_zone = index_of(config_.zones, config.zones[config.settings.my_zone]);
+  settings::extend_names(config_.kinds, config.kinds);
+  settings::extend_names(config_.zones, config.zones);
+  if (config.settings.local_zone < config.zones.size()) {
+    config_.settings.local_zone = index_of(config_.zones, config.zones[config.settings.local_zone]);
   }
   class_labels_.resize(numbered.classes.size());
   for (std::size_t i = 0; i < numbered.classes.size(); ++i) {
     if (!numbered.classes[i].empty()) class_labels_[i] = numbered.classes[i];
   }
-  module_.on_settings(clock_.now(), config_.settings);
+  module_.update_settings(clock_.now(), config_.settings);
   engine_.set_rules(config_.settings);
   share_limits(sharing_);  // with the new settings' bounds
   front_.set_names(names_of(config_));
@@ -416,13 +419,13 @@
 
 void Gateway::take_over(const std::string& state) {
   try {
-    const auto handed = ops::decode(state, {config_.class_names, config_.plan_names});
-    module_.take_over(clock_.now(), handed);
-    drop_departed(handed.departed);
+    const auto handed = ops::decode_handover(state, {config_.class_names, config_.plan_names});
+    module_.import_handover(clock_.now(), handed);
+    drop_departed(handed.departed_hosts);
     log_line("taken over", std::to_string(handed.customers.size()) + " customers, " +
                                std::to_string(handed.hosts.size()) + " hosts");
   } catch (const ops::HandoverError& error) {
-    module_.take_over_unknown(clock_.now());
+    module_.assume_unknown_predecessor(clock_.now());
     log_line("taken over without state", error.what());
   }
   clients_.begin();
@@ -436,12 +439,12 @@
   std::vector<HostEntry> gone;
   for (const auto& host : hosts) {
     const auto it = known_.find(host.id);
-    if (it == known_.end() || it->second.boot_ms != host.boot_ms) continue;
-    gone.push_back(HostEntry::gone(host.id));
+    if (it == known_.end() || it->second.boot_ms != host.boot_unix_ms) continue;
+    gone.push_back(HostEntry::removed(host.id));
     known_.erase(it);
-    departed_.note(host.id, host.boot_ms);
+    departed_.note(host.id, host.boot_unix_ms);
   }
-  engine_.on_list(clock_.now(), ListKind::kChanges, gone);
+  engine_.on_host_list(clock_.now(), HostListUpdate::kDelta, gone);
 }
 
 // All clients are the other process's. Danger: it may have handed over just now, and the queue of those that
@@ -459,10 +462,10 @@
 void Gateway::on_predecessor_gone() {
   asio::post(timer_.get_executor(), [done = std::move(predecessor_)] {});  // this is its own call
   if (declining_ && !open_) return on_stopped_();
-  module_.predecessor_gone(clock_.now());
+  module_.on_predecessor_exited(clock_.now());
   if (!open_) {
     log_line("the process before has ended without a word");
-    module_.take_over_unknown(clock_.now());
+    module_.assume_unknown_predecessor(clock_.now());
     clients_.has_socket() ? open_after_end() : listen_after_end();
   }
   share_limits(false);
@@ -492,9 +495,10 @@
 // closed when they have stood long enough, as ever.
 void Gateway::hand_over() {
   handed_over_ = true;
-  auto state = module_.hand_over(clock_.now());
-  state.departed = departed_.list();
-  handover_->hand_over(ops::encode(state, {config_.class_names, config_.plan_names}, config_.settings.plans));
+  auto state = module_.export_handover(clock_.now());
+  state.departed_hosts = departed_.list();
+  handover_->hand_over(
+      ops::encode_handover(state, {config_.class_names, config_.plan_names}, config_.settings.plans));
   clients_.leave_queue();
   clients_.set_draining(true);
   if (processor_) processor_->listener().drain();
@@ -504,22 +508,22 @@
 // ---- operators ----
 
 bool Gateway::ready() const {
-  return front_.ready() && (open_ || told_) && !draining_ && !engine_.settle_at();
+  return front_.ready() && (open_ || told_) && !draining_ && !engine_.shutdown_deadline();
 }
 
-std::string Gateway::figures() {
-  return ops::render({.in_progress = engine_.owed(),
-                      .known_hosts = known_.size(),
-                      .skipped_hosts = module_.avoided(clock_.now()),
-                      .loads = loads_,
-                      .load_errors = load_errors_,
-                      .refused = engine_.causes(),
-                      .rules = engine_.rules(),
-                      .attempts = engine_.attempts(),
-                      .closed = closed_connections(clients_.totals()),
-                      .closes_stopped = clients_.totals().closes_stopped,
-                      .peers = peers_ ? std::optional(peers_->figures()) : std::nullopt},
-                     class_labels_, engine_.figures());
+std::string Gateway::metrics() {
+  return ops::render_metrics({.in_progress = engine_.unanswered_count(),
+                              .known_hosts = known_.size(),
+                              .excluded_hosts = module_.excluded_host_count(clock_.now()),
+                              .config_reloads = loads_,
+                              .config_reload_errors = load_errors_,
+                              .rejections = engine_.rejection_metrics(),
+                              .rules = engine_.rule_metrics(),
+                              .attempts = engine_.attempt_metrics(),
+                              .closed = closed_connections(clients_.totals()),
+                              .forbidden_closes = clients_.totals().forbidden_closes,
+                              .peers = peers_ ? std::optional(peers_->figures()) : std::nullopt},
+                             class_labels_, engine_.class_metrics());
 }
 
 std::optional<std::string> Gateway::members() {
@@ -545,9 +549,9 @@
 // ---- the stop ----
 
 void Gateway::stop() {
-  if (engine_.settle_at()) return;
+  if (engine_.shutdown_deadline()) return;
   if (!open_) return decline();
-  engine_.stop(clock_.now());
+  engine_.begin_shutdown(clock_.now());
   if (peers_) peers_->leave();
   if (handover_ && handover_->has_successor()) hand_over();
   if (processor_) processor_->listener().announce_drain();
@@ -561,8 +565,8 @@
 }
 
 void Gateway::await_stopped() {
-  const Ms now = clock_.now(), settle_at = *engine_.settle_at();
-  if (engine_.owed() > 0 && now >= settle_at) engine_.settle_all(now);
+  const Ms now = clock_.now(), settle_at = *engine_.shutdown_deadline();
+  if (engine_.unanswered_count() > 0 && now >= settle_at) engine_.fail_all(now);
   const std::size_t proxies = processor_ ? processor_->listener().connections() : 0;
   if (clients_.connections() + proxies == 0 || now >= settle_at + kLastBytes) {
     if (processor_) log_line("external processor", extproc::to_text(processor_->processor().totals()));
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -29,9 +29,12 @@
 
 namespace cometfold::net {
 
-class Gateway : private ClientEvents, private HostEvents, private DiscoveryEvents, private ops::Operable {
+class Gateway : private ClientEvents,
+                private HostPoolCallbacks,
+                private DiscoveryEvents,
+                private ops::GatewayOperations {
  public:
-  // `on_stopped` is called once, when all is settled after `stop`.
+  // `on_stopped` is called once, when all is settled after `begin_shutdown`.
   Gateway(boost::asio::io_context& io, Clock& clock, Config config, std::function<void()> on_stopped);
   ~Gateway() override;
 
@@ -51,31 +54,32 @@
   const extproc::Processor* processor() const { return processor_ ? &processor_->processor() : nullptr; }
 
  private:
-  resp::Named on_command(Ticket ticket, std::span<const resp::Item> words, Ms waited) override;
-  void on_unsent(std::uint64_t identity) override { front_.on_unsent(identity); }
-  void on_sent(std::uint64_t identity) override { front_.on_sent(identity); }
+  resp::CommandResult on_command(ResponseHandle ticket, std::span<const resp::Item> words,
+                                 Ms waited) override;
+  void on_unsent(std::uint64_t identity) override { front_.on_reply_pending(identity); }
+  void on_sent(std::uint64_t identity) override { front_.on_reply_flushed(identity); }
   void on_client_gone(std::uint64_t name) override;
-  void on_room(std::uint64_t name) override { engine_.on_room(clock_.now(), name); }
+  void on_room(std::uint64_t name) override { engine_.on_client_writable(clock_.now(), name); }
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                       std::string_view report) override;
   void on_targets(const TargetList& list) override;
 
-  void on_value_begun(Ms now, AttemptId attempt, std::size_t size) override {
-    engine_.on_value_begun(now, attempt, size);
+  void on_value_started(Ms now, AttemptId attempt, std::size_t size) override {
+    engine_.on_value_started(now, attempt, size);
     arm_timer();
   }
-  bool on_value_piece(Ms now, AttemptId attempt, std::string_view bytes) override {
-    return engine_.on_value_piece(now, attempt, bytes);
+  bool on_value_chunk(Ms now, AttemptId attempt, std::string_view bytes) override {
+    return engine_.on_value_chunk(now, attempt, bytes);
   }
   void on_attempt_written(AttemptId attempt) override { engine_.on_written(attempt); }
   std::optional<Ms> may_write(Ms now, AttemptId attempt, bool begun) override {
     return engine_.may_write(now, attempt, begun);
   }
   bool ready() const override;
-  std::string figures() override;
+  std::string metrics() override;
   std::optional<std::string> members() override;
   void set_draining(bool on) override;
-  void take_settings(const Config& config, const settings::Numbered& numbered);
+  void take_settings(const Config& config, const settings::NumberedSettings& numbered);
   void open_to_clients();
   void open_after_end();
   void listen_after_end();
@@ -90,19 +94,19 @@
 
   std::vector<HostEntry> entries(const TargetList& list);
   Ms start_of(HostId id, const Target& target, const TargetList& list);
-  void apply(const TargetList& list, ListKind kind);
+  void apply(const TargetList& list, HostListUpdate kind);
   void arm_timer();
   void run_due();
   void await_stopped();
 
   Clock& clock_;
   Config config_;
-  engine::ControlModule module_;
+  engine::ControllerPolicy module_;
   DecisionLog decision_log_;
   Clients clients_;
   Hosts hosts_;
   engine::Engine engine_;
-  resp::Front front_;
+  resp::RespHandler front_;
   std::unique_ptr<ProcessorServer> processor_;
   Discovery discovery_;
   std::function<void()> on_stopped_;
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -22,7 +22,7 @@
 
 }  // namespace
 
-class GrpcListener::Connection : public resp::StreamEvents, private http2::SessionEvents {
+class GrpcListener::Connection : public resp::StreamCallbacks, private http2::SessionEvents {
  public:
   Connection(GrpcListener& owner, std::uint64_t id, Ms now) : owner_(owner), id_(id), heard_at_(now) {
     http2::SessionEvents& self = *this;
@@ -58,7 +58,7 @@
     flush();
     owner_.after_();
   }
-  void on_later(Ms) override {
+  void on_posted(Ms) override {
     flush_asked_ = false;
     flush();
     owner_.after_();
@@ -97,7 +97,7 @@
   void on_output() override {
     if (in_feed_ || flush_asked_ || blocked_ || closed_) return;
     flush_asked_ = true;
-    stream_->later();
+    stream_->post();
   }
   std::unique_ptr<http2::StreamEvents> on_request(Ms, http2::Stream&, http2::HeaderBlock) override {
     return {};  // the calls' own
@@ -116,7 +116,7 @@
     auto& session = calls_->session();
     for (auto bytes = session.output(); !bytes.empty(); bytes = session.output()) {
       const auto written = stream_->write(bytes);
-      if (written.broken) {
+      if (written.disconnected) {
         in_feed_ = false;
         return close();
       }
--- a/src/net/handover.cpp
+++ b/src/net/handover.cpp
@@ -230,7 +230,7 @@
       text_.resize(end);
       events_.begin(std::exchange(text_, {}));
     }
-    if (text_.size() > ops::kMostHandedBytes) return events_.gone();
+    if (text_.size() > ops::kMaxHandoverBytes) return events_.gone();
     read();
   });
 }
--- a/src/net/hosts.cpp
+++ b/src/net/hosts.cpp
@@ -12,13 +12,14 @@
 
 }  // namespace
 
-Hosts::Hosts(boost::asio::io_context& io, Clock& clock, HostEvents& events, const PoolLimits& limits)
+Hosts::Hosts(boost::asio::io_context& io, Clock& clock, HostPoolCallbacks& events,
+             const HostPoolLimits& limits)
     : clock_(clock), dialer_(io, clock), pool_(dialer_, events, limits, log_line), sweep_timer_(io) {
   sweep();
 }
 
 void Hosts::add(HostId host, const boost::asio::ip::tcp::endpoint& at, Ms started_at) {
-  pool_.add(host, {at.address().to_string(), at.port()}, started_at);
+  pool_.add_host(host, {at.address().to_string(), at.port()}, started_at);
 }
 
 void Hosts::sweep() {
--- a/src/net/hosts.h
+++ b/src/net/hosts.h
@@ -11,12 +11,12 @@
 
 using engine::AttemptId;
 using engine::StartResult;
-using resp::HostEvents;
-using resp::PoolLimits;
+using resp::HostPoolCallbacks;
+using resp::HostPoolLimits;
 
 class Hosts {
  public:
-  Hosts(boost::asio::io_context& io, Clock& clock, HostEvents& events, const PoolLimits& limits);
+  Hosts(boost::asio::io_context& io, Clock& clock, HostPoolCallbacks& events, const HostPoolLimits& limits);
 
   resp::HostPool& pool() { return pool_; }
   void add(HostId host, const boost::asio::ip::tcp::endpoint& at, Ms started_at);
--- a/src/net/log.h
+++ b/src/net/log.h
@@ -5,7 +5,7 @@
 
 namespace cometfold::net {
 
-// One line: `what`, or `what: detail`. Never waits: what nobody takes from standard error now is left out.
+// One line: `kind`, or `what: detail`. Never waits: what nobody takes from standard error now is left out.
 void log_line(std::string_view what, std::string_view detail = {});
 
 // A whole line with its end, at most kLongestLogLine bytes of it, for other forms of log. False if nobody
--- a/src/net/own_settings.cpp
+++ b/src/net/own_settings.cpp
@@ -23,7 +23,7 @@
   throw OwnSettingsError(path + ":" + std::to_string(at.begin.line) + ": " + what);
 }
 
-// A number from `least` to `most`; `right` says so in words.
+// A number from `min` to `most`; `right` says so in words.
 template <class Number>
 Take number(Number& into, double least, double most, const char* right) {
   return [&into, least, most, right](const toml::node& node) -> std::string {
@@ -160,7 +160,7 @@
   }
 }
 
-// A table inside one; `place`, if given, takes its file and line.
+// A table inside one; `sequence`, if given, takes its file and line.
 Take inner(const std::string& path, const std::string& name, Known known, std::string* place = nullptr) {
   return [path, name, known = std::move(known), place](const toml::node& node) -> std::string {
     if (!node.is_table()) return "a table: [" + name + "]";
@@ -197,7 +197,7 @@
 
 // A number of any size, with its line: what is lawful is for the proof to say.
 template <class Value>
-Take said(std::optional<limits::Said<Value>>& into) {
+Take said(std::optional<limits::SourceValue<Value>>& into) {
   return [&into](const toml::node& node) -> std::string {
     constexpr bool kFlag = std::is_same_v<Value, bool>;
     if (kFlag ? !node.is_boolean() : !node.is_number()) return kFlag ? "true or false" : "a number";
@@ -206,23 +206,23 @@
   };
 }
 
-Known attempt_limits(limits::Entry& e) {
-  return {{"attempts", said(e.attempts)},
-          {"attempt_ms", said(e.attempt_ms)},
-          {"send_until_ms", said(e.send_until_ms)},
-          {"second_copies", said(e.second_copies)}};
+Known attempt_limits(limits::LimitEntry& e) {
+  return {{"attempts", said(e.max_attempts)},
+          {"attempt_ms", said(e.attempt_timeout_ms)},
+          {"send_until_ms", said(e.retry_window_ms)},
+          {"second_copies", said(e.hedging_allowed)}};
 }
 
 // [limits.class.NAME], one for each class that has limits of its own.
-Take classes(const std::string& path, std::vector<limits::Entry>& into) {
+Take classes(const std::string& path, std::vector<limits::LimitEntry>& into) {
   return [path, &into](const toml::node& node) -> std::string {
     const char* right = "at most 1024 tables: [limits.class.NAME]";
     if (!node.is_table() || node.as_table()->size() > 1024) return right;
     for (const auto& [key, value] : *node.as_table()) {
-      limits::Entry e;
-      e.cls = key.str();
+      limits::LimitEntry e;
+      e.class_name = key.str();
       e.line = static_cast<int>(key.source().begin.line);
-      const std::string name = "limits.class." + e.cls;
+      const std::string name = "limits.class." + e.class_name;
       if (!inner(path, name, attempt_limits(e))(value).empty()) return right;
       into.push_back(std::move(e));
     }
@@ -230,29 +230,31 @@
   };
 }
 
-Known limit_settings(const std::string& path, limits::Written& w) {
-  return {{"network_ms",
-           [&w](const toml::node& node) -> std::string {
-             const char* right = "two numbers of milliseconds: the shortest and the longest way to a host";
-             if (!node.is_array() || node.as_array()->size() != 2) return right;
-             const auto& ends = *node.as_array();
-             if (!ends[0].is_number() || !ends[1].is_number()) return right;
-             w.network = {*ends[0].value<double>(), *ends[1].value<double>()};
-             w.network_line = static_cast<int>(node.source().begin.line);
-             return kTaken;
-           }},
-          {"clock_error_ms", number(w.clock_error, 0, 3.6e6, "a number of milliseconds from 0 to 3600000")},
-          {"class", classes(path, w.entries)}};
+Known limit_settings(const std::string& path, limits::LimitsFile& w) {
+  return {
+      {"network_ms",
+       [&w](const toml::node& node) -> std::string {
+         const char* right = "two numbers of milliseconds: the shortest and the longest way to a host";
+         if (!node.is_array() || node.as_array()->size() != 2) return right;
+         const auto& ends = *node.as_array();
+         if (!ends[0].is_number() || !ends[1].is_number()) return right;
+         w.network_delay = {*ends[0].value<double>(), *ends[1].value<double>()};
+         w.network_delay_line = static_cast<int>(node.source().begin.line);
+         return kTaken;
+       }},
+      {"clock_error_ms", number(w.clock_error_ms, 0, 3.6e6, "a number of milliseconds from 0 to 3600000")},
+      {"class", classes(path, w.entries)}};
 }
 
-Take rules(const std::string& path, std::vector<extproc::Rule>& into, std::vector<limits::Entry>& limited) {
+Take rules(const std::string& path, std::vector<extproc::Rule>& into,
+           std::vector<limits::LimitEntry>& limited) {
   return [&path, &into, &limited](const toml::node& node) -> std::string {
     if (!node.is_array() || node.as_array()->size() > 1000) return "at most 1000 tables: [[extproc.rule]]";
     std::vector<extproc::Rule> all;
     for (const auto& element : *node.as_array()) {
       extproc::Rule rule;
       double units = 0;
-      limits::Entry limit;
+      limits::LimitEntry limit;
       Known known{{"method", method(rule.method)},
                   {"path", path_pattern(rule.path)},
                   {"class", text(rule.cls, 1)},
@@ -263,12 +265,12 @@
         complain(path, element.source(), "extproc.rule must be " + right);
       }
       if (units > 0) rule.units = units;
-      if (limit.says_something()) {
+      if (limit.has_limits()) {
         if (rule.cls.empty())
           complain(path, element.source(), "a rule that limits attempts must name its class");
-        limit.cls = rule.cls;
+        limit.class_name = rule.cls;
         limit.route = (rule.method.empty() ? "" : rule.method + " ") + (rule.path.empty() ? "*" : rule.path);
-        limit.rule = all.size();
+        limit.rule_index = all.size();
         limit.line = static_cast<int>(element.source().begin.line);
         limited.push_back(std::move(limit));
       }
@@ -361,26 +363,29 @@
   auto& m = p.membership;
   const char* period = "a number of milliseconds from 20 to 10000";
   const char* watchers = "a whole number from 1 to 16";
-  return {{"listen", datagram_endpoint(p.listen)},
-          {"advertise", datagram_endpoint(p.advertise)},
-          {"seeds",
-           list<std::string>(p.seeds, peer_address,
-                             "a list of at most 1024 addresses and ports, such as [\"127.0.0.1:7946\"]")},
-          {"cluster",
-           [&p](const toml::node& node) -> std::string {
-             const auto name = node.value<std::string>().value_or("");
-             if (!node.is_string() || name.empty() || name.size() > 32) return "a text of 1 to 32 bytes";
-             p.cluster = name;
-             return kTaken;
-           }},
-          {"period_ms", number(m.period, 20, 10'000, period)},
-          {"watchers", number(m.watchers, 1, 16, watchers)},
-          {"quorum", number(m.quorum, 1, 16, watchers)},
-          {"settle_ms", number(m.settle, 0, 60'000, "a number of milliseconds from 0 to 60000")},
-          {"patience_ms", number(m.patience, 1000, 3.6e6, "a number of milliseconds from 1000 to 3600000")},
-          {"forget_ms", number(m.forget, 10'000, 8.64e7, "a number of milliseconds from 10000 to 86400000")},
-          {"members", number(m.most, 2, 100'000, "a whole number from 2 to 100000")},
-          {"datagrams", number(m.datagrams_rate, 10, 100'000, "a number a second from 10 to 100000")}};
+  return {
+      {"listen", datagram_endpoint(p.listen)},
+      {"advertise", datagram_endpoint(p.advertise)},
+      {"seeds",
+       list<std::string>(p.seeds, peer_address,
+                         "a list of at most 1024 addresses and ports, such as [\"127.0.0.1:7946\"]")},
+      {"cluster",
+       [&p](const toml::node& node) -> std::string {
+         const auto name = node.value<std::string>().value_or("");
+         if (!node.is_string() || name.empty() || name.size() > 32) return "a text of 1 to 32 bytes";
+         p.cluster = name;
+         return kTaken;
+       }},
+      {"period_ms", number(m.ping_interval_ms, 20, 10'000, period)},
+      {"watchers", number(m.observers_per_member, 1, 16, watchers)},
+      {"quorum", number(m.suspicion_quorum, 1, 16, watchers)},
+      {"settle_ms", number(m.quorum_hold_ms, 0, 60'000, "a number of milliseconds from 0 to 60000")},
+      {"patience_ms",
+       number(m.unreachable_timeout_ms, 1000, 3.6e6, "a number of milliseconds from 1000 to 3600000")},
+      {"forget_ms",
+       number(m.tombstone_retention_ms, 10'000, 8.64e7, "a number of milliseconds from 10000 to 86400000")},
+      {"members", number(m.max_members, 2, 100'000, "a whole number from 2 to 100000")},
+      {"datagrams", number(m.max_datagrams_per_second, 10, 100'000, "a number a second from 10 to 100000")}};
 }
 
 // What must go together, once all is read.
@@ -393,10 +398,11 @@
   if (shown.address().is_unspecified() || shown.port() == 0) {
     bad("'advertise' must say at which address and port others reach this gateway, as 'listen' does not");
   }
-  if (p.membership.quorum > p.membership.watchers) bad("'quorum' must be at most 'watchers'");
-  if (p.membership.patience < 4 * p.membership.period)
+  if (p.membership.suspicion_quorum > p.membership.observers_per_member)
+    bad("'quorum' must be at most 'watchers'");
+  if (p.membership.unreachable_timeout_ms < 4 * p.membership.ping_interval_ms)
     bad("'patience_ms' must be at least four times 'period_ms'");
-  if (p.membership.forget < 2 * p.membership.patience)
+  if (p.membership.tombstone_retention_ms < 2 * p.membership.unreachable_timeout_ms)
     bad("'forget_ms' must be at least twice 'patience_ms'");
 }
 
--- a/src/net/own_settings.h
+++ b/src/net/own_settings.h
@@ -41,7 +41,7 @@
   PeerSettings peers;
 
   // [limits], and what rules of the external processor say of attempts; not proved yet (see use_limits).
-  limits::Written limits;
+  limits::LimitsFile limits;
 };
 
 // Throws OwnSettingsError. Names that are not known are errors: a slip of the pen must not go unnoticed.
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -13,8 +13,8 @@
 namespace json = boost::json;
 using asio::ip::udp;
 using boost::system::error_code;
-using membership::Change;
-using membership::State;
+using membership::MembershipEvent;
+using membership::MemberState;
 
 namespace {
 
@@ -47,15 +47,15 @@
 
 // Danger: wall time is a hint here and no more. A clock that leapt back gives a number that is too low, and
 // the others say so.
-membership::Record self_record(const PeerSettings& settings, const std::string& name) {
+membership::MemberRecord self_record(const PeerSettings& settings, const std::string& name) {
   using namespace std::chrono;
   std::random_device random;
   const auto wall = duration_cast<milliseconds>(system_clock::now().time_since_epoch()).count();
-  membership::Record self;
+  membership::MemberRecord self;
   self.name = name;
   self.address = to_text(settings.advertise.value_or(*settings.listen));
-  self.start = static_cast<std::uint64_t>(std::max<std::int64_t>(wall, 1));
-  self.life = self.start << 20 | (random() & 0xfffff);
+  self.incarnation = static_cast<std::uint64_t>(std::max<std::int64_t>(wall, 1));
+  self.process_nonce = self.incarnation << 20 | (random() & 0xfffff);
   return self;
 }
 
@@ -102,7 +102,7 @@
              {"address", to_text(socket_.local_endpoint())},
              {"advertised", membership_.self().address},
              {"cluster", settings_.cluster},
-             {"start", membership_.self().start}});
+             {"start", membership_.self().incarnation}});
   membership_.start(clock_.now());
   await_datagrams();
   after();
@@ -131,13 +131,13 @@
     if (error) break;
     ++traffic_.in;
     traffic_.bytes_in += size;
-    membership::Unread why;
+    membership::DecodeError why;
     const auto message = membership::decode({buffer_.data(), size}, settings_.cluster, why);
     if (message) membership_.receive(clock_.now(), *message);
-    traffic_.foreign += why == membership::Unread::kForeign;
-    traffic_.version += why == membership::Unread::kVersion;
-    traffic_.spoilt += why == membership::Unread::kSpoilt;
-    traffic_.malformed += why == membership::Unread::kMalformed;
+    traffic_.foreign += why == membership::DecodeError::kForeign;
+    traffic_.version += why == membership::DecodeError::kVersionMismatch;
+    traffic_.spoilt += why == membership::DecodeError::kChecksumMismatch;
+    traffic_.malformed += why == membership::DecodeError::kMalformed;
   }
   after();
 }
@@ -148,20 +148,20 @@
     const auto to = to_endpoint(envelope.to);
     const std::string datagram = membership::encode(envelope.message, settings_.cluster);
     error_code error;
-    if (to && datagram.size() <= membership::kLargestDatagram) {
+    if (to && datagram.size() <= membership::kMaxDatagramBytes) {
       socket_.send_to(asio::buffer(datagram), *to, 0, error);
       ++traffic_.out;
       traffic_.bytes_out += datagram.size();
     }
-    traffic_.unsent += !to || error || datagram.size() > membership::kLargestDatagram;
+    traffic_.unsent += !to || error || datagram.size() > membership::kMaxDatagramBytes;
   }
-  for (const auto& change : membership_.take_changes()) note(change);
+  for (const auto& change : membership_.take_events()) note(change);
   arm();
 }
 
 void Peers::arm() {
-  if (armed_for_ == membership_.next_due()) return;
-  armed_for_ = membership_.next_due();
+  if (armed_for_ == membership_.next_tick()) return;
+  armed_for_ = membership_.next_tick();
   timer_.expires_at(clock_.at(armed_for_));
   timer_.async_wait([this](error_code error) {
     if (error) return;
@@ -172,15 +172,15 @@
 
 // ---- for people ----
 
-void Peers::note(const Change& change) {
-  if (change.what != Change::kMember) {
+void Peers::note(const MembershipEvent& change) {
+  if (change.kind != MembershipEvent::kMemberChanged) {
     constexpr std::string_view kEvents[] = {"member",        "standing",           "new_start",
                                             "name_conflict", "name_conflict_over", "was_stopped"};
-    const bool good =
-        change.what == Change::kConflictOver ||
-        (change.what == Change::kStanding && membership_.standing() == membership::Standing::kTogether);
-    return log_event(good ? Level::kInfo : Level::kWarning, kEvents[change.what],
-                     {{"name", name_}, {"start", change.start}, {"detail", change.detail}});
+    const bool good = change.kind == MembershipEvent::kNameConflictResolved ||
+                      (change.kind == MembershipEvent::kConnectivityChanged &&
+                       membership_.connectivity() == membership::ConnectivityState::kConnected);
+    return log_event(good ? Level::kInfo : Level::kWarning, kEvents[change.kind],
+                     {{"name", name_}, {"start", change.incarnation}, {"detail", change.detail}});
   }
   const auto state = static_cast<std::size_t>(change.state);
   ++became_[state];
@@ -197,7 +197,7 @@
   json::object fields{{"name", name_}};
   for (std::size_t s = 0; s < became_.size(); ++s) {
     if (became_[s] == 0) continue;
-    const std::string state(membership::name_of(static_cast<State>(s)));
+    const std::string state(membership::name_of(static_cast<MemberState>(s)));
     fields[state] = became_[s];
     fields[state + "_names"] = json::value_from(names_[s]);
     became_[s] = 0;
@@ -213,51 +213,53 @@
   for (const auto& m : membership_.members(now)) {
     json::object o{{"name", m.name},
                    {"address", m.address},
-                   {"start", m.start},
+                   {"start", m.incarnation},
                    {"state", membership::name_of(m.state)},
                    {"since_ms", ms(now - m.since)}};
-    if (!m.by.empty()) o["by"] = m.by;
-    if (m.round_trip) o["round_trip_ms"] = std::round(*m.round_trip * 100) / 100;
-    if (m.loss) o["loss"] = std::round(*m.loss * 1000) / 1000;
+    if (!m.reported_by.empty()) o["by"] = m.reported_by;
+    if (m.round_trip_ms) o["round_trip_ms"] = std::round(*m.round_trip_ms * 100) / 100;
+    if (m.loss_rate) o["loss"] = std::round(*m.loss_rate * 1000) / 1000;
     members.push_back(std::move(o));
   }
   json::object all{{"name", name_},
-                   {"start", membership_.self().start},
-                   {"standing", membership::name_of(membership_.standing())},
-                   {"standing_since_ms", ms(now - membership_.standing_since())},
-                   {"starved", membership_.starved(now)},
+                   {"start", membership_.self().incarnation},
+                   {"standing", membership::name_of(membership_.connectivity())},
+                   {"standing_since_ms", ms(now - membership_.connectivity_since())},
+                   {"starved", membership_.recently_paused(now)},
                    {"digest", membership_.digest()}};
-  if (!membership_.rival().empty()) all["conflict"] = json::object{{"address", membership_.rival()}};
+  if (!membership_.conflicting_address().empty())
+    all["conflict"] = json::object{{"address", membership_.conflicting_address()}};
   all["members"] = std::move(members);
   return json::serialize(all) + "\n";
 }
 
-ops::PeerFigures Peers::figures() {
-  const auto& c = membership_.counts();
-  ops::PeerFigures f;
-  f.gauges.emplace_back("standing", static_cast<std::uint64_t>(membership_.standing()));
+ops::PeerMetrics Peers::figures() {
+  const auto& c = membership_.metrics();
+  ops::PeerMetrics f;
+  f.gauges.emplace_back("standing", static_cast<std::uint64_t>(membership_.connectivity()));
   std::array<std::uint64_t, 4> states{};
   for (const auto& m : membership_.members(clock_.now())) ++states[static_cast<std::size_t>(m.state)];
   for (std::size_t s = 0; s < states.size(); ++s) {
-    f.gauges.emplace_back("members." + std::string(membership::name_of(static_cast<State>(s))), states[s]);
+    f.gauges.emplace_back("members." + std::string(membership::name_of(static_cast<MemberState>(s))),
+                          states[s]);
   }
-  f.gauges.emplace_back("memory_bytes", membership_.bytes());
+  f.gauges.emplace_back("memory_bytes", membership_.memory_bytes());
   f.counts = {{"datagrams_in", traffic_.in},
               {"datagrams_out", traffic_.out},
               {"bytes_in", traffic_.bytes_in},
               {"bytes_out", traffic_.bytes_out},
               {"unsent", traffic_.unsent},
-              {"held_back", c.held_back},
+              {"held_back", c.rate_limited},
               {"dropped.foreign", traffic_.foreign},
               {"dropped.version", traffic_.version},
               {"dropped.spoilt", traffic_.spoilt},
               {"dropped.malformed", traffic_.malformed},
-              {"stale", c.stale},
-              {"refused", c.refused},
-              {"accused", c.accused},
-              {"withdrawn", c.withdrawn},
-              {"judged", c.judged},
-              {"called_failed", c.returned},
+              {"stale", c.stale_messages},
+              {"refused", c.rejected_members},
+              {"accused", c.suspicions_raised},
+              {"withdrawn", c.suspicions_withdrawn},
+              {"judged", c.members_failed},
+              {"called_failed", c.incarnations_raised},
               {"syncs", c.syncs}};
   return f;
 }
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -22,7 +22,7 @@
   std::optional<boost::asio::ip::udp::endpoint> advertise;  // where others reach it, if not there
   std::vector<std::string> seeds;
   std::string cluster = "cometfold";
-  membership::Settings membership;
+  membership::MembershipSettings membership;
   bool operator==(const PeerSettings& other) const {
     return listen == other.listen && advertise == other.advertise && seeds == other.seeds &&
            cluster == other.cluster;
@@ -40,7 +40,7 @@
 
   // Who is there, as one JSON object.
   std::string members();
-  ops::PeerFigures figures();
+  ops::PeerMetrics figures();
 
  private:
   struct Traffic {
@@ -53,7 +53,7 @@
   void take(const std::string& datagram);
   void after();
   void arm();
-  void note(const membership::Change& change);
+  void note(const membership::MembershipEvent& change);
   void tell_changes();
 
   Clock& clock_;
--- a/src/net/processor_server.cpp
+++ b/src/net/processor_server.cpp
@@ -16,7 +16,7 @@
     : at_(*config.own.processor_at),
       processor_(engine, processor_names(config), config.own.processor, config.seed),
       listener_(io, clock, *this, config.own.grpc, std::move(after)) {
-  engine.add_hosts(processor_);
+  engine.add_upstream(processor_);
 }
 
 void ProcessorServer::listen() {
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -9,6 +9,6 @@
 namespace cometfold::net {
 
 // One step as `name=value` words; times in milliseconds of the program's clock.
-std::string to_line(const engine::Transition& step);
+std::string to_line(const engine::RequestEvent& step);
 
 }  // namespace cometfold::net
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -60,7 +60,7 @@
   events_.on_connected(clock_.now(), up);
 }
 
-resp::Stream::Written TcpStream::write(std::string_view bytes) {
+resp::Stream::WriteResult TcpStream::write(std::string_view bytes) {
   error_code error;
   const auto n = uninterrupted(
       error, [&] { return socket_.write_some(asio::buffer(bytes.data(), bytes.size()), error); });
@@ -92,7 +92,7 @@
   await_readable();
 }
 
-void TcpStream::await_end() {
+void TcpStream::await_peer_close() {
   only_end_ = true;
   await_readable();
 }
@@ -106,7 +106,7 @@
 }
 
 void TcpStream::readable(error_code error) {
-  if (only_end_ && !error && !ended()) return;  // what has come stays where it is
+  if (only_end_ && !error && !peer_closed()) return;  // what has come stays where it is
   std::size_t bytes = 0;
   if (!error && !only_end_) {
     bytes = uninterrupted(
@@ -116,17 +116,17 @@
   events_.on_read(clock_.now(), bytes, only_end_ || error);
 }
 
-void TcpStream::later() {
+void TcpStream::post() {
   asio::post(socket_.get_executor(),
-             [this, keep = events_.shared_from_this()] { events_.on_later(clock_.now()); });
+             [this, keep = events_.shared_from_this()] { events_.on_posted(clock_.now()); });
 }
 
-std::size_t TcpStream::unread() {
+std::size_t TcpStream::unread_bytes() {
   error_code ignored;
   return socket_.available(ignored);
 }
 
-bool TcpStream::quiet() {
+bool TcpStream::is_quiet() {
   error_code error;
   peek(error);
   return blocked(error);
@@ -138,7 +138,7 @@
       error, [&] { return socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error); });
 }
 
-bool TcpStream::ended() {
+bool TcpStream::peer_closed() {
   pollfd look{socket_.native_handle(), POLLIN | POLLRDHUP, 0};
   const int found = ::poll(&look, 1, 0);
   if (found == 0) return false;
@@ -148,13 +148,13 @@
 }
 
 // Linux sends what is due at once when the option is set. It does not last: the next write ends it.
-void TcpStream::acknowledge() {
+void TcpStream::send_pending_ack() {
   const asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK> at_once(true);
   error_code ignored;
   socket_.set_option(at_once, ignored);
 }
 
-void TcpStream::shut_send() {
+void TcpStream::shutdown_send() {
   error_code ignored;
   socket_.shutdown(tcp::socket::shutdown_send, ignored);
 }
@@ -166,7 +166,7 @@
 }
 
 std::unique_ptr<resp::Stream> TcpDialer::dial(const resp::Address& at, Ms timeout,
-                                              resp::StreamEvents& events) {
+                                              resp::StreamCallbacks& events) {
   error_code error;
   const auto ip = asio::ip::make_address(at.ip, error);
   if (error) return nullptr;
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -14,22 +14,22 @@
 class TcpStream : public resp::Stream {
  public:
   // `events` must be owned by a shared_ptr by the time of the first call that waits for something.
-  TcpStream(boost::asio::ip::tcp::socket socket, Clock& clock, resp::StreamEvents& events)
+  TcpStream(boost::asio::ip::tcp::socket socket, Clock& clock, resp::StreamCallbacks& events)
       : socket_(std::move(socket)), clock_(clock), events_(events) {}
 
   // False if there is no socket to be had. Else `on_connected` comes.
   bool connect(const boost::asio::ip::tcp::endpoint& at, Ms timeout);
 
-  Written write(std::string_view bytes) override;
+  WriteResult write(std::string_view bytes) override;
   void await_writable() override;
   void read(std::span<char> space) override;
-  void await_end() override;
-  void later() override;
-  std::size_t unread() override;
-  bool quiet() override;
-  bool ended() override;
-  void acknowledge() override;
-  void shut_send() override;
+  void await_peer_close() override;
+  void post() override;
+  std::size_t unread_bytes() override;
+  bool is_quiet() override;
+  bool peer_closed() override;
+  void send_pending_ack() override;
+  void shutdown_send() override;
   void close() override;
 
  private:
@@ -42,7 +42,7 @@
 
   boost::asio::ip::tcp::socket socket_;
   Clock& clock_;
-  resp::StreamEvents& events_;
+  resp::StreamCallbacks& events_;
   std::unique_ptr<boost::asio::steady_timer> timer_;  // while connecting
   std::span<char> space_;                             // to read into
   bool awaiting_ = false;                             // that something comes
@@ -54,8 +54,8 @@
  public:
   TcpDialer(boost::asio::io_context& io, Clock& clock) : io_(io), clock_(clock) {}
   std::unique_ptr<resp::Stream> dial(const resp::Address& at, Ms timeout,
-                                     resp::StreamEvents& events) override;
-  bool make_room() override { return make_room_ && make_room_(); }
+                                     resp::StreamCallbacks& events) override;
+  bool free_descriptor() override { return make_room_ && make_room_(); }
   void set_make_room(std::function<bool()> make_room) { make_room_ = std::move(make_room); }
 
  private:
--- a/src/ops/figures.h
+++ b/src/ops/figures.h
@@ -15,28 +15,28 @@
 namespace cometfold::ops {
 
 // Of the other gateways; names as shown.
-struct PeerFigures {
+struct PeerMetrics {
   std::vector<std::pair<std::string, std::uint64_t>> gauges, counts;
 };
 
-struct Figures {
-  std::size_t in_progress = 0;        // requests taken and not yet ended
-  std::size_t known_hosts = 0;        // in the list
-  std::size_t skipped_hosts = 0;      // listed, and avoided now
-  std::uint64_t loads = 0;            // files taken at SIGHUP
-  std::uint64_t load_errors = 0;      // and turned down
-  engine::CauseFigures refused = {};  // or given up
-  engine::RuleFigures rules = {};
-  engine::AttemptFigures attempts = {};
+struct GatewayMetrics {
+  std::size_t in_progress = 0;               // requests taken and not yet ended
+  std::size_t known_hosts = 0;               // in the list
+  std::size_t excluded_hosts = 0;            // listed, and avoided now
+  std::uint64_t config_reloads = 0;          // files taken at SIGHUP
+  std::uint64_t config_reload_errors = 0;    // and turned down
+  engine::RejectionMetrics rejections = {};  // or given up
+  engine::RuleMetrics rules = {};
+  engine::AttemptMetrics attempts = {};
   std::vector<std::pair<std::string_view, std::uint64_t>> closed = {};  // clients' connections, by reason
-  std::uint64_t closes_stopped = 0;       // that the rules did not allow: faults
-  std::optional<PeerFigures> peers = {};  // if there are any
+  std::uint64_t forbidden_closes = 0;     // that the rules did not allow: faults
+  std::optional<PeerMetrics> peers = {};  // if there are any
 };
 
 // One line a figure: `NAME:VALUE|c` for a count since the start, `NAME:VALUE|g` for what holds now. `labels`
 // names the classes by number; classes of one name, as a class that changed its kind leaves them, are one
-// line. A class beyond `classes` has had no request yet.
-std::string render(const Figures& figures, std::span<const std::string> labels,
-                   std::span<const engine::ClassFigures> classes);
+// line. A class beyond `class_names` has had no request yet.
+std::string render_metrics(const GatewayMetrics& figures, std::span<const std::string> labels,
+                           std::span<const engine::ClassMetrics> classes);
 
 }  // namespace cometfold::ops
--- a/src/resp/client_link.h
+++ b/src/resp/client_link.h
@@ -20,100 +20,101 @@
 
 namespace cometfold::resp {
 
-using engine::Ticket;
+using engine::ResponseHandle;
 
 // Sums over all client connections of a gateway, and their bounds.
 struct ClientTotals {
-  std::size_t most_unsent = 24 * 1024 * 1024;    // bytes of answers not yet taken
-  std::size_t most_buffered = 24 * 1024 * 1024;  // bytes of buffers for commands, before large halves go
-  std::size_t unsent = 0;
-  std::size_t buffered = 0;
+  std::size_t max_unsent_bytes = 24 * 1024 * 1024;    // bytes of answers not yet taken
+  std::size_t max_buffered_bytes = 24 * 1024 * 1024;  // bytes of buffers for commands, before large halves go
+  std::size_t unsent_bytes = 0;
+  std::size_t buffered_bytes = 0;
   std::uint64_t uses = 0;
-  std::array<std::uint64_t, kCloseReasons> closed{};
-  std::uint64_t closes_stopped = 0;  // by the rules of closing: each is a fault
+  std::array<std::uint64_t, kCloseReasonCount> closed_by_reason{};
+  std::uint64_t forbidden_closes = 0;  // by the rules of closing: each is a fault
 };
 
 // What a command has become.
-struct Named {
-  std::uint64_t name = 0;      // to name if the client goes away before the answer; 0: nothing
-  std::uint64_t identity = 0;  // the request's id on the wire, if it is one
-  bool request = false;        // it was taken as a request
+struct CommandResult {
+  std::uint64_t request_id = 0;  // to name if the client goes away before the answer; 0: nothing
+  std::uint64_t identity = 0;    // the request's id on the wire, if it is one
+  bool is_request = false;       // it was taken as a request
 };
 
 // Who owns connections. Calls come from inside the connection's own.
-class ClientOwner {
+class ClientConnectionCallbacks {
  public:
-  virtual ~ClientOwner() = default;
+  virtual ~ClientConnectionCallbacks() = default;
   // A well-framed command; the words last until the call returns.
   // `waited`: milliseconds since it may have come, where it was not read at once; its time counts from there.
-  virtual Named on_command(Ms now, Ticket ticket, std::span<const Item> words, Ms waited) = 0;
+  virtual CommandResult on_command(Ms now, ResponseHandle ticket, std::span<const Item> words, Ms waited) = 0;
   // The answer to a request with this identity is given and not all out: it waits behind others or for the
-  // client to read. `on_sent` follows, when it is out or can't go out any more.
-  virtual void on_unsent(std::uint64_t identity) = 0;
-  virtual void on_sent(std::uint64_t identity) = 0;
-  virtual void on_client_gone(Ms now, std::uint64_t name) = 0;
+  // client to read. `on_reply_flushed` follows, when it is out or can't go out any more.
+  virtual void on_reply_pending(std::uint64_t identity) = 0;
+  virtual void on_reply_flushed(std::uint64_t identity) = 0;
+  virtual void on_client_disconnected(Ms now, std::uint64_t name) = 0;
   // There is room again for the long value of the request of this name.
-  virtual void on_room(Ms, std::uint64_t) {}
+  virtual void on_client_writable(Ms, std::uint64_t) {}
   virtual void on_closed(std::uint64_t id) = 0;
-  // Nothing is read from a connection for now: `ClientLink::look_for_end` must be called soon and tells.
-  virtual void on_held_back() {}
+  // Nothing is read from a connection for now: `ClientConnection::check_disconnected` must be called soon and
+  // tells.
+  virtual void on_reads_paused() {}
 };
 
-class ClientLink : public StreamEvents {
+class ClientConnection : public StreamCallbacks {
  public:
-  ClientLink(ClientOwner& owner, ClientTotals& totals, std::uint64_t id, Ms now);
+  ClientConnection(ClientConnectionCallbacks& owner, ClientTotals& totals, std::uint64_t id, Ms now);
 
   void start(std::unique_ptr<Stream> stream);
   // What can be read now came as early as `came`.
-  void unread_since(Ms came) { came_ = came, more_waits_ = true; }
+  void set_arrival_bound(Ms came) { came_ = came, more_waits_ = true; }
 
   // `reply` is one whole RESP value. Does nothing if this place has its answer. Calls nobody back.
-  void answer(Ms now, std::uint64_t place, std::string_view reply);
-  // A long value instead of `answer`, in pieces. False: taken, and no more is wanted until
-  // `ClientOwner::on_room`. `answer` before its end cuts it off: if some of it is out, the connection ends,
-  // so that the client can tell.
-  void begin_value(Ms now, std::uint64_t place, std::size_t size);
-  bool add_to_value(Ms now, std::uint64_t place, std::string_view bytes);
-  void end_value(Ms now, std::uint64_t place);
+  void send_reply(Ms now, std::uint64_t place, std::string_view reply);
+  // A long value instead of `send_reply`, in pieces. False: taken, and no more is wanted until
+  // `ClientConnectionCallbacks::on_client_writable`. `send_reply` before its end cuts it off: if some of it
+  // is out, the connection ends, so that the client can tell.
+  void start_value(Ms now, std::uint64_t place, std::size_t size);
+  bool append_value(Ms now, std::uint64_t place, std::string_view bytes);
+  void finish_value(Ms now, std::uint64_t place);
   // An error line for what is no proper request. A client that makes many such mistakes is closed.
-  void reject(Ms now, std::uint64_t place, std::string_view why);
+  void send_error(Ms now, std::uint64_t place, std::string_view why);
 
-  bool idle() const { return slots_.empty() && out_.empty() && reader_.empty() && !lingering_; }
+  bool is_idle() const { return slots_.empty() && out_.empty() && reader_.empty() && !lingering_; }
   // It has had an answer.
-  bool answered() const { return first_ > 0; }
+  bool has_replied() const { return first_ > 0; }
   // Its client has ended the connection or is gone, whether or not that has been told.
-  bool client_left() const { return closed_ || stream_->ended(); }
+  bool client_disconnected() const { return closed_ || stream_->peer_closed(); }
   // Bytes that have come and are not read yet.
-  std::size_t unread() const { return stream_->unread(); }
+  std::size_t unread_bytes() const { return stream_->unread_bytes(); }
   // Has not yet said anything whole, and nothing is owed on it.
-  bool silent() const { return first_ == 0 && slots_.empty() && !lingering_; }
+  bool is_silent() const { return first_ == 0 && slots_.empty() && !lingering_; }
   // How gladly this one is closed for a newcomer; 0: never, as something is owed on it.
-  int spare() const;
+  int eviction_priority() const;
   // What `may_close` is asked about.
   ConnectionState state(Ms now) const;
   // Larger: used later.
-  std::uint64_t used() const { return used_; }
+  std::uint64_t last_used() const { return used_; }
 
   // Closes after the next answer, or at once what is owed: what idles stays, as a request may be on its way.
-  void end_after_next() { last_ = true; }
+  void close_after_next_reply() { last_ = true; }
   // Nobody new from here on: closes as soon as nothing is owed.
-  void wind_down(Ms now);
+  void start_draining(Ms now);
   // Closes what says nothing, half of something or nothing more. To be called a few times a second.
-  void sweep(Ms now);
+  void close_if_timed_out(Ms now);
   // Closes if the client has gone while nothing is read from it.
-  void look_for_end(Ms now);
+  void check_disconnected(Ms now);
   // Unless `may_close` says no: that is counted as a fault, and it stays open.
   void close(Ms now, CloseReason why);
 
   void on_connected(Ms, bool) override {}
   void on_read(Ms now, std::size_t bytes, bool ended) override;
   void on_writable(Ms now, bool ok) override;
-  void on_later(Ms now) override;
+  void on_posted(Ms now) override;
   void digest(engine::Digest& into) const;
 
  private:
   struct Slot {
-    Named named;
+    CommandResult named;
     bool done = false;
     bool streams = false;  // a long value has begun
     bool full = false;     // ... and waits for room
@@ -138,13 +139,13 @@
   void write(Ms now);
   void linger(Ms now);
   bool close_if_allowed(Ms now, std::initializer_list<CloseReason> reasons);
-  void keep_unsent(const Named& named);
+  void keep_unsent(const CommandResult& named);
 
-  ClientOwner& owner_;
+  ClientConnectionCallbacks& owner_;
   ClientTotals& totals_;
   std::uint64_t id_;
   std::unique_ptr<Stream> stream_;
-  Reader reader_;
+  RespReader reader_;
   Frame frame_;
   std::deque<Slot> slots_;   // commands not yet answered, in their order
   std::uint64_t first_ = 0;  // place of the first of them
--- a/src/resp/front.cpp
+++ b/src/resp/front.cpp
@@ -54,7 +54,7 @@
 }
 
 // The client's words, kept to be passed on; only the time left differs between attempts.
-class Order : public Command {
+class Order : public HostCommand {
  public:
   std::size_t bytes() const override { return body.size(); }
   std::string render(Ms left) const override {
@@ -78,19 +78,19 @@
 
 }  // namespace
 
-struct Front::Parsed {
+struct RespHandler::Parsed {
   Request request;
   std::uint64_t wire_id = 0;
   Ms wait = 0;
   std::unique_ptr<Order> order = std::make_unique<Order>();
 };
 
-Front::Front(engine::Engine& engine, Replies& replies, Names names)
+RespHandler::RespHandler(engine::Engine& engine, ReplySink& replies, CommandNames names)
     : engine_(engine), replies_(replies), names_(std::move(names)) {}
 
-Named Front::on_command(Ms now, Ticket ticket, std::span<const Item> words, Ms waited) {
+CommandResult RespHandler::on_command(Ms now, ResponseHandle ticket, std::span<const Item> words, Ms waited) {
   if (words.empty()) {
-    replies_.reject(now, ticket, "ERR empty command");
+    replies_.send_error(now, ticket, "ERR empty command");
     return {};
   }
   const auto verb = words[0].text;
@@ -108,15 +108,15 @@
     } else {
       append_simple(reply, "PONG");
     }
-    replies_.answer(now, ticket, reply);
+    replies_.send_reply(now, ticket, reply);
     return {};
   }
-  replies_.reject(now, ticket, "ERR unknown command '" + std::string(verb.substr(0, 64)) + "'");
+  replies_.send_error(now, ticket, "ERR unknown command '" + std::string(verb.substr(0, 64)) + "'");
   return {};
 }
 
 // One value of the list: the reason why it is none, or null.
-const char* Front::field(std::string_view value, unsigned bit, Parsed& parsed) const {
+const char* RespHandler::field(std::string_view value, unsigned bit, Parsed& parsed) const {
   Request& q = parsed.request;
   std::uint32_t first = 0;
   switch (bit) {
@@ -131,17 +131,18 @@
     case kKey:
       return value.empty() || value.size() > kLongestName ? "bad key" : nullptr;
     case kUnits:
-      return read_number(value, q.units) && q.units > 0 && q.units <= names_.largest_units * (1 + 1e-6)
+      return read_number(value, q.units) && q.units > 0 && q.units <= names_.max_request_units * (1 + 1e-6)
                  ? nullptr
                  : "units is out of range";
     case kSpread:
-      return read_number(value, q.spread) && q.spread >= 1 && q.spread <= names_.gateways
+      return read_number(value, q.gateway_count) && q.gateway_count >= 1 &&
+                     q.gateway_count <= names_.gateway_count
                  ? nullptr
                  : "spread is out of range";
     case kFirst:
-      return read_number(value, first) && first < names_.gateways ? nullptr : "first is out of range";
+      return read_number(value, first) && first < names_.gateway_count ? nullptr : "first is out of range";
     case kAgain:
-      q.repeat = value == "1";
+      q.is_client_retry = value == "1";
       return nullptr;
     default:
       return nullptr;
@@ -149,7 +150,7 @@
 }
 
 // The reason why a request is none, or null.
-const char* Front::parse(std::span<const Item> words, Parsed& parsed) const {
+const char* RespHandler::parse(std::span<const Item> words, Parsed& parsed) const {
   if (words.size() != 4 && words.size() != 5) return "wrong number of arguments";
   Request& q = parsed.request;
   if (!read_hex(words[1].text, q.customer) || q.customer >= kCustomers) return "bad customer";
@@ -179,9 +180,9 @@
   }
   if ((seen & kNeeded) != kNeeded) return "c, t, d, units, spread and first are needed";
   if (q.class_index < names_.bounds.size()) q.bounds = names_.bounds[q.class_index];
-  const auto repeat = names_.repeats[q.class_index];
-  if (repeat == Repeat::kKeyed && !(seen & kKey)) return "a keyed class needs k";
-  if (same_word(words[0].text, "SVC.QUERY") != (repeat == Repeat::kSafe))
+  const auto repeat = names_.idempotency[q.class_index];
+  if (repeat == Idempotency::kIdempotencyKey && !(seen & kKey)) return "a keyed class needs k";
+  if (same_word(words[0].text, "SVC.QUERY") != (repeat == Idempotency::kIdempotent))
     return "wrong command for the class";
   for (const auto& w : words.first(3)) append_bulk(order.head, w.text);
   if (words.size() == 5) append_bulk(order.body, words[4].text);
@@ -189,64 +190,64 @@
   return nullptr;
 }
 
-Named Front::take(Ms now, Ticket ticket, std::span<const Item> words, Ms waited) {
+CommandResult RespHandler::take(Ms now, ResponseHandle ticket, std::span<const Item> words, Ms waited) {
   Parsed parsed;
   if (const char* why = parse(words, parsed)) {
-    replies_.reject(now, ticket, std::string("ERR ") + why);
+    replies_.send_error(now, ticket, std::string("ERR ") + why);
     return {};
   }
   const auto identity = parsed.wire_id;
   if (unsent_.contains(identity)) {
-    replies_.reject(now, ticket, kSameId);
+    replies_.send_error(now, ticket, kSameId);
     return {};
   }
-  engine::Ask ask{parsed.request, std::max(parsed.wait - waited, 0.0), parsed.wire_id,
-                  std::move(parsed.order)};
+  engine::IncomingRequest ask{parsed.request, std::max(parsed.wait - waited, 0.0), parsed.wire_id,
+                              std::move(parsed.order)};
   RequestId name = 0;
-  switch (engine_.take(now, *this, ticket, std::move(ask), name)) {
-    case engine::Taken::kYes:
+  switch (engine_.accept(now, *this, ticket, std::move(ask), name)) {
+    case engine::AcceptResult::kAccepted:
       return {name, identity, true};
-    case engine::Taken::kSameId:
-      replies_.reject(now, ticket, kSameId);
+    case engine::AcceptResult::kDuplicateIdentity:
+      replies_.send_error(now, ticket, kSameId);
       return {};
-    case engine::Taken::kClientLeft:  // its end is told next, and closes the connection
+    case engine::AcceptResult::kClientDisconnected:  // its end is told next, and closes the connection
       return {};
-    case engine::Taken::kNoRoom:  // nothing has been sent for it, so a refusal is lawful
-      replies_.answer(now, ticket, "-BUSY\r\n");
+    case engine::AcceptResult::kNoCapacity:  // nothing has been sent for it, so a refusal is lawful
+      replies_.send_reply(now, ticket, "-BUSY\r\n");
       return {};
   }
   return {};
 }
 
-void Front::served(Ms now, Ticket ticket, std::string_view value) {
+void RespHandler::on_served(Ms now, ResponseHandle ticket, std::string_view value) {
   std::string reply;
   reply.reserve(value.size() + 16);
   append_bulk(reply, value);
-  replies_.answer(now, ticket, reply);
+  replies_.send_reply(now, ticket, reply);
 }
 
-void Front::refused(Ms now, Ticket ticket, Ms retry_after) {
+void RespHandler::on_rejected(Ms now, ResponseHandle ticket, Ms retry_after) {
   if (retry_after >= 1) {
     const auto ms = std::to_string(static_cast<std::int64_t>(std::ceil(retry_after)));
-    replies_.answer(now, ticket, "-BUSY " + ms + "\r\n");
+    replies_.send_reply(now, ticket, "-BUSY " + ms + "\r\n");
   } else {
-    replies_.answer(now, ticket, "-BUSY\r\n");
+    replies_.send_reply(now, ticket, "-BUSY\r\n");
   }
 }
 
-void Front::failed(Ms now, Ticket ticket, engine::Failure why) {
+void RespHandler::on_failed(Ms now, ResponseHandle ticket, engine::FailureReason why) {
   switch (why) {
-    case engine::Failure::kTimedOut:
-      return replies_.answer(now, ticket, "-ERR timed out\r\n");
-    case engine::Failure::kStopping:
-      return replies_.answer(now, ticket, "-ERR stopping\r\n");
-    case engine::Failure::kGivenUp:
-    case engine::Failure::kInternal:
-      return replies_.answer(now, ticket, "-ERR failed\r\n");
+    case engine::FailureReason::kTimedOut:
+      return replies_.send_reply(now, ticket, "-ERR timed out\r\n");
+    case engine::FailureReason::kShuttingDown:
+      return replies_.send_reply(now, ticket, "-ERR stopping\r\n");
+    case engine::FailureReason::kPolicy:
+    case engine::FailureReason::kInternal:
+      return replies_.send_reply(now, ticket, "-ERR failed\r\n");
   }
 }
 
-LoadReport read_report(std::string_view text, LoadField (*field_of)(std::string_view)) {
+LoadReport parse_load_report(std::string_view text, LoadField (*field_of)(std::string_view)) {
   LoadReport load;
   while (!text.empty()) {
     const auto pair = text.substr(0, text.find(','));
@@ -257,14 +258,14 @@
         !(v >= 0 && v <= kMostReported))
       continue;
     switch (field_of(pair.substr(0, eq))) {
-      case LoadField::kQueue:
-        load.queue = v;
+      case LoadField::kQueueLength:
+        load.queue_length = v;
         break;
-      case LoadField::kInHand:
-        load.in_hand = v;
+      case LoadField::kInFlight:
+        load.in_flight = v;
         break;
-      case LoadField::kBusy:
-        load.busy = v;
+      case LoadField::kUtilization:
+        load.utilization = v;
         break;
       case LoadField::kOther:
         break;
