--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -18,12 +18,13 @@
 
 // A good reply's elements: the value, the figures on use or null, the load report or null.
 enum : std::size_t { kValue = 0, kUse = 1, kReport = 2, kWords = 3 };
-bool text_or_null(const Item& item) { return item.kind == Kind::kBulk || item.kind == Kind::kNull; }
+bool text_or_null(const Item& item) { return item.type == ItemType::kBulk || item.type == ItemType::kNull; }
 
 // The figures on use go nowhere from here, so they may be a number or a text.
 bool proper(const std::vector<Item>& items) {
-  return items.size() == kWords && items[kValue].kind == Kind::kBulk &&
-         (text_or_null(items[kUse]) || items[kUse].kind == Kind::kInteger) && text_or_null(items[kReport]);
+  return items.size() == kWords && items[kValue].type == ItemType::kBulk &&
+         (text_or_null(items[kUse]) || items[kUse].type == ItemType::kInteger) &&
+         text_or_null(items[kReport]);
 }
 
 // An error line that a host may send. Anything else that begins with '-' is noise.
@@ -42,7 +43,7 @@
 
 Reading read_error(std::string_view text) {
   Reading r{true, "", Outcome::kError, {}, {}};
-  if (text.substr(0, text.find(' ')) == "BUSY") r.outcome = Outcome::kFull;
+  if (text.substr(0, text.find(' ')) == "BUSY") r.outcome = Outcome::kOverloaded;
   const auto space = text.rfind(' ');
   if (space != std::string_view::npos && text.find('=', space) != std::string_view::npos) {
     r.report = text.substr(space + 1);
@@ -56,10 +57,10 @@
     const bool served = proper(items) || (mutant(Mutant::kServesSpoilt) && !items.empty());
     if (!served) return {false, "not a value, figures on use and a report", Outcome::kError, {}, {}};
     Reading r{true, "", Outcome::kOk, items[kValue].text, {}};
-    if (items.size() > kReport && items[kReport].kind == Kind::kBulk) r.report = items[kReport].text;
+    if (items.size() > kReport && items[kReport].type == ItemType::kBulk) r.report = items[kReport].text;
     return r;
   }
-  if (items[0].kind == Kind::kError && proper_error(items[0].text)) return read_error(items[0].text);
+  if (items[0].type == ItemType::kError && proper_error(items[0].text)) return read_error(items[0].text);
   return {false, "neither an array nor an error", Outcome::kError, {}, {}};
 }
 
@@ -74,21 +75,23 @@
 };
 
 // One connection: connecting, then by turns with an attempt out, at rest and idle; closed for good.
-class HostPool::Link : public StreamEvents {
+class HostPool::Link : public StreamCallbacks {
  public:
   Link(HostPool& owner, std::shared_ptr<Pool> pool)
       : owner_(owner),
         pool_(std::move(pool)),
-        reader_(resp::Limits{.elements = kReplyElements, .long_value = owner.limits_.long_value}, false) {}
+        reader_(resp::RespLimits{.max_elements = kReplyElements,
+                                 .max_streamed_value_bytes = owner.limits_.max_value_bytes},
+                false) {}
 
   // False if there is no socket to be had.
   bool connect(const Address& at) {
-    stream_ = owner_.dialer_.dial(at, owner_.limits_.connect_timeout, *this);
+    stream_ = owner_.dialer_.dial(at, owner_.limits_.connect_timeout_ms, *this);
     return stream_ != nullptr;
   }
 
   // `command` stays where it is until the attempt has ended.
-  void carry(Ms now, AttemptId attempt, const Command& command, Ms left) {
+  void carry(Ms now, AttemptId attempt, const HostCommand& command, Ms left) {
     attempt_ = attempt;
     command_ = &command;
     written_ = 0;
@@ -98,7 +101,7 @@
   bool waits() const { return attempt_ != 0 && command_ != nullptr; }
 
   // Looked at before a write, as what has come may not have been read yet.
-  bool quiet() { return mutant(Mutant::kIgnoresNoise) || stream_->quiet(); }
+  bool quiet() { return mutant(Mutant::kIgnoresNoise) || stream_->is_quiet(); }
   bool up() const { return up_; }
   bool whole() const { return !waits() && written_ == request_.size(); }
   Ms idle_since() const { return idle_since_; }
@@ -140,7 +143,7 @@
     reader_.commit(bytes);
     if (attempt_ == 0) {  // nobody asked: not to be trusted with more
       if (mutant(Mutant::kIgnoresNoise)) return read();
-      return finish(now, Outcome::kBroken);
+      return finish(now, Outcome::kConnectionLost);
     }
     progress(now);
   }
@@ -151,7 +154,7 @@
   }
   // Of a long value.
   bool stalled(Ms now) const {
-    return begun_ && !paused_ && !closed_ && now - moved_ > owner_.limits_.stalled;
+    return begun_ && !paused_ && !closed_ && now - moved_ > owner_.limits_.stall_timeout_ms;
   }
 
   void on_writable(Ms now, bool ok) override {
@@ -165,7 +168,7 @@
   }
 
   // A write failed, maybe inside the module, which must not be entered again: its end is told from here.
-  void on_later(Ms now) override {
+  void on_posted(Ms now) override {
     if (attempt_ == failed_attempt_) finish(now, broken());
   }
 
@@ -180,7 +183,8 @@
   // Danger: only bytes that are all written can have begun to run. What breaks before that never ran and may
   // be sent again; what breaks after it may have run.
   Outcome broken() const {
-    return whole() && !mutant(Mutant::kResendsAfterReset) ? Outcome::kBroken : Outcome::kConnectFailed;
+    return whole() && !mutant(Mutant::kResendsAfterReset) ? Outcome::kConnectionLost
+                                                          : Outcome::kConnectFailed;
   }
 
   // Danger: rendered earlier, it would tell the host of time that its client has not any more.
@@ -196,9 +200,9 @@
         if (!std::exchange(writing_, true)) stream_->await_writable();
         return;
       }
-      if (w.broken) {
+      if (w.disconnected) {
         failed_attempt_ = attempt_;
-        return stream_->later();
+        return stream_->post();
       }
       written_ += w.bytes;
       if (whole() && attempt_ != 0) owner_.events_.on_attempt_written(attempt_);
@@ -206,17 +210,17 @@
   }
 
   // Always out, on an idle connection too, so that one which the host has closed is not used again.
-  void read() { stream_->read(reader_.space()); }
+  void read() { stream_->read(reader_.prepare()); }
 
   void progress(Ms now) {
     switch (reader_.next(frame_)) {
-      case Progress::kMore:
+      case ReadResult::kNeedMore:
         return read();
-      case Progress::kBroken:
-        return spoilt(now, reader_.fault());
-      case Progress::kFrame:
+      case ReadResult::kProtocolError:
+        return spoilt(now, reader_.error());
+      case ReadResult::kFrame:
         return answered(now);
-      case Progress::kLong:
+      case ReadResult::kStreamedValue:
         return pass_on(now);
     }
   }
@@ -227,15 +231,15 @@
     const auto self = shared_from_this();
     moved_ = now;
     if (!begun_) {
-      if (reader_.long_here() < kBeginsWith) return read();
+      if (reader_.streamed_value_buffered() < kBeginsWith) return read();
       begun_ = true;
-      owner_.events_.on_value_begun(now, attempt_, reader_.long_size());
+      owner_.events_.on_value_started(now, attempt_, reader_.streamed_value_size());
       if (closed_) return;
     }
-    const auto piece = reader_.take_long();
-    const bool more = piece.empty() || owner_.events_.on_value_piece(now, attempt_, piece);
+    const auto piece = reader_.take_streamed_chunk();
+    const bool more = piece.empty() || owner_.events_.on_value_chunk(now, attempt_, piece);
     if (closed_) return;
-    if (reader_.long_left() == 0) return progress(now);
+    if (reader_.streamed_value_remaining() == 0) return progress(now);
     if (!more) {
       paused_ = true;
     } else {
@@ -260,12 +264,12 @@
     // the pool until the value, which lies in its reader, has been passed on.
     owner_.ended(now, attempt, reading.outcome, reading.value, reading.report);
     if (closed_) return;
-    if (!clean || !pool_->open || pool_->idle.size() >= owner_.limits_.idle_per_host) return close();
+    if (!clean || !pool_->open || pool_->idle.size() >= owner_.limits_.max_idle_per_host) return close();
     if (request_.capacity() > kKeptRequest) std::string().swap(request_);  // or idle links hoard old bodies
     written_ = request_.size();
     // Danger: a second answer may be held back by the host's system until the first is acknowledged, by the
     // next request at the latest, which it would then be taken for the answer to.
-    stream_->acknowledge();
+    stream_->send_pending_ack();
     idle_since_ = now;
     pool_->idle.push_back(self);
     read();
@@ -274,11 +278,11 @@
   HostPool& owner_;
   std::shared_ptr<Pool> pool_;  // an attempt may outlast its host's entry
   std::unique_ptr<Stream> stream_;
-  Reader reader_;
+  RespReader reader_;
   Frame frame_;
   AttemptId attempt_ = 0;  // 0: none
   AttemptId failed_attempt_ = 0;
-  const Command* command_ = nullptr;  // of an attempt whose connection is not up yet
+  const HostCommand* command_ = nullptr;  // of an attempt whose connection is not up yet
   std::string request_;
   std::size_t written_ = 0;
   Ms idle_since_ = 0;
@@ -287,14 +291,14 @@
   bool begun_ = false, paused_ = false;  // a long value is being passed on; it waits for the client
 };
 
-HostPool::HostPool(Dialer& dialer, HostEvents& events, const PoolLimits& limits, Log log)
+HostPool::HostPool(Dialer& dialer, HostPoolCallbacks& events, const HostPoolLimits& limits, Log log)
     : dialer_(dialer), events_(events), limits_(limits), log_(std::move(log)) {}
 // Links and their pools hold each other until a link is closed.
 HostPool::~HostPool() { close_all(); }
 
 // Danger: an attempt that still waits for its connection was meant for the process before. Behind a connect
 // that comes up late it would reach the one that has just started and is cold, or a stranger at that address.
-void HostPool::add(HostId host, const Address& at, Ms started_at) {
+void HostPool::add_host(HostId host, const Address& at, Ms started_at) {
   auto& pool = pools_[host];
   if (const auto back = leaving_.find(host); !pool && back != leaving_.end()) {
     pool = back->second;
@@ -312,13 +316,13 @@
   pool->open = true;
 }
 
-void HostPool::end_stale(Ms now) {
+void HostPool::fail_stale_attempts(Ms now) {
   for (const auto& link : std::exchange(stale_, {})) {
     if (!link->up()) link->finish(now, Outcome::kConnectFailed);
   }
 }
 
-void HostPool::retire(Ms now, HostId host) {
+void HostPool::retire_host(Ms now, HostId host) {
   const auto it = pools_.find(host);
   if (it == pools_.end()) return;
   const auto pool = it->second;
@@ -337,7 +341,7 @@
 }
 
 bool HostPool::too_old(Ms now, const Link& link) const {
-  return now - link.idle_since() > limits_.idle_limit * kIdleShare;
+  return now - link.idle_since() > limits_.idle_timeout_ms * kIdleShare;
 }
 
 bool HostPool::drop_an_idle_link() {
@@ -359,7 +363,7 @@
 std::shared_ptr<HostPool::Link> HostPool::take_rested(Ms now, Pool& pool) {
   for (;;) {
     const auto rested = std::find_if(pool.idle.rbegin(), pool.idle.rend(), [&](const auto& link) {
-      return now - link->idle_since() >= limits_.rest;
+      return now - link->idle_since() >= limits_.reuse_delay_ms;
     });
     if (rested == pool.idle.rend()) return nullptr;
     const auto link = *rested;
@@ -374,12 +378,12 @@
 
 StartResult HostPool::start(Ms now, AttemptId attempt, HostId host, const engine::Payload& payload, Ms left) {
   const auto it = pools_.find(host);
-  if (it == pools_.end() || !it->second->open) return StartResult::kNoHost;
-  return start_on(now, attempt, it->second, static_cast<const Command&>(payload), left);
+  if (it == pools_.end() || !it->second->open) return StartResult::kHostUnavailable;
+  return start_on(now, attempt, it->second, static_cast<const HostCommand&>(payload), left);
 }
 
 StartResult HostPool::start_on(Ms now, AttemptId attempt, const std::shared_ptr<Pool>& host,
-                               const Command& command, Ms left) {
+                               const HostCommand& command, Ms left) {
   Pool& pool = *host;
   if (const auto link = take_rested(now, pool)) {
     out_.emplace(attempt, link);
@@ -387,16 +391,17 @@
     return StartResult::kStarted;
   }
   // At the cap one that has not rested is given up for a new connection: better a handshake than a mix-up.
-  if (pool.links.size() >= limits_.per_host) {
-    if (pool.idle.empty()) return StartResult::kNoRoomHere;
+  if (pool.links.size() >= limits_.max_connections_per_host) {
+    if (pool.idle.empty()) return StartResult::kNoLocalCapacity;
     std::shared_ptr(pool.idle.front())->close();
   }
-  if (links_ >= limits_.connections && !drop_an_idle_link()) return StartResult::kNoRoomHere;
+  if (links_ >= limits_.max_connections && !drop_an_idle_link()) return StartResult::kNoLocalCapacity;
   const auto link = std::make_shared<Link>(*this, host);
   // Out of descriptors: an idle connection elsewhere gives way, else this attempt was never sent.
-  if (!link->connect(pool.at) && !((drop_an_idle_link() || dialer_.make_room()) && link->connect(pool.at))) {
+  if (!link->connect(pool.at) &&
+      !((drop_an_idle_link() || dialer_.free_descriptor()) && link->connect(pool.at))) {
     log_("no socket for a host", "");
-    return StartResult::kNoRoomHere;
+    return StartResult::kNoLocalCapacity;
   }
   ++links_;
   pool.links.push_back(link);
@@ -405,7 +410,7 @@
   return StartResult::kStarted;
 }
 
-bool HostPool::waits(AttemptId attempt) const {
+bool HostPool::awaits_first_byte(AttemptId attempt) const {
   const auto it = out_.find(attempt);
   return it != out_.end() && it->second->waits();
 }
@@ -448,9 +453,9 @@
   }
   for (const auto& link : stalled) {
     log_("a host gives nothing more of its value", "");
-    link->finish(now, Outcome::kBroken);
+    link->finish(now, Outcome::kConnectionLost);
   }
-  while (links_ > limits_.connections && drop_an_idle_link()) {
+  while (links_ > limits_.max_connections && drop_an_idle_link()) {
   }
   std::erase_if(leaving_, [](const auto& entry) { return entry.second->links.empty(); });
 }
--- a/src/resp/resp.cpp
+++ b/src/resp/resp.cpp
@@ -28,7 +28,7 @@
 
 }  // namespace
 
-void Reader::drop_consumed() {
+void RespReader::drop_consumed() {
   begin_ += consumed_;
   consumed_ = 0;
   if (begin_ == end_) {
@@ -37,9 +37,11 @@
   }
 }
 
-std::size_t Reader::most() const { return std::max(limits_.buffer, limits_.frame + kFirstBuffer); }
+std::size_t RespReader::most() const {
+  return std::max(limits_.max_buffer_bytes, limits_.max_frame_bytes + kFirstBuffer);
+}
 
-std::span<char> Reader::space() {
+std::span<char> RespReader::prepare() {
   drop_consumed();
   if (buffer_.empty()) buffer_.resize(kFirstBuffer);
   if (end_ == buffer_.size() && begin_ > 0) {
@@ -51,94 +53,97 @@
   return {buffer_.data() + end_, buffer_.size() - end_};
 }
 
-Progress Reader::broken(const char* why) {
+ReadResult RespReader::broken(const char* why) {
   fault_ = why;
-  return Progress::kBroken;
+  return ReadResult::kProtocolError;
 }
 
 // The line at the cursor, without its end. Moves past it.
-Progress Reader::line(std::string_view& text) {
+ReadResult RespReader::line(std::string_view& text) {
   const char* from = buffer_.data() + begin_ + cursor_;
   const std::size_t there = end_ - begin_ - cursor_;
-  const auto* stop = static_cast<const char*>(std::memchr(from, '\n', std::min(there, limits_.line + 2)));
-  if (!stop) return there >= limits_.line + 2 ? broken("line too long") : Progress::kMore;
+  const auto* stop =
+      static_cast<const char*>(std::memchr(from, '\n', std::min(there, limits_.max_line_bytes + 2)));
+  if (!stop) return there >= limits_.max_line_bytes + 2 ? broken("line too long") : ReadResult::kNeedMore;
   text = {from, static_cast<std::size_t>(stop - from)};
   if (text.empty() || text.back() != '\r') return broken("line without CR LF");
   text.remove_suffix(1);
   if (text.find('\r') != std::string_view::npos) return broken("CR inside a line");
   cursor_ += text.size() + 2;
-  if (cursor_ > limits_.frame) return broken("frame too long");
-  return text.empty() ? broken("empty line") : Progress::kFrame;
+  if (cursor_ > limits_.max_frame_bytes) return broken("frame too long");
+  return text.empty() ? broken("empty line") : ReadResult::kFrame;
 }
 
 // One value that is no array, from its first line.
-Progress Reader::element(std::string_view header) {
+ReadResult RespReader::element(std::string_view header) {
   const char type = header[0];
   const auto rest = header.substr(1);
   const std::size_t at = cursor_ - 2 - rest.size();
   if (type == '$') {
     if (!commands_ && rest == "-1") {
-      marks_.push_back({Kind::kNull, at, 0});
-      return Progress::kFrame;
+      marks_.push_back({ItemType::kNull, at, 0});
+      return ReadResult::kFrame;
     }
     const auto size = length_of(rest);
     if (!size) return broken("invalid bulk length");
-    if (*size > limits_.value && *size <= limits_.long_value && array_ && marks_.empty()) {
+    if (*size > limits_.max_value_bytes && *size <= limits_.max_streamed_value_bytes && array_ &&
+        marks_.empty()) {
       begin_ += cursor_;  // nothing before it is needed any more
       cursor_ = 0;
       in_long_ = true;
       long_size_ = long_left_ = *size;
-      return Progress::kFrame;
+      return ReadResult::kFrame;
     }
-    if (*size > limits_.value || cursor_ + *size + 2 > limits_.frame) return broken("bulk string too long");
+    if (*size > limits_.max_value_bytes || cursor_ + *size + 2 > limits_.max_frame_bytes)
+      return broken("bulk string too long");
     in_bulk_ = true;
     bulk_size_ = *size;
-    return Progress::kFrame;
+    return ReadResult::kFrame;
   }
   if (commands_) return broken("expected a bulk string");
   if (type == ':' && !is_integer(rest)) return broken("invalid integer");
   if (type != '+' && type != '-' && type != ':') return broken("unknown type");
-  marks_.push_back({type == '+'   ? Kind::kSimple
-                    : type == '-' ? Kind::kError
-                                  : Kind::kInteger,
+  marks_.push_back({type == '+'   ? ItemType::kSimple
+                    : type == '-' ? ItemType::kError
+                                  : ItemType::kInteger,
                     at, rest.size()});
-  return Progress::kFrame;
+  return ReadResult::kFrame;
 }
 
-std::string_view Reader::take_long() {
+std::string_view RespReader::take_streamed_chunk() {
   drop_consumed();
-  const std::string_view here(buffer_.data() + begin_, long_here());
+  const std::string_view here(buffer_.data() + begin_, streamed_value_buffered());
   long_left_ -= here.size();
   consumed_ = here.size();
   return here;
 }
 
-Progress Reader::next(Frame& frame) {
-  if (fault_) return Progress::kBroken;
+ReadResult RespReader::next(Frame& frame) {
+  if (fault_) return ReadResult::kProtocolError;
   drop_consumed();
   while (!started_ || wanted_ > 0) {
     if (in_long_) {
-      if (long_left_ > 0) return Progress::kLong;
-      if (end_ - begin_ < 2) return Progress::kMore;
+      if (long_left_ > 0) return ReadResult::kStreamedValue;
+      if (end_ - begin_ < 2) return ReadResult::kNeedMore;
       if (buffer_[begin_] != '\r' || buffer_[begin_ + 1] != '\n') return broken("bulk string without CR LF");
-      marks_.push_back({Kind::kBulk, 0, 0});
+      marks_.push_back({ItemType::kBulk, 0, 0});
       cursor_ += 2;
       in_long_ = false;
       --wanted_;
       continue;
     }
     if (in_bulk_) {
-      if (end_ - begin_ < cursor_ + bulk_size_ + 2) return Progress::kMore;
+      if (end_ - begin_ < cursor_ + bulk_size_ + 2) return ReadResult::kNeedMore;
       const char* after = buffer_.data() + begin_ + cursor_ + bulk_size_;
       if (after[0] != '\r' || after[1] != '\n') return broken("bulk string without CR LF");
-      marks_.push_back({Kind::kBulk, cursor_, bulk_size_});
+      marks_.push_back({ItemType::kBulk, cursor_, bulk_size_});
       cursor_ += bulk_size_ + 2;
       in_bulk_ = false;
       --wanted_;
       continue;
     }
     std::string_view header;
-    if (const auto p = line(header); p != Progress::kFrame) return p;
+    if (const auto p = line(header); p != ReadResult::kFrame) return p;
     if (!started_) {
       array_ = header[0] == '*';
       if (commands_ && !array_) return broken("expected an array");
@@ -147,12 +152,12 @@
       if (array_) {
         const auto n = length_of(header.substr(1));
         if (!n) return broken("invalid array length");
-        if (*n > limits_.elements) return broken("too many elements");
+        if (*n > limits_.max_elements) return broken("too many elements");
         wanted_ = *n;
         continue;
       }
     }
-    if (const auto p = element(header); p != Progress::kFrame) return p;
+    if (const auto p = element(header); p != ReadResult::kFrame) return p;
     if (!in_bulk_ && !in_long_) --wanted_;
   }
   frame.array = array_;
@@ -162,7 +167,7 @@
   consumed_ = cursor_;
   cursor_ = 0;
   started_ = false;
-  return Progress::kFrame;
+  return ReadResult::kFrame;
 }
 
 void append_array(std::string& out, std::size_t elements) {
--- a/src/resp/resp.h
+++ b/src/resp/resp.h
@@ -11,21 +11,21 @@
 
 namespace cometfold::resp {
 
-struct Limits {
-  std::size_t value = 64 * 1024;   // bytes of one bulk string
-  std::size_t elements = 8;        // of an array
-  std::size_t line = 1024;         // bytes of a line: a status, an error, a length
-  std::size_t frame = 144 * 1024;  // bytes of a whole command or reply
-  std::size_t buffer = 0;          // bytes that may be here and not read yet; 0: a frame, and a little
-  // A value above `value` and up to this, first in an array, is given out in pieces and held nowhere. 0: none
-  // is.
-  std::size_t long_value = 0;
+struct RespLimits {
+  std::size_t max_value_bytes = 64 * 1024;   // bytes of one bulk string
+  std::size_t max_elements = 8;              // of an array
+  std::size_t max_line_bytes = 1024;         // bytes of a line: a status, an error, a length
+  std::size_t max_frame_bytes = 144 * 1024;  // bytes of a whole command or reply
+  std::size_t max_buffer_bytes = 0;  // bytes that may be here and not read yet; 0: a frame, and a little
+  // A value above `max_value_bytes` and up to this, first in an array, is given out in pieces and held
+  // nowhere. 0: none is.
+  std::size_t max_streamed_value_bytes = 0;
 };
 
-enum class Kind : std::uint8_t { kBulk, kNull, kSimple, kError, kInteger };
+enum class ItemType : std::uint8_t { kBulk, kNull, kSimple, kError, kInteger };
 
 struct Item {
-  Kind kind = Kind::kNull;
+  ItemType type = ItemType::kNull;
   std::string_view text;
 };
 
@@ -35,50 +35,51 @@
   std::vector<Item> items;
 };
 
-enum class Progress : std::uint8_t {
-  kMore,
+enum class ReadResult : std::uint8_t {
+  kNeedMore,
   kFrame,
-  kBroken,
-  kLong  // a long value is under way: `long_left` and `take_long`, then `next` again
+  kProtocolError,
+  kStreamedValue  // a long value is under way: `streamed_value_remaining` and `take_streamed_chunk`, then
+                  // `next` again
 };
 
-// Bytes go in through `space` and `commit`; `next` gives frame after frame. What a peer announces is checked
-// against the limits before any memory is set aside for it. Once broken, a reader stays broken.
-class Reader {
+// Bytes go in through `prepare` and `commit`; `next` gives frame after frame. What a peer announces is
+// checked against the limits before any memory is set aside for it. Once broken, a reader stays broken.
+class RespReader {
  public:
   // `commands`: only arrays of bulk strings that are not null, as clients send them.
-  Reader(const Limits& limits, bool commands) : limits_(limits), commands_(commands) {}
+  RespReader(const RespLimits& limits, bool commands) : limits_(limits), commands_(commands) {}
 
-  std::span<char> space();
+  std::span<char> prepare();
   void commit(std::size_t bytes) { end_ += bytes; }
-  Progress next(Frame& frame);
+  ReadResult next(Frame& frame);
 
   // Of a long value: its size, the bytes still to be taken, those of them that are here.
-  std::size_t long_size() const { return long_size_; }
-  std::size_t long_left() const { return long_left_; }
-  std::size_t long_here() const { return std::min(long_left_, end_ - begin_); }
+  std::size_t streamed_value_size() const { return long_size_; }
+  std::size_t streamed_value_remaining() const { return long_left_; }
+  std::size_t streamed_value_buffered() const { return std::min(long_left_, end_ - begin_); }
   // What is here of it. Lasts until the next call.
-  std::string_view take_long();
+  std::string_view take_streamed_chunk();
 
   bool empty() const { return begin_ + consumed_ == end_; }
   // No more can be taken in before something has been read.
   bool full() const { return end_ - begin_ - consumed_ >= most(); }
-  std::size_t held() const { return buffer_.size(); }
-  const char* fault() const { return fault_; }
+  std::size_t buffer_capacity() const { return buffer_.size(); }
+  const char* error() const { return fault_; }
 
  private:
   struct Mark {
-    Kind kind;
+    ItemType kind;
     std::size_t at, size;  // from `begin_`
   };
 
   std::size_t most() const;
   void drop_consumed();
-  Progress broken(const char* why);
-  Progress line(std::string_view& text);
-  Progress element(std::string_view header);
+  ReadResult broken(const char* why);
+  ReadResult line(std::string_view& text);
+  ReadResult element(std::string_view header);
 
-  Limits limits_;
+  RespLimits limits_;
   bool commands_;
   std::vector<char> buffer_;
   std::size_t begin_ = 0, end_ = 0;
--- a/src/rules/rules.h
+++ b/src/rules/rules.h
@@ -22,23 +22,23 @@
 
 using GatewayId = std::uint32_t;
 
-// What can be seen. `request` is the request's identity on the wire, `connection` a connection to a host.
+// What can be seen. `is_request` is the request's identity on the wire, `connection` a connection to a host.
 struct Event {
   enum Kind : std::uint8_t {
-    kTaken,      // a request's last byte was written to a connection that a gateway holds
-    kServed,     // its final answer: a value
-    kRefused,    // ... a refusal
-    kFailed,     // ... anything else
-    kGone,       // its client closed before the answer
-    kMade,       // a host made `value` for the request
-    kSendBegun,  // an attempt's first byte was written to a host's connection
-    kSendWhole,  // ... its last byte
-    kNeverRan,   // the host said, or the connection proves, that the attempt did not run and will not
-    kOver,       // the attempt is out no more: answered, or its connection has ended
-    kTold,       // a gateway was told of a host's state
-    kCrashed,    // a gateway ended without warning: what it held is the clients' to ask again
+    kRequestReceived,     // a request's last byte was written to a connection that a gateway holds
+    kServed,              // its final answer: a value
+    kRejected,            // ... a refusal
+    kFailed,              // ... anything else
+    kClientDisconnected,  // its client closed before the answer
+    kExecuted,            // a host made `max_value_bytes` for the request
+    kAttemptFirstByte,    // an attempt's first byte was written to a host's connection
+    kAttemptWritten,      // ... its last byte
+    kNotExecuted,     // the host said, or the connection proves, that the attempt did not run and will not
+    kAttemptEnded,    // the attempt is out no more: answered, or its connection has ended
+    kHostUpdate,      // a gateway was told of a host's state
+    kGatewayCrashed,  // a gateway ended without warning: what it held is the clients' to ask again
   };
-  Kind kind = kTaken;
+  Kind kind = kRequestReceived;
   Ms at = 0;
   GatewayId gateway = 0;
   std::uint64_t request = 0;
@@ -54,27 +54,27 @@
   HostEntry entry = {};
 };
 
-struct Breach {
-  std::string rule;  // which of the five
-  std::string why;   // what happened, in words
+struct Violation {
+  std::string rule;         // which of the five
+  std::string description;  // what happened, in words
 };
 
 class Monitor {
  public:
   virtual ~Monitor() = default;
-  virtual std::optional<Breach> see(const Event& event) = 0;
+  virtual std::optional<Violation> observe(const Event& event) = 0;
   // Asked now and then, and at the end: what should have happened by now and has not.
-  virtual std::optional<Breach> at(Ms) { return {}; }
+  virtual std::optional<Violation> check_deadlines(Ms) { return {}; }
   virtual void digest(engine::Digest& into) const = 0;
 };
 
 // No request is lost: each has one final answer in time, a served one the value made for it, and nothing goes
 // out for it afterwards. `slack`: milliseconds beyond its time that an answer may take.
-class OneAnswer : public Monitor {
+class SingleReplyMonitor : public Monitor {
  public:
-  explicit OneAnswer(Ms slack) : slack_(slack) {}
-  std::optional<Breach> see(const Event& event) override;
-  std::optional<Breach> at(Ms now) override;
+  explicit SingleReplyMonitor(Ms slack) : slack_(slack) {}
+  std::optional<Violation> observe(const Event& event) override;
+  std::optional<Violation> check_deadlines(Ms now) override;
   void digest(engine::Digest& into) const override;
 
  private:
@@ -90,10 +90,10 @@
 
 // No effect happens twice: what may have run is repeated, or refused, only as its class allows. Also how many
 // attempts may be out for one request at once.
-class NoRepeat : public Monitor {
+class AtMostOnceMonitor : public Monitor {
  public:
-  explicit NoRepeat(const Settings& settings) : settings_(settings) {}
-  std::optional<Breach> see(const Event& event) override;
+  explicit AtMostOnceMonitor(const AdmissionSettings& settings) : settings_(settings) {}
+  std::optional<Violation> observe(const Event& event) override;
   void digest(engine::Digest& into) const override;
 
  private:
@@ -107,20 +107,20 @@
     std::uint32_t class_index = 0;
     std::vector<Attempt> attempts;
   };
-  bool same_group(KeyGroup group, HostId a, HostId b) const;
-  std::optional<Breach> sent(const Event& event, Request& r);
+  bool same_group(IdempotencyScope group, HostId a, HostId b) const;
+  std::optional<Violation> sent(const Event& event, Request& r);
 
-  Settings settings_;
+  AdmissionSettings settings_;
   std::map<std::uint64_t, Request> requests_;
   std::map<HostId, HostEntry> hosts_;
 };
 
 // Drains are kept: once a gateway was told that a host drains or is gone, nothing new goes there after
 // `grace` milliseconds.
-class Drains : public Monitor {
+class DrainMonitor : public Monitor {
  public:
-  explicit Drains(Ms grace) : grace_(grace) {}
-  std::optional<Breach> see(const Event& event) override;
+  explicit DrainMonitor(Ms grace) : grace_(grace) {}
+  std::optional<Violation> observe(const Event& event) override;
   void digest(engine::Digest& into) const override;
 
  private:
@@ -129,12 +129,14 @@
 };
 
 // No cold host is pushed over: all gateways together send a host that has just started no more, over any
-// `fall_ms`, than `overload_factor` times what it can do in that time. `capacity`: requests a second of a
-// warm host; its ability rises evenly from `cold_from` to 1 over `warm_after_ms`.
-class ColdHosts : public Monitor {
+// `overload_window_ms`, than `overload_factor` times what it can do in that time. `warm_host_capacity`:
+// requests a second of a warm host; its ability rises evenly from `slow_start_initial_weight` to 1 over
+// `slow_start_duration_ms`.
+class SlowStartMonitor : public Monitor {
  public:
-  ColdHosts(const Settings& settings, double capacity) : settings_(settings), capacity_(capacity) {}
-  std::optional<Breach> see(const Event& event) override;
+  SlowStartMonitor(const AdmissionSettings& settings, double capacity)
+      : settings_(settings), capacity_(capacity) {}
+  std::optional<Violation> observe(const Event& event) override;
   void digest(engine::Digest& into) const override;
 
  private:
@@ -143,21 +145,21 @@
 
   struct Host {
     Ms started_at = 0;
-    std::deque<Ms> sends;  // of the last `fall_ms`
+    std::deque<Ms> sends;  // of the last `overload_window_ms`
   };
-  Settings settings_;
+  AdmissionSettings settings_;
   double capacity_;
   std::map<HostId, Host> hosts_;
 };
 
 // Ceilings are kept, over all gateways together: first attempts draw their units from one store for each
-// customer, which starts full, refills at the ceiling's rate and may fall to minus its slack. `wider`:
-// milliseconds of the rate by which the slack is wider on sockets. And no more than the open limit is out at
-// once.
-class Ceilings : public Monitor {
+// customer, which starts full, refills at the ceiling's rate and may fall to minus its slack.
+// `ceiling_slack_ms`: milliseconds of the rate by which the slack is wider on sockets. And no more than the
+// open limit is out at once.
+class CeilingMonitor : public Monitor {
  public:
-  Ceilings(const Settings& settings, Ms wider) : settings_(settings), wider_(wider) {}
-  std::optional<Breach> see(const Event& event) override;
+  CeilingMonitor(const AdmissionSettings& settings, Ms wider) : settings_(settings), wider_(wider) {}
+  std::optional<Violation> observe(const Event& event) override;
   void digest(engine::Digest& into) const override;
 
  private:
@@ -173,7 +175,7 @@
     double units = 1;
     bool drew = false;
   };
-  Settings settings_;
+  AdmissionSettings settings_;
   Ms wider_;
   std::map<CustomerId, Customer> customers_;
   std::map<std::uint64_t, Request> requests_;
@@ -181,23 +183,24 @@
 };
 
 // All five together.
-class Rules {
+class RuleMonitors {
  public:
-  struct Figures {
-    Ms answer_slack = 50;
-    Ms drain_grace = 250;
-    Ms wider = 150;       // of a ceiling's rate
-    double capacity = 0;  // of a warm host, requests a second; 0: not known, cold hosts are not judged
+  struct Tolerances {
+    Ms reply_slack_ms = 50;
+    Ms drain_grace_ms = 250;
+    Ms ceiling_slack_ms = 150;  // of a ceiling's rate
+    double warm_host_capacity =
+        0;  // of a warm host, requests a second; 0: not known, cold hosts are not judged
   };
-  Rules(const Settings& settings, const Figures& figures);
-  void see(const Event& event);
-  void at(Ms now);
-  const std::vector<Breach>& breaches() const { return breaches_; }
+  RuleMonitors(const AdmissionSettings& settings, const Tolerances& figures);
+  void observe(const Event& event);
+  void check_deadlines(Ms now);
+  const std::vector<Violation>& violations() const { return breaches_; }
   void digest(engine::Digest& into) const;
 
  private:
   std::vector<std::unique_ptr<Monitor>> monitors_;
-  std::vector<Breach> breaches_;  // the first of them, kMostBreaches at most
+  std::vector<Violation> breaches_;  // the first of them, kMostBreaches at most
 };
 
 }  // namespace cometfold::rules
--- a/src/settings/numbering.cpp
+++ b/src/settings/numbering.cpp
@@ -10,21 +10,23 @@
 constexpr std::size_t kMost = 1024;
 
 bool same_right(const ClassSettings& a, const ClassSettings& b) {
-  return a.repeat == b.repeat && a.group == b.group && a.key_ttl_ms == b.key_ttl_ms;
+  return a.idempotency == b.idempotency && a.idempotency_scope == b.idempotency_scope &&
+         a.idempotency_key_ttl_ms == b.idempotency_key_ttl_ms;
 }
 
 bool same_right(const PlanSettings&, const PlanSettings&) { return true; }
 
 bool same(const ClassSettings& a, const ClassSettings& b) {
-  return same_right(a, b) && a.aim_ms == b.aim_ms && a.deadline_ms == b.deadline_ms && a.worth == b.worth &&
-         a.late_share == b.late_share;
+  return same_right(a, b) && a.latency_objective_ms == b.latency_objective_ms &&
+         a.deadline_ms == b.deadline_ms && a.priority_weight == b.priority_weight &&
+         a.late_value_fraction == b.late_value_fraction;
 }
 
 bool same(const PlanSettings& a, const PlanSettings& b) {
-  return a.quota_rate == b.quota_rate && a.burst == b.burst && a.pays == b.pays &&
-         a.overrun_cost == b.overrun_cost && a.beyond_earns == b.beyond_earns &&
+  return a.quota_rate == b.quota_rate && a.quota_burst == b.quota_burst && a.plan_weight == b.plan_weight &&
+         a.over_quota_cost == b.over_quota_cost && a.over_quota_value == b.over_quota_value &&
          a.ceiling_rate == b.ceiling_rate && a.ceiling_burst == b.ceiling_burst &&
-         a.ceiling_slack == b.ceiling_slack && a.open_limit == b.open_limit;
+         a.ceiling_slack == b.ceiling_slack && a.max_concurrent_attempts == b.max_concurrent_attempts;
 }
 
 template <class Item>
@@ -53,15 +55,15 @@
     }
   }
   if (placed.size() > kMost) {
-    throw TooMany(std::string("settings: more than 1024 ") + what +
-                  " since the start, counting those withdrawn: a restart is needed");
+    throw TooManyNamesError(std::string("settings: more than 1024 ") + what +
+                            " since the start, counting those withdrawn: a restart is needed");
   }
 }
 
 }  // namespace
 
-Numbered renumber(const Numbered& before, const Numbered& fresh) {
-  Numbered merged;
+NumberedSettings renumber(const NumberedSettings& before, const NumberedSettings& fresh) {
+  NumberedSettings merged;
   merged.settings = fresh.settings;
   place(before.classes, before.settings.classes, fresh.classes, fresh.settings.classes, merged.classes,
         merged.settings.classes, "classes");
@@ -70,7 +72,7 @@
   return merged;
 }
 
-void extend(std::vector<std::string>& names, const std::vector<std::string>& fresh) {
+void extend_names(std::vector<std::string>& names, const std::vector<std::string>& fresh) {
   for (const auto& name : fresh) {
     if (names.size() >= kMost) return;
     if (std::find(names.begin(), names.end(), name) == names.end()) names.push_back(name);
--- a/src/settings/numbering.h
+++ b/src/settings/numbering.h
@@ -12,23 +12,23 @@
 
 namespace cometfold::settings {
 
-struct Numbered {
+struct NumberedSettings {
   // Names by number; an empty one is withdrawn, and only requests under way still use it.
   std::vector<std::string> classes, plans;
-  Settings settings;
+  AdmissionSettings settings;
 };
 
-struct TooMany : std::runtime_error {
+struct TooManyNamesError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
 // `fresh` in the numbers of `before`. A class of the same name that may be repeated in another way is another
 // class, as what has been sent under the old one was sent under the old right. Withdrawn ones that come back
 // as they were get their number back. Throws TooMany above 1,024 classes or plans, withdrawn ones included.
-Numbered renumber(const Numbered& before, const Numbered& fresh);
+NumberedSettings renumber(const NumberedSettings& before, const NumberedSettings& fresh);
 
 // Names that are not there yet are added behind. At most 1,024 altogether; more are left out, and so are
 // unknown.
-void extend(std::vector<std::string>& names, const std::vector<std::string>& fresh);
+void extend_names(std::vector<std::string>& names, const std::vector<std::string>& fresh);
 
 }  // namespace cometfold::settings
--- a/tests/buckets_test.cpp
+++ b/tests/buckets_test.cpp
@@ -18,7 +18,7 @@
 
 TEST(Buckets, RefillAtTheSliceRateAndNoFurtherThanTheVolume) {  // (2), (3)
   auto s = plain_settings();
-  s.plans[0].overrun_cost = 1000;  // the ordinary path alone: no benefit of the doubt
+  s.plans[0].over_quota_cost = 1000;  // the ordinary path alone: no benefit of the doubt
   Gateway g(s);
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(g.ask(id));
   g.answer_all();
@@ -34,8 +34,8 @@
 
 TEST(Buckets, ASliceSmallerThanTheLargestRequestStillPassesIt) {
   auto s = plain_settings(3);
-  s.largest_units = 6;
-  s.plans[0].burst = 6;  // the slice alone would hold 3
+  s.max_request_units = 6;
+  s.plans[0].quota_burst = 6;  // the slice alone would hold 3
   Gateway g(s);
   EXPECT_TRUE(g.ask(1, 6));  // from 3 to -3
   EXPECT_FALSE(g.ask(2, 1));
@@ -75,7 +75,7 @@
 TEST(Buckets, IdleCustomersAreDroppedOnlyWithFullBuckets) {
   auto s = plain_settings();
   s.plans[0].quota_rate = 0.02;  // a slice of 0.01 a second: a minute brings 0.6 units
-  s.plans[0].burst = 4;
+  s.plans[0].quota_burst = 4;
   Gateway g(s);
   EXPECT_TRUE(g.ask(1));
   EXPECT_TRUE(g.ask(2));
@@ -87,7 +87,7 @@
 
 TEST(Buckets, TrueUnitsTakeThePlaceOfTheGuess) {
   auto s = plain_settings();
-  s.units_settle = true;
+  s.actual_units_reported = true;
   Gateway g(s);
   ASSERT_TRUE(g.ask(1));
   const auto* sent = g.out.of(Act::kSend, 1);
@@ -100,7 +100,7 @@
 TEST(Buckets, WhatNeverWentOutCostsNothing) {
   auto s = plain_settings();
   s.max_attempts = 1;
-  for (const auto outcome : {Outcome::kNotSent, Outcome::kBroken}) {
+  for (const auto outcome : {Outcome::kNotSent, Outcome::kConnectionLost}) {
     Gateway g(s);
     for (RequestId id = 1; id <= 20; ++id) {
       if (!g.ask(id)) continue;
@@ -114,8 +114,8 @@
 
 TEST(Ceilings, SlicesStartEmptyAndAreNeverPassed) {
   auto s = plain_settings();
-  s.plans[0].beyond_earns = 1;  // soft: going beyond the quota earns what it costs
-  s.plans[0].ceiling_rate = 8;  // the slice: 4 a second, holds 8
+  s.plans[0].over_quota_value = 1;  // soft: going beyond the quota earns what it costs
+  s.plans[0].ceiling_rate = 8;      // the slice: 4 a second, holds 8
   s.plans[0].ceiling_burst = 16;
   Gateway g(s, {host(1), host(2), host(3)}, 5000);
   EXPECT_FALSE(g.ask(1)) << "the ceiling's slice is empty at the start";
@@ -129,7 +129,7 @@
 
 TEST(Ceilings, SoftPlansCountTokensOnlyWhileNothingIsPressed) {
   auto s = plain_settings();
-  s.plans[0].beyond_earns = 1;
+  s.plans[0].over_quota_value = 1;
   Gateway g(s);
   int passed = 0;
   for (RequestId id = 1; id <= 12; ++id, g.now += 10) {
@@ -141,7 +141,7 @@
 
 TEST(Caps, OpenAttemptsAreSlicedToo) {
   auto s = plain_settings();
-  s.plans[0].open_limit = 4;  // 2 at each of 2 gateways
+  s.plans[0].max_concurrent_attempts = 4;  // 2 at each of 2 gateways
   Gateway g(s);
   EXPECT_TRUE(g.ask(1));
   EXPECT_TRUE(g.ask(2));
--- a/tests/client_link_test.cpp
+++ b/tests/client_link_test.cpp
@@ -17,7 +17,7 @@
 // A stream whose bytes the test hands in.
 class HandStream : public Stream {
  public:
-  explicit HandStream(StreamEvents& events) : events_(events) {}
+  explicit HandStream(StreamCallbacks& events) : events_(events) {}
   // For as long as it is read from; how many were taken.
   std::size_t arrive(Ms now, std::string_view bytes) {
     std::size_t taken = 0;
@@ -29,38 +29,38 @@
     }
     return taken;
   }
-  Written write(std::string_view bytes) override { return {bytes.size(), false, false}; }
+  WriteResult write(std::string_view bytes) override { return {bytes.size(), false, false}; }
   void await_writable() override {}
   void read(std::span<char> space) override {
     space_ = space;
     read_ = true;
   }
-  void await_end() override {}
-  void later() override { ++asked_for_later; }
-  std::size_t unread() override { return waiting; }
-  bool quiet() override { return true; }
-  bool ended() override { return false; }
-  void shut_send() override {}
+  void await_peer_close() override {}
+  void post() override { ++asked_for_later; }
+  std::size_t unread_bytes() override { return waiting; }
+  bool is_quiet() override { return true; }
+  bool peer_closed() override { return false; }
+  void shutdown_send() override {}
   void close() override {}
   int asked_for_later = 0;
   std::size_t waiting = 0;  // bytes that have come and are not read
 
  private:
-  StreamEvents& events_;
+  StreamCallbacks& events_;
   std::span<char> space_;
   bool read_ = false;
 };
 
 // Answers nothing by itself.
-struct Owner : ClientOwner {
-  Named on_command(Ms, Ticket ticket, std::span<const Item>, Ms waits) override {
-    places.push_back(ticket.place);
+struct Owner : ClientConnectionCallbacks {
+  CommandResult on_command(Ms, ResponseHandle ticket, std::span<const Item>, Ms waits) override {
+    places.push_back(ticket.sequence);
     waited.push_back(waits);
     return {places.size(), places.size(), true};
   }
-  void on_unsent(std::uint64_t) override {}
-  void on_sent(std::uint64_t) override {}
-  void on_client_gone(Ms, std::uint64_t) override {}
+  void on_reply_pending(std::uint64_t) override {}
+  void on_reply_flushed(std::uint64_t) override {}
+  void on_client_disconnected(Ms, std::uint64_t) override {}
   void on_closed(std::uint64_t) override {}
   std::vector<std::uint64_t> places;
   std::vector<Ms> waited;
@@ -71,7 +71,7 @@
 TEST(ClientLink, IsNotSpareWhileCommandsThatWereReadWaitForRoom) {
   Owner owner;
   ClientTotals totals;
-  const auto link = std::make_shared<ClientLink>(owner, totals, 1, 0);
+  const auto link = std::make_shared<ClientConnection>(owner, totals, 1, 0);
   auto stream = std::make_unique<HandStream>(*link);
   HandStream& hand = *stream;
   link->start(std::move(stream));
@@ -79,15 +79,15 @@
   for (int i = 0; i < 70; ++i) all += emulators::command({"PING"});
   hand.arrive(1, all);
   ASSERT_EQ(owner.places.size(), 64u);
-  for (const auto place : std::vector(owner.places)) link->answer(2, place, "+PONG\r\n");
+  for (const auto place : std::vector(owner.places)) link->send_reply(2, place, "+PONG\r\n");
   ASSERT_EQ(owner.places.size(), 64u);  // the rest is read in the loop's next turn
-  EXPECT_EQ(link->spare(), 0);
-  link->on_later(2);
+  EXPECT_EQ(link->eviction_priority(), 0);
+  link->on_posted(2);
   EXPECT_EQ(owner.places.size(), 70u);
-  EXPECT_EQ(totals.closes_stopped, 0u);
-  link->close(3, CloseReason::kNoRoom);
-  EXPECT_EQ(totals.closes_stopped, 1u);  // and whoever closes it is stopped, and told of
-  EXPECT_EQ(totals.closed[static_cast<std::size_t>(CloseReason::kNoRoom)], 0u);
+  EXPECT_EQ(totals.forbidden_closes, 0u);
+  link->close(3, CloseReason::kEvicted);
+  EXPECT_EQ(totals.forbidden_closes, 1u);  // and whoever closes it is stopped, and told of
+  EXPECT_EQ(totals.closed_by_reason[static_cast<std::size_t>(CloseReason::kEvicted)], 0u);
 }
 
 // Commands of a client that is held back are read ahead within the bounds of one connection and of all.
@@ -99,8 +99,8 @@
   for (const bool scarce : {false, true}) {
     Owner owner;
     ClientTotals totals;
-    if (scarce) totals.most_buffered = kAll;
-    const auto link = std::make_shared<ClientLink>(owner, totals, 1, 0);
+    if (scarce) totals.max_buffered_bytes = kAll;
+    const auto link = std::make_shared<ClientConnection>(owner, totals, 1, 0);
     auto stream = std::make_unique<HandStream>(*link);
     HandStream& hand = *stream;
     link->start(std::move(stream));
@@ -108,19 +108,19 @@
     EXPECT_EQ(owner.places.size(), 64u);
     EXPECT_GE(taken, scarce ? kAll / 4 : kOne);
     EXPECT_LE(taken, commands.size() + (scarce ? kAll : kOne));
-    EXPECT_LE(totals.buffered, scarce ? kAll : kOne);
+    EXPECT_LE(totals.buffered_bytes, scarce ? kAll : kOne);
   }
 }
 
 // Answers a command of one word with a large answer at once.
 struct LargeAnswers : Owner {
-  Named on_command(Ms now, Ticket ticket, std::span<const Item> words, Ms waits) override {
-    const Named named = Owner::on_command(now, ticket, words, waits);
+  CommandResult on_command(Ms now, ResponseHandle ticket, std::span<const Item> words, Ms waits) override {
+    const CommandResult named = Owner::on_command(now, ticket, words, waits);
     if (words.size() == 1) return named;
-    link->answer(now, ticket.place, "+" + std::string(60'000, 'a') + "\r\n");
+    link->send_reply(now, ticket.sequence, "+" + std::string(60'000, 'a') + "\r\n");
     return {};
   }
-  std::shared_ptr<ClientLink> link;
+  std::shared_ptr<ClientConnection> link;
 };
 
 // More has been read than may be answered at once, and all answers are taken as soon as they are written:
@@ -128,7 +128,7 @@
 TEST(ClientLink, GoesOnWithWhatHasBeenReadWhenItsAnswersAreTakenAtOnce) {
   LargeAnswers owner;
   ClientTotals totals;
-  owner.link = std::make_shared<ClientLink>(owner, totals, 1, 0);
+  owner.link = std::make_shared<ClientConnection>(owner, totals, 1, 0);
   auto stream = std::make_unique<HandStream>(*owner.link);
   HandStream& hand = *stream;
   owner.link->start(std::move(stream));
@@ -137,50 +137,52 @@
   for (int i = 0; i < 20; ++i) all += emulators::command({"PING", "large"});
   hand.arrive(1, all);
   ASSERT_EQ(owner.places.size(), 64u);
-  for (const auto place : std::vector(owner.places)) owner.link->answer(2, place, "+PONG\r\n");
-  owner.link->on_later(2);
+  for (const auto place : std::vector(owner.places)) owner.link->send_reply(2, place, "+PONG\r\n");
+  owner.link->on_posted(2);
   EXPECT_EQ(owner.places.size(), 84u);
   owner.link.reset();
 }
 
 // Each reason, and what speaks against it.
 TEST(CloseRules, NothingOwedOrUnreadIsClosedButByItsClient) {
-  const ConnectionState old{.answered = true, .still_for = 60'000, .awaited_for = 60'000};
+  const ConnectionState old{.has_replied = true, .inactive_ms = 60'000, .command_awaited_ms = 60'000};
   const auto with = [&](auto change) {
     ConnectionState c = old;
     change(c);
     return c;
   };
-  const std::initializer_list<CloseReason> ours{CloseReason::kSilent, CloseReason::kHalfCommand,
+  const std::initializer_list<CloseReason> ours{CloseReason::kNoCommand, CloseReason::kIncompleteCommand,
                                                 CloseReason::kIdle, CloseReason::kDrain,
-                                                CloseReason::kNoRoom};
+                                                CloseReason::kEvicted};
   for (const CloseReason why : ours) {
     const auto fits = [&](ConnectionState& c) {
-      c.answered = why != CloseReason::kSilent;
-      c.half = why == CloseReason::kHalfCommand;
+      c.has_replied = why != CloseReason::kNoCommand;
+      c.command_incomplete = why == CloseReason::kIncompleteCommand;
     };
     EXPECT_TRUE(may_close(why, with(fits))) << int(why);
-    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.owes = true; }))) << int(why);
-    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.unread = true; }))) << int(why);
-    if (why == CloseReason::kNoRoom) continue;
-    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.still_for = c.awaited_for = 99; })))
+    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.reply_pending = true; }))) << int(why);
+    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.has_unread_bytes = true; }))) << int(why);
+    if (why == CloseReason::kEvicted) continue;
+    EXPECT_FALSE(may_close(why, with([&](auto& c) { fits(c), c.inactive_ms = c.command_awaited_ms = 99; })))
         << int(why);
   }
-  for (const CloseReason why : {CloseReason::kClient, CloseReason::kWriteFailed}) {
-    EXPECT_TRUE(may_close(why, with([](auto& c) { c.owes = c.unread = true; })));
+  for (const CloseReason why : {CloseReason::kClientClosed, CloseReason::kWriteFailed}) {
+    EXPECT_TRUE(may_close(why, with([](auto& c) { c.reply_pending = c.has_unread_bytes = true; })));
   }
-  EXPECT_FALSE(may_close(CloseReason::kStalled, with([](auto& c) { c.owes = true, c.still_for = 9000; })));
-  EXPECT_FALSE(may_close(CloseReason::kAfterLast, old));
-  EXPECT_FALSE(may_close(CloseReason::kAfterLast, with([](auto& c) { c.ending = c.owes = true; })));
-  EXPECT_FALSE(may_close(CloseReason::kIdle, with([](auto& c) { c.half = true; })));
-  EXPECT_FALSE(may_close(CloseReason::kDrain, with([](auto& c) { c.half = true; })));
+  EXPECT_FALSE(
+      may_close(CloseReason::kStalled, with([](auto& c) { c.reply_pending = true, c.inactive_ms = 9000; })));
+  EXPECT_FALSE(may_close(CloseReason::kAfterLastReply, old));
+  EXPECT_FALSE(
+      may_close(CloseReason::kAfterLastReply, with([](auto& c) { c.send_closed = c.reply_pending = true; })));
+  EXPECT_FALSE(may_close(CloseReason::kIdle, with([](auto& c) { c.command_incomplete = true; })));
+  EXPECT_FALSE(may_close(CloseReason::kDrain, with([](auto& c) { c.command_incomplete = true; })));
 }
 
 // A short read leaves the rest of a command in the socket, where it has been all the time.
 TEST(ClientLink, CountsTheTimeOfWhatAShortReadLeft) {
   Owner owner;
   ClientTotals totals;
-  const auto link = std::make_shared<ClientLink>(owner, totals, 1, 0);
+  const auto link = std::make_shared<ClientConnection>(owner, totals, 1, 0);
   auto stream = std::make_unique<HandStream>(*link);
   HandStream& hand = *stream;
   link->start(std::move(stream));
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -108,9 +108,9 @@
   Reply reply;
   Reply::Sink out(reply, 3);
   out.send(0x0001cb025d3a91c4, 0x03124a07, 80);
-  out.wake(500, 0x4d);
+  out.schedule_timer(500, 0x4d);
   Reply::Sink other(reply, 5);
-  other.note("two servers known");
+  other.log("two servers known");
   const auto text = reply.finish();
   const Raw got(text.begin(), text.end());
   Raw want = hex("91000000 05000000");
--- a/tests/decision_log_test.cpp
+++ b/tests/decision_log_test.cpp
@@ -18,18 +18,19 @@
 
 TEST(DecisionLog, TellsWhatPlansAreAndWhatBecameOfEachRequestAndChangesNothing) {
   auto s = plain_settings();
-  s.plans[0].overrun_cost = 1.5;
+  s.plans[0].over_quota_cost = 1.5;
   s.plans[0].ceiling_rate = s.plans[0].ceiling_burst = 0;
   std::vector<std::string> lines;
-  engine::ControlModule plain(s, 7), logged(s, 7);
+  engine::ControllerPolicy plain(s, 7), logged(s, 7);
   DecisionLog log(logged, s, [&](const std::string& line) { lines.push_back(line); });
   const HostEntry list[] = {host(1), host(2)};
   Recorder without, with;
-  const auto play = [&](engine::Module& module, Recorder& out) {
+  const auto play = [&](engine::AdmissionPolicy& module, Recorder& out) {
     module.start(0, out);
-    module.on_list(0, ListKind::kWhole, list, out);
+    module.on_host_list(0, HostListUpdate::kSnapshot, list, out);
     for (RequestId id = 1; id <= 12; ++id) {
-      module.on_request(10, {.id = id, .customer = 0xab, .expires_at = 4000, .units = 1, .spread = 2}, out);
+      module.on_request(10, {.id = id, .customer = 0xab, .expires_at = 4000, .units = 1, .gateway_count = 2},
+                        out);
     }
     module.on_timer(100, ~std::uint64_t{0}, out);
   };
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -20,38 +20,40 @@
 };
 
 // A module that does what a test says, call by call.
-struct Scripted : Module {
-  std::function<void(Actions&)> asked, told_list, gone, timer, started;
-  std::function<void(const AttemptEnd&, Actions&)> ended;
-  std::vector<AttemptEnd> ends;
+struct Scripted : AdmissionPolicy {
+  std::function<void(ActionSink&)> asked, told_list, gone, timer, started;
+  std::function<void(const AttemptResult&, ActionSink&)> ended;
+  std::vector<AttemptResult> ends;
   int gones = 0;
-  void start(Ms, Actions& out) override { run(started, out); }
-  void on_list(Ms, ListKind, std::span<const HostEntry>, Actions& out) override { run(told_list, out); }
-  void on_request(Ms, const Request&, Actions& out) override { run(asked, out); }
-  void on_attempt_end(Ms, const AttemptEnd& e, Actions& out) override {
+  void start(Ms, ActionSink& out) override { run(started, out); }
+  void on_host_list(Ms, HostListUpdate, std::span<const HostEntry>, ActionSink& out) override {
+    run(told_list, out);
+  }
+  void on_request(Ms, const Request&, ActionSink& out) override { run(asked, out); }
+  void on_attempt_end(Ms, const AttemptResult& e, ActionSink& out) override {
     ends.push_back(e);
     if (ended) ended(e, out);
   }
-  void on_gone(Ms, RequestId, Actions& out) override {
+  void on_client_disconnected(Ms, RequestId, ActionSink& out) override {
     ++gones;
     run(gone, out);
   }
-  void on_timer(Ms, std::uint64_t, Actions& out) override { run(timer, out); }
-  static void run(const std::function<void(Actions&)>& what, Actions& out) {
+  void on_timer(Ms, std::uint64_t, ActionSink& out) override { run(timer, out); }
+  static void run(const std::function<void(ActionSink&)>& what, ActionSink& out) {
     if (what) what(out);
   }
 };
 
-struct Wire : HostSide {
+struct Wire : UpstreamTransport {
   std::set<AttemptId> out, written;
   std::set<HostId> retired;
   std::map<AttemptId, HostId> to;
   AttemptId last = 0;
   StartResult answer = StartResult::kStarted;
   bool connecting = false;  // what is started waits for its connection
-  bool waits(AttemptId) const override { return connecting; }
+  bool awaits_first_byte(AttemptId) const override { return connecting; }
   StartResult start(Ms, AttemptId a, HostId h, const Payload&, Ms) override {
-    if (retired.contains(h)) return StartResult::kNoHost;
+    if (retired.contains(h)) return StartResult::kHostUnavailable;
     if (answer == StartResult::kStarted) out.insert(last = a), to[a] = h;
     return answer;
   }
@@ -60,14 +62,18 @@
     return true;
   }
   bool withdraw(Ms, AttemptId a) override { return !written.contains(a) && out.erase(a) > 0; }
-  void retire(Ms, HostId h) override { retired.insert(h); }
+  void retire_host(Ms, HostId h) override { retired.insert(h); }
 };
 
-struct Door : FrontEnd {
+struct Door : DownstreamHandler {
   std::vector<std::string> said;
-  void served(Ms, Ticket, std::string_view value) override { said.push_back("served " + std::string(value)); }
-  void refused(Ms, Ticket, Ms) override { said.push_back("refused"); }
-  void failed(Ms, Ticket, Failure why) override { said.push_back("failed " + std::to_string(int(why))); }
+  void on_served(Ms, ResponseHandle, std::string_view value) override {
+    said.push_back("served " + std::string(value));
+  }
+  void on_rejected(Ms, ResponseHandle, Ms) override { said.push_back("refused"); }
+  void on_failed(Ms, ResponseHandle, FailureReason why) override {
+    said.push_back("failed " + std::to_string(int(why)));
+  }
 };
 
 struct Fixture {
@@ -75,18 +81,19 @@
   Wire wire;
   Door door;
   std::vector<std::string> notes;
-  Engine engine{module,
-                wire,
-                {.open = 3, .bytes = 25, .margin = 0, .settle_within = 500},
-                [this](std::string_view what, std::string_view) { notes.emplace_back(what); }};
+  Engine engine{
+      module,
+      wire,
+      {.max_open_requests = 3, .max_payload_bytes = 25, .deadline_margin_ms = 0, .shutdown_timeout_ms = 500},
+      [this](std::string_view what, std::string_view) { notes.emplace_back(what); }};
   RequestId name = 0;
 
-  Taken take(Ms now, std::uint64_t identity = 1, Ms wait = 100) {
-    Ask ask;
-    ask.wait = wait;
+  AcceptResult take(Ms now, std::uint64_t identity = 1, Ms wait = 100) {
+    IncomingRequest ask;
+    ask.timeout_ms = wait;
     ask.identity = identity;
     ask.payload = std::make_unique<Bytes>();
-    return engine.take(now, door, {1, identity}, std::move(ask), name);
+    return engine.accept(now, door, {1, identity}, std::move(ask), name);
   }
   void end(Ms now, AttemptId a, Outcome outcome, std::string_view value = {}) {
     wire.out.erase(a);
@@ -96,10 +103,10 @@
 };
 
 auto send_to(HostId host, RequestId r = 1) {
-  return [=](Actions& out) { out.send(r, host, 0); };
+  return [=](ActionSink& out) { out.send(r, host, 0); };
 }
 
-// Runs `play` on the engine as it is, where it must hold, and on one with `fault`, where it must not.
+// Runs `play` on the engine as it is, where it must hold, and on one with `error`, where it must not.
 void guarded(Mutant fault, const std::function<bool(Fixture&)>& holds) {
   {
     Fixture f;
@@ -115,17 +122,17 @@
 
 TEST(Engine, ALateAnswerAfterARetryGoesNowhere) {
   guarded(Mutant::kServesLateAnswer, [](Fixture& f) {
-    f.module.timer = [](Actions& out) {
+    f.module.timer = [](ActionSink& out) {
       out.cancel(1, 0);
       out.send(1, 2, 0);
     };
-    f.module.asked = [](Actions& out) {
+    f.module.asked = [](ActionSink& out) {
       out.send(1, 1, 0);
-      out.wake(10, 1);
+      out.schedule_timer(10, 1);
     };
     f.take(0);
     const auto first = f.wire.last;
-    f.engine.run_due(10);
+    f.engine.run_timers(10);
     f.end(20, first, Outcome::kOk, "late");
     f.end(30, f.wire.last, Outcome::kOk, "good");
     return f.door.said == Fixture::Said{"served good"};
@@ -134,31 +141,31 @@
 
 TEST(Engine, WhatStillWaitsIsWithdrawnWhenTheAnswerIsOut) {
   guarded(Mutant::kSendsAfterAnswer, [](Fixture& f) {
-    f.module.asked = [](Actions& out) {
+    f.module.asked = [](ActionSink& out) {
       out.send(1, 1, 0);
       out.send(1, 2, 0);
     };
     f.take(0);
     f.wire.written.insert(1);
     f.end(5, 1, Outcome::kOk, "v");  // the module cancels nothing
-    return f.wire.out.empty() && f.engine.held() == 0 && f.module.ends.size() == 2;
+    return f.wire.out.empty() && f.engine.open_count() == 0 && f.module.ends.size() == 2;
   });
 }
 
 TEST(Engine, AStopAnswersWhileASecondCopyIsOut) {
   guarded(Mutant::kStopsWithoutSettling, [](Fixture& f) {
-    f.module.asked = [](Actions& out) {
+    f.module.asked = [](ActionSink& out) {
       out.send(1, 1, 0);
       out.send(1, 2, 0);
     };
     f.take(0, 1, 10'000);
     f.wire.written = {1, 2};
-    f.engine.stop(1);
-    f.engine.settle_all(501);
-    const bool once = f.door.said == Fixture::Said{"failed 2"} && f.engine.owed() == 0;
+    f.engine.begin_shutdown(1);
+    f.engine.fail_all(501);
+    const bool once = f.door.said == Fixture::Said{"failed 2"} && f.engine.unanswered_count() == 0;
     f.end(502, 1, Outcome::kOk, "v");
     f.end(503, 2, Outcome::kOk, "v");
-    return once && f.door.said.size() == 1 && f.engine.held() == 0;
+    return once && f.door.said.size() == 1 && f.engine.open_count() == 0;
   });
 }
 
@@ -167,14 +174,14 @@
     guarded(Mutant::kAnswersTwice, [&](Fixture& f) {
       f.module.asked = send_to(1);
       // A module that answers again, whatever it is told.
-      f.module.ended = [](const AttemptEnd&, Actions& out) {
-        out.fail(1, Cause::kEnded);
-        out.fail(1, Cause::kEnded);
+      f.module.ended = [](const AttemptResult&, ActionSink& out) {
+        out.fail(1, RejectionReason::kAttemptsExhausted);
+        out.fail(1, RejectionReason::kAttemptsExhausted);
       };
       f.take(0);
       f.wire.written.insert(1);
       if (answer_first) f.end(100, 1, Outcome::kOk, "v");
-      f.engine.run_due(100);
+      f.engine.run_timers(100);
       if (!answer_first) f.end(100, 1, Outcome::kOk, "v");
       return f.door.said == Fixture::Said{answer_first ? "served v" : "failed 0"};
     });
@@ -184,21 +191,21 @@
 TEST(Engine, EachRequestIsAnsweredAtItsDeadlineThoughTheModuleDoesNothing) {
   guarded(Mutant::kForgetsDeadline, [](Fixture& f) {
     f.take(0);
-    f.engine.run_due(f.engine.next_due().value_or(100));
-    return f.door.said == Fixture::Said{"failed 1"} && f.engine.held() == 0;
+    f.engine.run_timers(f.engine.next_timer().value_or(100));
+    return f.door.said == Fixture::Said{"failed 1"} && f.engine.open_count() == 0;
   });
 }
 
 TEST(Engine, AClientGoneInTheBatchOfItsAnswerIsOwedNothingInEitherOrder) {
   const auto nothing_left = [](Fixture& f) {
-    return f.engine.owed() + f.engine.held() + f.engine.held_bytes() == 0 && f.module.ends.size() == 1 &&
-           f.module.ends[0].finished;
+    return f.engine.unanswered_count() + f.engine.open_count() + f.engine.payload_bytes() == 0 &&
+           f.module.ends.size() == 1 && f.module.ends[0].request_finished;
   };
   guarded(Mutant::kLosesGoneClient, [&](Fixture& f) {
     f.module.asked = send_to(1);
     f.take(0);
     f.wire.written.insert(1);
-    f.engine.gone(5, f.name);
+    f.engine.on_client_disconnected(5, f.name);
     f.end(5, 1, Outcome::kOk, "v");
     return f.door.said.empty() && f.module.gones == 1 && nothing_left(f);
   });
@@ -207,7 +214,7 @@
   f.take(0);
   f.wire.written.insert(1);
   f.end(5, 1, Outcome::kOk, "v");
-  f.engine.gone(5, f.name);
+  f.engine.on_client_disconnected(5, f.name);
   EXPECT_EQ(f.door.said, Fixture::Said{"served v"});
   EXPECT_EQ(f.module.gones, 0);
   EXPECT_TRUE(nothing_left(f));
@@ -217,31 +224,31 @@
   guarded(Mutant::kKeepsIdentity, [](Fixture& f) {
     f.module.asked = send_to(1);
     f.take(0);
-    const bool same = f.take(0) == Taken::kSameId;
+    const bool same = f.take(0) == AcceptResult::kDuplicateIdentity;
     f.end(5, 1, Outcome::kOk, "v");
     f.module.asked = send_to(1, 2);
-    return same && f.take(5) == Taken::kYes;
+    return same && f.take(5) == AcceptResult::kAccepted;
   });
   guarded(Mutant::kSharesIdentity, [](Fixture& f) {
     f.module.asked = send_to(1);
     f.take(0);
-    return f.take(0) == Taken::kSameId;
+    return f.take(0) == AcceptResult::kDuplicateIdentity;
   });
 }
 
 TEST(Engine, AThrowOnARequestIsAnsweredAtOnce) {
   guarded(Mutant::kLosesThrownRequest, [](Fixture& f) {
-    f.module.asked = [](Actions&) { throw std::runtime_error("x"); };
+    f.module.asked = [](ActionSink&) { throw std::runtime_error("x"); };
     f.take(0);
-    return f.door.said == Fixture::Said{"failed 3"} && f.engine.held() == 0;
+    return f.door.said == Fixture::Said{"failed 3"} && f.engine.open_count() == 0;
   });
 }
 
 TEST(Engine, AThrowInAnyCallLosesNothing) {
-  const auto boom = [](Actions&) { throw std::runtime_error("x"); };
+  const auto boom = [](ActionSink&) { throw std::runtime_error("x"); };
   {  // after a send: the attempt goes on and may answer
     Fixture f;
-    f.module.asked = [](Actions& out) {
+    f.module.asked = [](ActionSink& out) {
       out.send(1, 1, 0);
       throw std::runtime_error("x");
     };
@@ -253,33 +260,33 @@
   {  // told of the last end: nothing can come any more
     Fixture f;
     f.module.asked = send_to(1);
-    f.module.ended = [](const AttemptEnd&, Actions&) { throw 7; };
+    f.module.ended = [](const AttemptResult&, ActionSink&) { throw 7; };
     f.take(0);
-    f.end(5, 1, Outcome::kBroken);
+    f.end(5, 1, Outcome::kConnectionLost);
     EXPECT_EQ(f.door.said, Fixture::Said{"failed 3"});
-    EXPECT_EQ(f.engine.held(), 0u);
+    EXPECT_EQ(f.engine.open_count(), 0u);
   }
   {  // at a start, on a timer, and told that a client has gone
     Fixture f;
     f.module.started = f.module.timer = f.module.gone = boom;
     f.engine.start(0);
-    f.module.asked = [](Actions& out) {
+    f.module.asked = [](ActionSink& out) {
       out.send(1, 1, 0);
-      out.wake(5, 1);
+      out.schedule_timer(5, 1);
     };
     f.take(0);
-    f.engine.run_due(5);
-    f.engine.gone(6, f.name);
+    f.engine.run_timers(5);
+    f.engine.on_client_disconnected(6, f.name);
     f.end(7, 1, Outcome::kOk, "v");
     EXPECT_TRUE(f.door.said.empty());
-    EXPECT_EQ(f.engine.held(), 0u);
+    EXPECT_EQ(f.engine.open_count(), 0u);
     EXPECT_EQ(f.notes.size(), 3u);
   }
   guarded(Mutant::kSkipsRetireOnThrow, [&](Fixture& f) {
     f.module.told_list = boom;
     f.module.asked = send_to(1);
     const HostEntry drains{1, HostState::kDraining, 0, 0, 0, 0, 1};
-    f.engine.on_list(0, ListKind::kChanges, std::span(&drains, 1));
+    f.engine.on_host_list(0, HostListUpdate::kDelta, std::span(&drains, 1));
     f.take(1);
     return f.wire.out.empty() && f.module.ends.size() == 1 &&
            f.module.ends[0].outcome == Outcome::kConnectFailed;
@@ -288,27 +295,28 @@
 
 TEST(Engine, WhatAModuleMayNotDoDoesNothing) {
   Fixture f;
-  f.module.asked = [](Actions& out) {
-    out.refuse(1, 10, Cause::kShed);
-    out.fail(1, Cause::kEnded);
-    out.refuse(1, 10, Cause::kShed);
+  f.module.asked = [](ActionSink& out) {
+    out.reject(1, 10, RejectionReason::kLoadShed);
+    out.fail(1, RejectionReason::kAttemptsExhausted);
+    out.reject(1, 10, RejectionReason::kLoadShed);
     out.send(1, 1, 0);
     out.cancel(1, 0);
     out.cancel(1, 99);
     out.send(77, 1, 0);
     out.cancel(77, 0);
-    out.wake(-5, 1);
-    out.wake(0.0 / 0.0, 1);
+    out.schedule_timer(-5, 1);
+    out.schedule_timer(0.0 / 0.0, 1);
   };
   f.take(0);
   EXPECT_EQ(f.door.said, Fixture::Said{"refused"});
-  const auto& causes = f.engine.causes().by_cause;  // each answer counts once, by the reason that came first
-  EXPECT_EQ(causes[static_cast<std::size_t>(Cause::kShed)], 1u);
-  EXPECT_EQ(causes[static_cast<std::size_t>(Cause::kEnded)], 0u);
+  const auto& causes =
+      f.engine.rejection_metrics().by_reason;  // each answer counts once, by the reason that came first
+  EXPECT_EQ(causes[static_cast<std::size_t>(RejectionReason::kLoadShed)], 1u);
+  EXPECT_EQ(causes[static_cast<std::size_t>(RejectionReason::kAttemptsExhausted)], 0u);
   EXPECT_TRUE(f.wire.out.empty());
   ASSERT_EQ(f.module.ends.size(), 1u);  // of the send, which never went
   EXPECT_EQ(f.module.ends[0].outcome, Outcome::kNotSent);
-  EXPECT_EQ(f.engine.held(), 0u);
+  EXPECT_EQ(f.engine.open_count(), 0u);
 }
 
 TEST(Engine, AnEndIsToldOnceAndWhatIsShortHereIsNotBlamedOnAHost) {
@@ -318,31 +326,31 @@
     f.end(5, 1, Outcome::kOk, "v");
     return f.module.ends.size() == 1;
   });
-  for (const auto answer : {StartResult::kNoRoomHere, StartResult::kNoHost}) {
+  for (const auto answer : {StartResult::kNoLocalCapacity, StartResult::kHostUnavailable}) {
     Fixture f;
     f.wire.answer = answer;
     f.module.asked = send_to(1);
     f.take(0);
     ASSERT_EQ(f.module.ends.size(), 1u);
     EXPECT_EQ(f.module.ends[0].outcome,
-              answer == StartResult::kNoHost ? Outcome::kConnectFailed : Outcome::kNotSent);
+              answer == StartResult::kHostUnavailable ? Outcome::kConnectFailed : Outcome::kNotSent);
   }
 }
 
 TEST(Engine, HoldsNoMoreThanItsLimits) {
   Fixture f;  // three open, 25 bytes, ten each
   f.module.asked = nullptr;
-  EXPECT_EQ(f.take(0, 1), Taken::kYes);
-  EXPECT_EQ(f.take(0, 2), Taken::kYes);
-  EXPECT_EQ(f.take(0, 3), Taken::kNoRoom);  // by bytes
-  f.engine.gone(1, 1);
-  EXPECT_EQ(f.take(1, 3), Taken::kYes);
+  EXPECT_EQ(f.take(0, 1), AcceptResult::kAccepted);
+  EXPECT_EQ(f.take(0, 2), AcceptResult::kAccepted);
+  EXPECT_EQ(f.take(0, 3), AcceptResult::kNoCapacity);  // by bytes
+  f.engine.on_client_disconnected(1, 1);
+  EXPECT_EQ(f.take(1, 3), AcceptResult::kAccepted);
   // Timers of requests that are done do not pile up.
   for (std::uint64_t i = 10; i < 20'000; ++i) {
-    f.engine.gone(2, f.name);
-    ASSERT_EQ(f.take(2, i, 60'000), Taken::kYes);
-    f.engine.next_due();
-    ASSERT_LT(f.engine.timers(), 4000u);
+    f.engine.on_client_disconnected(2, f.name);
+    ASSERT_EQ(f.take(2, i, 60'000), AcceptResult::kAccepted);
+    f.engine.next_timer();
+    ASSERT_LT(f.engine.timer_count(), 4000u);
   }
 }
 
@@ -352,12 +360,12 @@
   f.module.asked = send_to(1, 1);
   f.take(0, 1);
   f.module.asked = send_to(1, 2);
-  Ask ask;
-  ask.wait = 100;
+  IncomingRequest ask;
+  ask.timeout_ms = 100;
   ask.identity = 2;
   ask.payload = std::make_unique<Bytes>();
   RequestId name = 0;
-  ASSERT_EQ(f.engine.take(0, other, {9, 9}, std::move(ask), name), Taken::kYes);
+  ASSERT_EQ(f.engine.accept(0, other, {9, 9}, std::move(ask), name), AcceptResult::kAccepted);
   f.end(1, 2, Outcome::kOk, "theirs");
   f.end(1, 1, Outcome::kOk, "ours");
   EXPECT_EQ(f.door.said, Fixture::Said{"served ours"});
@@ -366,10 +374,13 @@
 
 // ---- the rules of sending, whatever the module decides ----
 
-Settings terms(Repeat repeat, bool second_copies = true) {
-  Settings s;
-  s.classes = {{.deadline_ms = 5000, .repeat = repeat, .group = KeyGroup::kZone, .key_ttl_ms = 1000}};
-  s.second_copies = second_copies;
+AdmissionSettings terms(Idempotency repeat, bool second_copies = true) {
+  AdmissionSettings s;
+  s.classes = {{.deadline_ms = 5000,
+                .idempotency = repeat,
+                .idempotency_scope = IdempotencyScope::kZone,
+                .idempotency_key_ttl_ms = 1000}};
+  s.hedging_allowed = second_copies;
   s.max_attempts = 4;
   return s;
 }
@@ -378,54 +389,56 @@
 void tell_hosts(Engine& engine, Ms now) {
   std::vector<HostEntry> list;
   for (const HostId id : {1, 2, 3}) list.push_back({.id = id, .zone = id / 3, .cell = 0});
-  engine.on_list(now, ListKind::kWhole, list);
+  engine.on_host_list(now, HostListUpdate::kSnapshot, list);
 }
 
-std::uint64_t decisions_stopped(const Engine& engine, SendVerdict why) {
-  return engine.rules().decisions[static_cast<std::size_t>(why)];
+std::uint64_t decisions_stopped(const Engine& engine, AttemptVerdict why) {
+  return engine.rule_metrics().decisions[static_cast<std::size_t>(why)];
 }
-std::uint64_t first_bytes_stopped(const Engine& engine, SendVerdict why) {
-  return engine.rules().first_bytes[static_cast<std::size_t>(why)];
+std::uint64_t first_bytes_stopped(const Engine& engine, AttemptVerdict why) {
+  return engine.rule_metrics().first_bytes[static_cast<std::size_t>(why)];
 }
 
 TEST(SendRules, ADecisionToRepeatWhatMayHaveRunIsStoppedAndCounted) {
-  const std::pair<Settings, SendVerdict> cases[] = {
-      {terms(Repeat::kUnsafe), SendVerdict::kMayHaveRun},
-      {terms(Repeat::kKeyed), SendVerdict::kOtherGroup},
-      {terms(Repeat::kSafe), SendVerdict::kAllowed},
+  const std::pair<AdmissionSettings, AttemptVerdict> cases[] = {
+      {terms(Idempotency::kNonIdempotent), AttemptVerdict::kMayHaveExecuted},
+      {terms(Idempotency::kIdempotencyKey), AttemptVerdict::kOutOfScope},
+      {terms(Idempotency::kIdempotent), AttemptVerdict::kAllowed},
   };
   for (const auto& [settings, verdict] : cases) {
     Fixture f;
     f.engine.set_rules(settings);
     tell_hosts(f.engine, 0);
     f.module.asked = send_to(1);
-    f.module.ended = [](const AttemptEnd& end, Actions& out) {
+    f.module.ended = [](const AttemptResult& end, ActionSink& out) {
       if (end.attempt == 0) out.send(1, 3, 0);
     };
     f.take(0, 1, 5000);
-    f.end(10, f.wire.last, Outcome::kBroken);
-    EXPECT_EQ(f.wire.to.size(), verdict == SendVerdict::kAllowed ? 2u : 1u);
-    EXPECT_EQ(decisions_stopped(f.engine, verdict), verdict == SendVerdict::kAllowed ? 0u : 1u);
+    f.end(10, f.wire.last, Outcome::kConnectionLost);
+    EXPECT_EQ(f.wire.to.size(), verdict == AttemptVerdict::kAllowed ? 2u : 1u);
+    EXPECT_EQ(decisions_stopped(f.engine, verdict), verdict == AttemptVerdict::kAllowed ? 0u : 1u);
   }
 }
 
 TEST(SendRules, ARefusalOfWhatMayHaveRunIsAFailure) {
   for (const bool ran : {false, true}) {
     Fixture f;
-    f.engine.set_rules(terms(Repeat::kUnsafe));
+    f.engine.set_rules(terms(Idempotency::kNonIdempotent));
     tell_hosts(f.engine, 0);
     f.module.asked = send_to(1);
-    f.module.ended = [](const AttemptEnd&, Actions& out) { out.refuse(1, 0, Cause::kEnded); };
+    f.module.ended = [](const AttemptResult&, ActionSink& out) {
+      out.reject(1, 0, RejectionReason::kAttemptsExhausted);
+    };
     f.take(0, 1, 5000);
-    f.end(10, f.wire.last, ran ? Outcome::kBroken : Outcome::kFull);
+    f.end(10, f.wire.last, ran ? Outcome::kConnectionLost : Outcome::kOverloaded);
     EXPECT_EQ(f.door.said, Fixture::Said{ran ? "failed 0" : "refused"});
-    EXPECT_EQ(f.engine.rules().refusals, ran ? 1u : 0u);
+    EXPECT_EQ(f.engine.rule_metrics().rejections, ran ? 1u : 0u);
   }
 }
 
 // An attempt is decided on and waits for its connection, something happens, and its first byte would go out.
 struct Waiting : Fixture {
-  explicit Waiting(const Settings& settings = terms(Repeat::kKeyed)) {
+  explicit Waiting(const AdmissionSettings& settings = terms(Idempotency::kIdempotencyKey)) {
     engine.set_rules(settings);
     tell_hosts(engine, 0);
     wire.connecting = true;
@@ -442,28 +455,29 @@
 
 TEST(SendRules, NoFirstByteGoesToAHostThatIsGoneOrHasStartedAnew) {
   Waiting gone;
-  const HostEntry left = HostEntry::gone(1);
-  gone.engine.on_list(5, ListKind::kChanges, {&left, 1});
+  const HostEntry left = HostEntry::removed(1);
+  gone.engine.on_host_list(5, HostListUpdate::kDelta, {&left, 1});
   EXPECT_EQ(gone.first_byte(10), std::nullopt);
-  EXPECT_EQ(first_bytes_stopped(gone.engine, SendVerdict::kNotListed), 1u);
+  EXPECT_EQ(first_bytes_stopped(gone.engine, AttemptVerdict::kNotListed), 1u);
 
   Waiting anew;
   const HostEntry started{.id = 1, .started_at = 4, .zone = 0, .cell = 0};
-  anew.engine.on_list(5, ListKind::kChanges, {&started, 1});
+  anew.engine.on_host_list(5, HostListUpdate::kDelta, {&started, 1});
   EXPECT_EQ(anew.first_byte(10), std::nullopt);
-  EXPECT_EQ(first_bytes_stopped(anew.engine, SendVerdict::kOtherProcess), 1u);
+  EXPECT_EQ(first_bytes_stopped(anew.engine, AttemptVerdict::kHostRestarted), 1u);
 }
 
 TEST(SendRules, NoFirstByteGoesOutWhenTheTimeIsUp) {
   Waiting f;
   EXPECT_EQ(f.first_byte(5000), std::nullopt);
-  EXPECT_EQ(first_bytes_stopped(f.engine, SendVerdict::kTimeUp), 1u);
+  EXPECT_EQ(first_bytes_stopped(f.engine, AttemptVerdict::kDeadlineExceeded), 1u);
 }
 
 // The copy was sent while the first attempt still waited. What is sent second is a repeat, whichever was
 // decided on first.
 TEST(SendRules, AnAttemptThatWaitedIsBoundByTheCopyThatWasSentMeanwhile) {
-  const std::pair<Ms, std::optional<SendVerdict>> cases[] = {{300, {}}, {1500, SendVerdict::kKeyForgotten}};
+  const std::pair<Ms, std::optional<AttemptVerdict>> cases[] = {{300, {}},
+                                                                {1500, AttemptVerdict::kKeyExpired}};
   for (const auto& [now, verdict] : cases) {
     Waiting f;
     f.wire.connecting = false;
--- a/tests/explore_test.cpp
+++ b/tests/explore_test.cpp
@@ -18,7 +18,7 @@
   for (auto s : scenarios(true)) {
     s.faults = 1;
     const auto r = explore(s, engine::Mutant::kNone, {.threads = 2});
-    EXPECT_FALSE(r.breach) << s.name << ": " << r.breach->rule << ": " << r.breach->why;
+    EXPECT_FALSE(r.breach) << s.name << ": " << r.breach->rule << ": " << r.breach->description;
     EXPECT_TRUE(r.complete) << s.name;
     EXPECT_GT(r.ends, 10u) << s.name;
     all |= r.sights;
@@ -55,10 +55,10 @@
     const auto with = replay(trace.scenario, trace.mutant, trace.choices, {});
     ASSERT_TRUE(with) << file;
     EXPECT_EQ(with->rule, trace.breach.rule) << file;
-    EXPECT_EQ(with->why, trace.breach.why) << file;
+    EXPECT_EQ(with->description, trace.breach.description) << file;
     const auto without =
         replay(trace.scenario, engine::Mutant::kNone, trace.choices, {}, Fit::kAsFarAsItGoes);
-    EXPECT_FALSE(without) << file << ": " << without->why;
+    EXPECT_FALSE(without) << file << ": " << without->description;
     shown.insert(name_of(trace.mutant));
   }
   EXPECT_EQ(shown.size(), static_cast<std::size_t>(engine::kMutants - 1));
--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -123,44 +123,44 @@
 inline Names names() {
   Names n{{"lookup", "hold", "zoned", "pay"}, {"team", "tiny"}, {}};
   auto& s = n.settings;
-  s.classes = {{20'000, 30'000, 1, 0, Repeat::kSafe, KeyGroup::kNone, 0},
-               {20'000, 30'000, 1, 0, Repeat::kKeyed, KeyGroup::kAll, 60'000},
-               {20'000, 30'000, 1, 0, Repeat::kKeyed, KeyGroup::kZone, 60'000},
-               {20'000, 30'000, 1, 0, Repeat::kUnsafe, KeyGroup::kNone, 0}};
+  s.classes = {{20'000, 30'000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+               {20'000, 30'000, 1, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 60'000},
+               {20'000, 30'000, 1, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kZone, 60'000},
+               {20'000, 30'000, 1, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0}};
   PlanSettings team;
-  team.quota_rate = team.burst = 1e6;
+  team.quota_rate = team.quota_burst = 1e6;
   PlanSettings tiny;
-  tiny.quota_rate = tiny.burst = tiny.ceiling_rate = tiny.ceiling_burst = 4;
+  tiny.quota_rate = tiny.quota_burst = tiny.ceiling_rate = tiny.ceiling_burst = 4;
   s.plans = {team, tiny};
-  s.gateways = 2;
-  s.largest_units = 4;
-  s.retry_after = true;
+  s.gateway_count = 2;
+  s.max_request_units = 4;
+  s.retry_after_allowed = true;
   s.max_retry_after_ms = 1000;
   s.max_attempts = 4;
-  s.may_cancel = true;
-  s.tick_ms = 4;
-  s.cold_from = 0.2;
-  s.warm_after_ms = 10'000;
+  s.cancellation_allowed = true;
+  s.min_event_interval_ms = 4;
+  s.slow_start_initial_weight = 0.2;
+  s.slow_start_duration_ms = 10'000;
   s.overload_factor = 2;
-  s.fall_ms = 1000;
+  s.overload_window_ms = 1000;
   return n;
 }
 
-struct NoHosts : engine::HostSide {
+struct NoHosts : engine::UpstreamTransport {
   engine::StartResult start(Ms, engine::AttemptId, HostId, const engine::Payload&, Ms) override {
-    return engine::StartResult::kNoHost;
+    return engine::StartResult::kHostUnavailable;
   }
   bool abandon(Ms, engine::AttemptId) override { return true; }
   bool withdraw(Ms, engine::AttemptId) override { return false; }
-  void retire(Ms, HostId) override {}
+  void retire_host(Ms, HostId) override {}
 };
 
 class Bench {
  public:
-  explicit Bench(Settings settings = {}, int hosts = 2, engine::Limits limits = {})
+  explicit Bench(Settings settings = {}, int hosts = 2, engine::EngineLimits limits = {})
       : engine(module, none, limits, [](std::string_view, std::string_view) {}),
         processor(engine, names(), std::move(settings), 77) {
-    engine.add_hosts(processor);
+    engine.add_upstream(processor);
     engine.start(now);
     for (int h = 1; h <= hosts; ++h) ready(static_cast<HostId>(h));
   }
@@ -170,7 +170,7 @@
     tell({.id = h, .state = HostState::kReady, .zone = zone});
   }
   void drain(HostId h) { tell({.id = h, .state = HostState::kDraining}); }
-  void tell(const HostEntry& e) { engine.on_list(now, ListKind::kChanges, {&e, 1}); }
+  void tell(const HostEntry& e) { engine.on_host_list(now, HostListUpdate::kDelta, {&e, 1}); }
 
   struct OpenCall {
     FakeCall call;
@@ -197,7 +197,8 @@
                    {"x-cometfold-customer", "c1"}};
     if (!id.empty()) all.emplace_back("x-request-id", id);
     if (cls == "hold" || cls == "zoned") all.emplace_back("idempotency-key", "k");
-    for (const auto& [name, value] : more) {
+    for (const auto& [header, value] : more) {
+      const std::string name = header;
       const auto same = std::find_if(all.begin(), all.end(), [&](auto& h) { return h.first == name; });
       if (same != all.end()) all.erase(same);
       if (!value.empty()) all.emplace_back(name, value);
@@ -218,11 +219,11 @@
   void pass(Ms ms) {
     const Ms until = now + ms;
     for (;;) {
-      auto due = engine.next_due();
+      auto due = engine.next_timer();
       if (const auto fetch = processor.next_due(); fetch && (!due || *fetch < *due)) due = fetch;
       if (!due || *due > until) break;
       now = std::max(now, *due);
-      engine.run_due(now);
+      engine.run_timers(now);
       processor.run_due(now);
     }
     now = until;
@@ -233,15 +234,15 @@
       if (c->events) gone(*c);
     }
     pass(60'000);
-    EXPECT_EQ(engine.held(), 0u);
-    EXPECT_EQ(engine.owed(), 0u);
-    EXPECT_EQ(engine.held_bytes(), 0u);
+    EXPECT_EQ(engine.open_count(), 0u);
+    EXPECT_EQ(engine.unanswered_count(), 0u);
+    EXPECT_EQ(engine.payload_bytes(), 0u);
     EXPECT_EQ(processor.open(), 0u);
   }
   const Totals& totals() const { return processor.totals(); }
 
   Ms now = 1'000'000;
-  engine::ControlModule module{names().settings, 5};
+  engine::ControllerPolicy module{names().settings, 5};
   NoHosts none;
   engine::Engine engine;
   Processor processor;
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -91,7 +91,7 @@
 }
 
 TEST(Processor, MoreThanTheEngineTakesIsRefused) {
-  Bench b({}, 2, {.open = 3});
+  Bench b({}, 2, {.max_open_requests = 3});
   for (int i = 0; i < 3; ++i) EXPECT_FALSE(b.ask().call.decision().endpoint.empty());
   const auto d = b.ask().call.decision();
   EXPECT_EQ(d.status, 429);
@@ -137,7 +137,7 @@
   EXPECT_EQ(got.error, "");
   EXPECT_EQ(got.request.class_index, 0u);
   EXPECT_EQ(got.request.units, 0.5);
-  EXPECT_EQ(got.request.spread, 2);
+  EXPECT_EQ(got.request.gateway_count, 2);
   EXPECT_EQ(got.wait, 30'000);
   got = map({{":method", "POST"}, {":path", "/pay?a=b"}, {"x-cometfold-units", "3"}});
   EXPECT_EQ(got.request.class_index, 3u);
@@ -245,11 +245,12 @@
   EXPECT_EQ(of(500), Outcome::kError);
   EXPECT_EQ(of(503, "via_upstream"), Outcome::kError);
   EXPECT_EQ(of(504), Outcome::kTimedOut);
-  EXPECT_EQ(of(429), Outcome::kFull);
+  EXPECT_EQ(of(429), Outcome::kOverloaded);
   EXPECT_EQ(of(0), Outcome::kError);
   EXPECT_EQ(of(503, "upstream_reset_before_response_started{connection_failure,delayed_connect_error:_111}"),
             Outcome::kConnectFailed);
-  EXPECT_EQ(of(503, "upstream_reset_before_response_started{connection_termination}"), Outcome::kBroken);
+  EXPECT_EQ(of(503, "upstream_reset_before_response_started{connection_termination}"),
+            Outcome::kConnectionLost);
   EXPECT_EQ(of(503, "upstream_reset_before_response_started{overflow}"), Outcome::kNotSent);
   EXPECT_EQ(of(504, "upstream_response_timeout"), Outcome::kTimedOut);
   EXPECT_EQ(of(503, "no_healthy_upstream"), Outcome::kNotSent);
@@ -264,28 +265,28 @@
 TEST(Load, OrcaInItsThreeFormsAndThePlainHeader) {
   const LoadMapping m;
   const auto text = read_orca(m, "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.in_flight=4");
-  EXPECT_EQ(text.queue, 3);
-  EXPECT_EQ(text.in_hand, 4);
-  EXPECT_EQ(text.busy, 0.5);
+  EXPECT_EQ(text.queue_length, 3);
+  EXPECT_EQ(text.in_flight, 4);
+  EXPECT_EQ(text.utilization, 0.5);
   const auto json = read_orca(
       m, R"(JSON {"cpu_utilization":0.5,"application_utilization":0.25,"named_metrics":{"queue":7}})");
-  EXPECT_EQ(json.queue, 7);
-  EXPECT_EQ(json.busy, 0.25);
-  EXPECT_FALSE(json.in_hand);
+  EXPECT_EQ(json.queue_length, 7);
+  EXPECT_EQ(json.utilization, 0.25);
+  EXPECT_FALSE(json.in_flight);
   // cpu_utilization 0.5 and named_metrics {"queue": 2}, encoded by hand.
   const auto binary = read_orca(m, "BIN CQAAAAAAAOA/QhAKBXF1ZXVlEQAAAAAAAABA");
-  EXPECT_EQ(binary.queue, 2);
-  EXPECT_EQ(binary.busy, 0.5);
-  EXPECT_EQ(read_orca_binary(m, "CQAAAAAAAOA/").busy, 0.5);
+  EXPECT_EQ(binary.queue_length, 2);
+  EXPECT_EQ(binary.utilization, 0.5);
+  EXPECT_EQ(read_orca_binary(m, "CQAAAAAAAOA/").utilization, 0.5);
   const auto plain = read_plain("queue=1, in_flight=2 ,busy=0.1");
-  EXPECT_EQ(plain.queue, 1);
-  EXPECT_EQ(plain.in_hand, 2);
-  EXPECT_EQ(plain.busy, 0.1);
+  EXPECT_EQ(plain.queue_length, 1);
+  EXPECT_EQ(plain.in_flight, 2);
+  EXPECT_EQ(plain.utilization, 0.1);
   for (const char* bad :
        {"", "TEXT", "JSON {", "JSON []", "BIN !!", "BIN AAAA", "XML <a/>", "TEXT named_metrics.queue=-1",
         "TEXT named_metrics.queue=1e9", "JSON {\"named_metrics\":3}"}) {
     const auto none = read_orca(m, bad);
-    EXPECT_FALSE(none.queue || none.in_hand) << bad;
+    EXPECT_FALSE(none.queue_length || none.in_flight) << bad;
   }
 }
 
@@ -310,7 +311,7 @@
   auto& c = b.ask({}, "hold", "id-1");
   b.report(c, 200, "", {{"x-gateway-destination-endpoint-served", "127.0.0.1:1"}});
   EXPECT_EQ(b.totals().elsewhere, 1u);
-  EXPECT_EQ(b.engine.held(), 0u);
+  EXPECT_EQ(b.engine.open_count(), 0u);
   // It has run somewhere: nothing that its class does not cover may be sent again.
   EXPECT_EQ(b.ask(kSecond, "hold", "id-1").call.decision().details, "cometfold_already_done");
   auto& same = b.ask();
@@ -395,7 +396,7 @@
       if (point == 5) b.pass(40'000);
       b.gone(c);
       b.pass(300);
-      EXPECT_EQ(b.engine.held(), 0u) << point << held;
+      EXPECT_EQ(b.engine.open_count(), 0u) << point << held;
       EXPECT_EQ(b.processor.open(), 0u) << point << held;
       EXPECT_EQ(b.totals().asked, point > 0 ? 1u : 0u);
       b.expect_empty();
@@ -413,7 +414,7 @@
     c.events->on_half_closed(b.now);
     ASSERT_TRUE(c.call.status) << point;
     EXPECT_EQ(c.call.status->code, Code::kOk);
-    EXPECT_EQ(b.engine.held(), 0u) << point;
+    EXPECT_EQ(b.engine.open_count(), 0u) << point;
     EXPECT_EQ(b.totals().unknown, point == 2 ? 1u : 0u);
     // A decision that never left costs nothing and may be asked for again.
     const auto again = b.ask(kSecond, "pay", "id").call.decision();
@@ -443,7 +444,7 @@
     b.pass(100);
   }
   b.pass(1000);
-  EXPECT_EQ(b.engine.held(), 0u);
+  EXPECT_EQ(b.engine.open_count(), 0u);
   EXPECT_GT(b.totals().silent, 20u);
   EXPECT_EQ(b.totals().silent, b.totals().named);
   std::map<std::string, int> to;
@@ -517,7 +518,7 @@
   const auto first = c.call.decision().endpoint;
   b.report(c, 503);
   for (HostId h = 1; h <= 3; ++h) {
-    if (Bench::endpoint(h) != first && b.engine.held() > 0) {
+    if (Bench::endpoint(h) != first && b.engine.open_count() > 0) {
       b.drain(h);
       break;
     }
@@ -637,7 +638,7 @@
 // named.
 TEST(Again, AnOfferIsHeldToTheRulesWhenItIsFetched) {
   auto terms = names().settings;
-  terms.classes[1].key_ttl_ms = 1000;  // of the class "hold"
+  terms.classes[1].idempotency_key_ttl_ms = 1000;  // of the class "hold"
   auto settings = marked();
   settings.repeat_wait_ms = 10'000;
   for (const bool late : {true, false}) {
@@ -652,8 +653,8 @@
       b.tell({.id = second, .state = HostState::kReady, .started_at = b.now});
     }
     const auto again = b.ask(kSecond, "hold", "id").call.decision();
-    const auto stopped = late ? SendVerdict::kKeyForgotten : SendVerdict::kOtherProcess;
-    EXPECT_EQ(b.engine.rules().first_bytes[static_cast<std::size_t>(stopped)], 1u);
+    const auto stopped = late ? AttemptVerdict::kKeyExpired : AttemptVerdict::kHostRestarted;
+    EXPECT_EQ(b.engine.rule_metrics().first_bytes[static_cast<std::size_t>(stopped)], 1u);
     if (late) {
       EXPECT_TRUE(again.endpoint.empty());
     }
@@ -665,11 +666,11 @@
   Bench b(marked());
   auto& c = b.ask({}, "lookup", "id");
   b.report(c, 500);
-  EXPECT_EQ(b.engine.held(), 1u);
+  EXPECT_EQ(b.engine.open_count(), 1u);
   b.pass(249);
-  EXPECT_EQ(b.engine.held(), 1u);
+  EXPECT_EQ(b.engine.open_count(), 1u);
   b.pass(2);
-  EXPECT_EQ(b.engine.held(), 0u);
+  EXPECT_EQ(b.engine.open_count(), 0u);
   b.expect_empty();
 }
 
@@ -765,7 +766,7 @@
     for (const auto& bytes : messages) c.events->on_message(b.now, bytes);
     ASSERT_TRUE(c.call.status);
     EXPECT_EQ(c.call.status->code, Code::kInvalidArgument);
-    EXPECT_EQ(b.engine.held(), 0u);
+    EXPECT_EQ(b.engine.open_count(), 0u);
     EXPECT_EQ(b.processor.open(), 0u);
     const auto sent = c.call.got.size();
     c.events->on_message(b.now, response);  // what still comes is not answered
@@ -788,13 +789,13 @@
 TEST(Stop, WhatWaitsIsAnsweredAndWhatIsOutMayEnd) {
   Bench b;
   auto& out = b.ask({}, "pay");
-  b.engine.stop(b.now);
+  b.engine.begin_shutdown(b.now);
   b.report(out, 200);
   EXPECT_EQ(b.totals().ended, 1u);
   auto& late = b.ask({}, "pay");
   EXPECT_FALSE(late.call.decision().endpoint.empty());
-  b.engine.settle_all(b.now);
-  EXPECT_EQ(b.engine.owed(), 0u);
+  b.engine.fail_all(b.now);
+  EXPECT_EQ(b.engine.unanswered_count(), 0u);
   b.expect_empty();
 }
 
@@ -805,7 +806,7 @@
 TEST(Chaos, OneDecisionForEachCallAndNoUnsafeRequestTwice) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 random(seed);
-    Bench b(seed % 2 ? marked() : Settings{}, 4, {.open = 60});
+    Bench b(seed % 2 ? marked() : Settings{}, 4, {.max_open_requests = 60});
     struct Live {
       Bench::OpenCall* call;
       std::string id, cls;
--- a/tests/fleet.h
+++ b/tests/fleet.h
@@ -32,7 +32,8 @@
   // later.
   struct Watcher {
     std::function<void(const Request&)> on_first_send = [](const Request&) {};
-    std::function<void(const Request&, Ms retry_after, Cause)> on_refused = [](const Request&, Ms, Cause) {};
+    std::function<void(const Request&, Ms retry_after, RejectionReason)> on_refused = [](const Request&, Ms,
+                                                                                         RejectionReason) {};
   };
 
   struct Counts {
@@ -43,20 +44,20 @@
     std::map<HostId, int> out;  // of them those not yet ended
   };
 
-  ModelFleet(const Settings& settings, std::size_t gateways, const std::vector<HostEntry>& list, Host host,
-             Ms start = 0)
+  ModelFleet(const AdmissionSettings& settings, std::size_t gateways, const std::vector<HostEntry>& list,
+             Host host, Ms start = 0)
       : settings_(settings), list_(list), host_(std::move(host)), random_(17), now_(start) {
     for (const auto& h : list) zones_[h.id] = h.zone.value_or(0);
     const auto zones = 1 + std::max_element(list.begin(), list.end(), [](auto& a, auto& b) {
                              return a.zone < b.zone;
                            })->zone.value_or(0);
     for (std::size_t i = 0; i < gateways; ++i) {
-      Settings own = settings;
-      own.my_zone = static_cast<std::uint32_t>(i) % zones;
-      members_.push_back(
-          std::make_unique<Member>(Member{Control(own, 1000 + i), Sink(*this, i), own.my_zone, {}, {}, {}}));
+      AdmissionSettings own = settings;
+      own.local_zone = static_cast<std::uint32_t>(i) % zones;
+      members_.push_back(std::make_unique<Member>(
+          Member{AdmissionController(own, 1000 + i), Sink(*this, i), own.local_zone, {}, {}, {}}));
       members_[i]->control.start(now_, members_[i]->sink);
-      members_[i]->control.on_list(now_, ListKind::kCached, list, members_[i]->sink);
+      members_[i]->control.on_host_list(now_, HostListUpdate::kCached, list, members_[i]->sink);
     }
   }
 
@@ -77,11 +78,11 @@
       }
     }
     m.asked.clear(), m.met.clear();
-    Settings own = settings_;
-    own.my_zone = m.zone;
-    m.control = Control(own, 5000 + gateway + ++restarts_);
+    AdmissionSettings own = settings_;
+    own.local_zone = m.zone;
+    m.control = AdmissionController(own, 5000 + gateway + ++restarts_);
     m.control.start(now_, m.sink);
-    m.control.on_list(now_, ListKind::kCached, list_, m.sink);
+    m.control.on_host_list(now_, HostListUpdate::kCached, list_, m.sink);
   }
 
   // A request at one gateway, now. Its id and deadline are given here.
@@ -129,24 +130,24 @@
   }
 
  private:
-  class Sink : public Actions {
+  class Sink : public ActionSink {
    public:
     Sink(ModelFleet& fleet, std::size_t me) : fleet_(&fleet), me_(me) {}
     void send(RequestId r, HostId h, Ms) override { fleet_->send(me_, r, h); }
     void cancel(RequestId r, std::uint32_t a) override {
       fleet_->end_soon(me_, r, a, Outcome::kCancelled, 0);
     }
-    void refuse(RequestId r, Ms after, Cause why) override { fleet_->refused(me_, r, after, why); }
-    void fail(RequestId r, Cause) override { fleet_->members_[me_]->asked.erase(r); }
-    void wake(Ms after, std::uint64_t token) override {
+    void reject(RequestId r, Ms after, RejectionReason why) override { fleet_->refused(me_, r, after, why); }
+    void fail(RequestId r, RejectionReason) override { fleet_->members_[me_]->asked.erase(r); }
+    void schedule_timer(Ms after, std::uint64_t token) override {
       fleet_->at(after, [f = fleet_, me = me_, token] {
         f->members_[me]->control.on_timer(f->now_, token, f->members_[me]->sink);
       });
     }
-    void probe(HostId) override {}
-    void follow_list() override {}
-    void fetch_list() override {}
-    void note(std::string_view) override {}
+    void send_health_check(HostId) override {}
+    void watch_hosts() override {}
+    void poll_hosts() override {}
+    void log(std::string_view) override {}
 
    private:
     ModelFleet* fleet_;
@@ -158,7 +159,7 @@
     bool out = true;
   };
   struct Member {
-    Control control;
+    AdmissionController control;
     Sink sink;
     std::uint32_t zone;
     std::map<RequestId, Request> asked;  // not yet ended
@@ -198,7 +199,7 @@
     const Fate fate = host_(*this, h);
     if (fate.outcome != Outcome::kNotSent) end_soon(me, r, attempt, fate.outcome, fate.after);
   }
-  void refused(std::size_t me, RequestId r, Ms after, Cause why) {
+  void refused(std::size_t me, RequestId r, Ms after, RejectionReason why) {
     const auto node = members_[me]->asked.extract(r);
     asking_ = me;
     watcher_.on_refused(node.mapped(), after, why);
@@ -216,7 +217,7 @@
     });
   }
 
-  Settings settings_;
+  AdmissionSettings settings_;
   std::vector<HostEntry> list_;
   Host host_;
   std::mt19937_64 random_;
@@ -242,20 +243,21 @@
   };
 
   // Of the refused, `comes_again` ask again; of these `stays` at the gateway that refused them.
-  ModelCustomers(ModelFleet& fleet, const Settings& settings, double comes_again, double stays = 0)
+  ModelCustomers(ModelFleet& fleet, const AdmissionSettings& settings, double comes_again, double stays = 0)
       : fleet_(fleet),
         settings_(settings),
         comes_again_(comes_again),
         stays_(stays),
         accounts_(settings.plans.size()) {
     fleet.watcher().on_first_send = [this](const Request& q) { sent(q); };
-    fleet.watcher().on_refused = [this](const Request& q, Ms after, Cause) { refused(q, after); };
+    fleet.watcher().on_refused = [this](const Request& q, Ms after, RejectionReason) { refused(q, after); };
   }
 
-  // One that asks for `use` times its rate through `spread` gateways from `first`. The part of the gateway of
-  // rank n among them goes by 1 / n^skew.
+  // One that asks for `use` times its rate through `gateway_count` gateways from `first`. The part of the
+  // gateway of rank n among them goes by 1 / n^skew.
   void add(std::uint32_t plan, double use, std::size_t spread, std::size_t first, double skew) {
-    Customer c{plan, first, {}, settings_.plans[plan].burst, settings_.plans[plan].burst, fleet_.now()};
+    Customer c{plan,        first, {}, settings_.plans[plan].quota_burst, settings_.plans[plan].quota_burst,
+               fleet_.now()};
     for (std::size_t n = 1; n <= spread; ++n) {
       c.parts.push_back((c.parts.empty() ? 0 : c.parts.back()) + std::pow(static_cast<double>(n), -skew));
     }
@@ -273,7 +275,7 @@
       if (c.ideal >= 1) c.ideal -= 1, account(c).due += 1;
       return std::pair{
           gateway(c),
-          Request{.plan_index = c.plan, .customer = i, .spread = static_cast<double>(c.parts.size())}};
+          Request{.plan_index = c.plan, .customer = i, .gateway_count = static_cast<double>(c.parts.size())}};
     });
   }
   const std::vector<Account>& accounts() const { return accounts_; }
@@ -297,7 +299,7 @@
   void refill(Customer& c) {
     const auto& p = settings_.plans[c.plan];
     const double more = p.quota_rate * (fleet_.now() - c.at) / 1000;
-    c.store = std::min(p.burst, c.store + more), c.ideal = std::min(p.burst, c.ideal + more);
+    c.store = std::min(p.quota_burst, c.store + more), c.ideal = std::min(p.quota_burst, c.ideal + more);
     c.at = fleet_.now();
   }
   void sent(const Request& q) {
@@ -320,7 +322,7 @@
   }
 
   ModelFleet& fleet_;
-  const Settings& settings_;
+  const AdmissionSettings& settings_;
   double comes_again_, stays_;
   std::vector<Account> accounts_;
   std::vector<Customer> customers_;
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -45,15 +45,15 @@
   const std::filesystem::path datagrams = argv[2];
   std::filesystem::create_directories(datagrams);
   std::ofstream all(datagrams / "all", std::ios::binary);
-  for (const auto type :
-       {peers::Message::kPing, peers::Message::kAck, peers::Message::kSync, peers::Message::kTell}) {
+  for (const auto type : {peers::Message::kPing, peers::Message::kAck, peers::Message::kSyncRequest,
+                          peers::Message::kCorrection}) {
     peers::Message m;
     m.type = type;
-    m.sender = {"g" + std::to_string(type), "10.0.0.2:1", 7, 8, peers::Kind::kAlive, 0, "", ""};
-    m.records = {{"g9", "10.0.0.3:1", 4, 4, peers::Kind::kFailed, 10, "g1", ""},
-                 {"g0", "10.0.0.1:1", 5, 9, peers::Kind::kFailed, 10, "g1", ""}};
-    m.accusations = {{"g2", 7, 8, "g1", 7, 1, 2000}};
-    if (type == peers::Message::kSync) m.buckets.assign(peers::kBuckets, 1);
+    m.sender = {"g" + std::to_string(type), "10.0.0.2:1", 7, 8, peers::MemberStatus::kAlive, 0, "", ""};
+    m.records = {{"g9", "10.0.0.3:1", 4, 4, peers::MemberStatus::kFailed, 10, "g1", ""},
+                 {"g0", "10.0.0.1:1", 5, 9, peers::MemberStatus::kFailed, 10, "g1", ""}};
+    m.suspicions = {{"g2", 7, 8, "g1", 7, 1, 2000}};
+    if (type == peers::Message::kSyncRequest) m.bucket_digests.assign(peers::kDigestBuckets, 1);
     const std::string body = peers::encode(m, "fuzz").substr(12);
     const std::string framed{static_cast<char>(body.size() >> 8), static_cast<char>(body.size() & 255)};
     all << framed << body;
--- a/tests/hosts_test.cpp
+++ b/tests/hosts_test.cpp
@@ -12,14 +12,14 @@
 namespace cometfold::net::testing {
 namespace {
 
-struct Text : resp::Command {
+struct Text : resp::HostCommand {
   explicit Text(std::string all) : text(std::move(all)) {}
   std::size_t bytes() const override { return text.size(); }
   std::string render(Ms) const override { return text; }
   std::string text;
 };
 
-struct Ends : HostEvents {
+struct Ends : HostPoolCallbacks {
   std::optional<Ms> may_write(Ms, AttemptId, bool) override { return 1000; }
   std::map<AttemptId, std::vector<Outcome>> seen;
   std::map<AttemptId, std::string> values;
@@ -36,7 +36,7 @@
   Ends ends;
   std::vector<std::unique_ptr<Text>> commands;  // of attempts, until the end
   Hosts hosts;
-  explicit Bench(PoolLimits limits = {}) : hosts(io, clock, ends, limits) {}
+  explicit Bench(HostPoolLimits limits = {}) : hosts(io, clock, ends, limits) {}
   resp::HostPool& pool() { return hosts.pool(); }
   StartResult start(AttemptId attempt, HostId host, const std::string& text) {
     commands.push_back(std::make_unique<Text>(text));
@@ -67,11 +67,11 @@
       at.exactly(whole ? kLarge.size() : 1);
       at.reset();
     });
-    EXPECT_EQ(bench.wait_for(1), whole ? Outcome::kBroken : Outcome::kConnectFailed);
+    EXPECT_EQ(bench.wait_for(1), whole ? Outcome::kConnectionLost : Outcome::kConnectFailed);
     peer.join();
     bench.io.poll();
     EXPECT_EQ(bench.ends.seen[1].size(), 1u);  // once
-    EXPECT_EQ(bench.pool().connections(), 0u);
+    EXPECT_EQ(bench.pool().connection_count(), 0u);
   }
 }
 
@@ -91,7 +91,7 @@
     at.send("-ERR failed\r\n");
   });
   ASSERT_EQ(bench.start(2, 1, query(1)), StartResult::kStarted);
-  EXPECT_EQ(bench.wait_for(2), Outcome::kFull);
+  EXPECT_EQ(bench.wait_for(2), Outcome::kOverloaded);
   ASSERT_EQ(bench.start(3, 1, query(2)), StartResult::kStarted);
   EXPECT_EQ(bench.wait_for(3), Outcome::kError);
   peer.join();
@@ -103,7 +103,7 @@
   bench.add(1, host.port());
   ASSERT_EQ(bench.start(1, 1, query(1)), StartResult::kStarted);
   bench.pool().abandon(bench.clock.now(), 1);
-  EXPECT_EQ(bench.pool().connections(), 0u);
+  EXPECT_EQ(bench.pool().connection_count(), 0u);
   ASSERT_EQ(bench.start(2, 1, query(2)), StartResult::kStarted);
   std::thread peer([&] {
     for (;;) {
@@ -123,8 +123,8 @@
 // A second copy behind a good answer, however late it comes, is never taken for the next request's answer.
 TEST(Attempts, WhatComesBehindAnAnswerIsNotTheNextOnes) {
   Listener host;
-  PoolLimits limits;
-  limits.rest = 60'000;
+  HostPoolLimits limits;
+  limits.reuse_delay_ms = 60'000;
   Bench bench(limits);
   bench.add(1, host.port());
   std::thread peer([&] {
@@ -142,14 +142,14 @@
   ASSERT_EQ(bench.start(2, 1, query(2)), StartResult::kStarted);
   EXPECT_EQ(bench.wait_for(2), Outcome::kOk);
   EXPECT_EQ(bench.ends.values[2], "two");
-  while (bench.pool().connections() > 1) bench.io.run_one();
+  while (bench.pool().connection_count() > 1) bench.io.run_one();
   peer.join();
 }
 
 // The copy has come, but the loop has not read it yet when the rested connection is wanted again.
 TEST(Attempts, AConnectionWithSomethingToReadIsNotUsedAgain) {
   Listener host;
-  PoolLimits limits;
+  HostPoolLimits limits;
   Bench bench(limits);
   bench.add(1, host.port());
   ASSERT_EQ(bench.start(1, 1, query(1)), StartResult::kStarted);
@@ -177,18 +177,18 @@
 
 TEST(Attempts, TheCapIsKeptAndARetiredHostGetsNothing) {
   Listener host;
-  PoolLimits limits;
-  limits.connections = 2;
+  HostPoolLimits limits;
+  limits.max_connections = 2;
   Bench bench(limits);
   bench.add(1, host.port());
   EXPECT_EQ(bench.start(1, 1, query(1)), StartResult::kStarted);
   EXPECT_EQ(bench.start(2, 1, query(2)), StartResult::kStarted);
-  EXPECT_EQ(bench.start(3, 1, query(3)), StartResult::kNoRoomHere);
-  bench.pool().retire(bench.clock.now(), 1);  // both still wait for their connections
+  EXPECT_EQ(bench.start(3, 1, query(3)), StartResult::kNoLocalCapacity);
+  bench.pool().retire_host(bench.clock.now(), 1);  // both still wait for their connections
   EXPECT_EQ(bench.ends.seen[1].at(0), Outcome::kConnectFailed);
   EXPECT_EQ(bench.ends.seen[2].at(0), Outcome::kConnectFailed);
-  EXPECT_EQ(bench.start(4, 1, query(4)), StartResult::kNoHost);
-  EXPECT_EQ(bench.start(5, 9, query(5)), StartResult::kNoHost);
+  EXPECT_EQ(bench.start(4, 1, query(4)), StartResult::kHostUnavailable);
+  EXPECT_EQ(bench.start(5, 9, query(5)), StartResult::kHostUnavailable);
 }
 
 // Hosts come and go under ever new ids; what is out at one that leaves is still answered.
@@ -206,17 +206,17 @@
         at.ends();
       });
       EXPECT_EQ(bench.wait_for(1), Outcome::kOk);
-      bench.pool().retire(bench.clock.now(), id);
+      bench.pool().retire_host(bench.clock.now(), id);
       peer.join();
     } else {
-      bench.pool().retire(bench.clock.now(), id);
+      bench.pool().retire_host(bench.clock.now(), id);
     }
   }
-  while (bench.pool().known() > 0) {
+  while (bench.pool().known_host_count() > 0) {
     bench.clock.new_batch();
     bench.io.run_one();
   }
-  EXPECT_EQ(bench.pool().connections(), 0u);
+  EXPECT_EQ(bench.pool().connection_count(), 0u);
 }
 
 TEST(Numbers, AHostsNumberComesFromItsUidAlone) {
@@ -227,11 +227,11 @@
 TEST(Config, TheSettingsComeByTheWiresNamesAndWhatIsMissingIsNamed) {
   const auto good = config(list(7, true, {target("s-1", 9)}), 9);
   const auto read = read_config(good);
-  EXPECT_EQ(read.settings.classes.at(1).repeat, Repeat::kKeyed);
-  EXPECT_EQ(read.settings.classes.at(1).group, KeyGroup::kAll);
+  EXPECT_EQ(read.settings.classes.at(1).idempotency, Idempotency::kIdempotencyKey);
+  EXPECT_EQ(read.settings.classes.at(1).idempotency_scope, IdempotencyScope::kAll);
   EXPECT_EQ(read.settings.plans.at(0).quota_rate, 100000);
-  EXPECT_EQ(read.settings.gateways, 2);
-  EXPECT_EQ(read.settings.report_fields, std::vector{LoadField::kQueue});
+  EXPECT_EQ(read.settings.gateway_count, 2);
+  EXPECT_EQ(read.settings.load_report_fields, std::vector{LoadField::kQueueLength});
   EXPECT_EQ(read.seed, 0x8c1f30d27a5be964u);
   EXPECT_EQ(read.known.version, 7u);
   EXPECT_EQ(read.zones, std::vector<std::string>{"a"});
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -16,33 +16,33 @@
 namespace cometfold::testing {
 namespace {
 
-using limits::Chain;
+using limits::AttemptChain;
 
 // A shop's classes: lookups are safe, holds have keys that all hosts know for 25 s, orders must not be
 // repeated, and baskets have keys that only their host knows.
-limits::Site shop() {
-  limits::Site site;
-  site.classes = {"lookup", "hold", "order", "basket"};
+limits::PlatformTerms shop() {
+  limits::PlatformTerms site;
+  site.class_names = {"lookup", "hold", "order", "basket"};
   site.settings = plain_settings(4);
-  site.settings.classes = {{1500, 4000, 2, 0, Repeat::kSafe, KeyGroup::kNone, 0},
-                           {2500, 12'000, 6, 0, Repeat::kKeyed, KeyGroup::kAll, 25'000},
-                           {1500, 4000, 2, 0, Repeat::kUnsafe, KeyGroup::kNone, 0},
-                           {1500, 4000, 2, 0, Repeat::kKeyed, KeyGroup::kNone, 25'000}};
+  site.settings.classes = {{1500, 4000, 2, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+                           {2500, 12'000, 6, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 25'000},
+                           {1500, 4000, 2, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0},
+                           {1500, 4000, 2, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kNone, 25'000}};
   site.settings.max_attempts = 4;
   site.connect_timeout_ms = 250;
   return site;
 }
 
 // What is said of a settings file for that shop, without the file's name; empty if it is lawful.
-std::string verdict(const std::string& text, const limits::Site& site = shop()) {
+std::string verdict(const std::string& text, const limits::PlatformTerms& site = shop()) {
   const auto path =
       std::filesystem::temp_directory_path() / (std::to_string(::getpid()) + "-cometfold-limits.toml");
   std::ofstream(path) << text;
   std::string all;
   try {
     const auto own = net::read_own_settings(path);
-    for (const auto& r : limits::prove(own.limits, site).refusals) {
-      all += r.line_text().substr(path.string().size() + 1) + "\n";
+    for (const auto& r : limits::prove(own.limits, site).errors) {
+      all += r.to_text().substr(path.string().size() + 1) + "\n";
     }
   } catch (const net::OwnSettingsError& error) {
     all = std::string(error.what()).substr(path.string().size() + 1) + "\n";
@@ -180,25 +180,25 @@
 
 TEST(Limits, WhereTheSiteAllowsNoSecondCopiesNoClassHasThem) {
   auto site = shop();
-  site.settings.second_copies = false;
+  site.settings.hedging_allowed = false;
   EXPECT_EQ(verdict("[limits.class.lookup]\nsecond_copies = true\n", site),
             "2: limits.class.lookup.second_copies: is true where the site allows none; lawful: false\n");
 }
 
 // A route has what it says, and the rest from its class.
 TEST(Limits, ARouteInheritsFromItsClass) {
-  limits::Written w;
-  limits::Entry cls, route;
-  cls.cls = route.cls = "lookup";
-  cls.attempts = {3, 1}, cls.attempt_ms = {900, 2};
-  route.route = "GET /a", route.attempts = {2, 4};
+  limits::LimitsFile w;
+  limits::LimitEntry cls, route;
+  cls.class_name = route.class_name = "lookup";
+  cls.max_attempts = {3, 1}, cls.attempt_timeout_ms = {900, 2};
+  route.route = "GET /a", route.max_attempts = {2, 4};
   w.entries = {route, cls};  // in any order
   const auto v = limits::prove(w, shop());
-  ASSERT_TRUE(v.lawful());
-  EXPECT_EQ(v.bounds.by_class[0].attempts, 3);
-  EXPECT_EQ(v.bounds.by_entry[0].attempts, 2);
-  EXPECT_EQ(v.bounds.by_entry[0].attempt_ms, 900);
-  EXPECT_TRUE(std::isinf(v.bounds.by_class[1].attempts));
+  ASSERT_TRUE(v.valid());
+  EXPECT_EQ(v.bounds.by_class[0].max_attempts, 3);
+  EXPECT_EQ(v.bounds.by_entry[0].max_attempts, 2);
+  EXPECT_EQ(v.bounds.by_entry[0].attempt_timeout_ms, 900);
+  EXPECT_TRUE(std::isinf(v.bounds.by_class[1].max_attempts));
 }
 
 // Intervals against runs: some thousand sets of bounds, each played with random and with the longest times.
@@ -214,16 +214,16 @@
     auto site = shop();
     const std::size_t cls = i % 2;
     site.connect_timeout_ms = draw(500);
-    limits::Written w;
-    w.network = {0, draw(i % 4 < 2 ? 500 : 16'000)};
-    w.clock_error = draw(50);
-    limits::Entry e;
-    e.cls = site.classes[cls];
+    limits::LimitsFile w;
+    w.network_delay = {0, draw(i % 4 < 2 ? 500 : 16'000)};
+    w.clock_error_ms = draw(50);
+    limits::LimitEntry e;
+    e.class_name = site.class_names[cls];
     const double n = 1 + draw(4);
     const auto& c = site.settings.classes[cls];
-    e.attempts = {n, 1};
-    if (random() % 4) e.attempt_ms = {1 + draw(c.deadline_ms / n), 2};
-    if (random() % 2) e.send_until_ms = {1 + draw(c.deadline_ms), 3};
+    e.max_attempts = {n, 1};
+    if (random() % 4) e.attempt_timeout_ms = {1 + draw(c.deadline_ms / n), 2};
+    if (random() % 2) e.retry_window_ms = {1 + draw(c.deadline_ms), 3};
     w.entries = {e};
     const auto v = limits::prove(w, site);
     // One run: whether the client has its answer too late, or a repeat comes to a host that has forgotten the
@@ -232,27 +232,29 @@
       Ms at = 0, last_sent = 0;
       const auto some = [&](Ms most) { return longest ? most : draw(most + 1); };
       for (int k = 1; k <= n; ++k) {
-        if (k > 1 && at > std::min(e.send_until_ms ? e.send_until_ms->value : c.deadline_ms, c.deadline_ms)) {
+        if (k > 1 &&
+            at > std::min(e.retry_window_ms ? e.retry_window_ms->value : c.deadline_ms, c.deadline_ms)) {
           if (!longest) break;
           // The latest that is still lawful: an earlier attempt ends just then.
-          at = std::min(e.send_until_ms ? e.send_until_ms->value : c.deadline_ms, c.deadline_ms);
+          at = std::min(e.retry_window_ms ? e.retry_window_ms->value : c.deadline_ms, c.deadline_ms);
           k = static_cast<int>(n);
         }
         last_sent = at;
-        at += e.attempt_ms ? some(site.connect_timeout_ms) + some(e.attempt_ms->value) : some(c.deadline_ms);
+        at += e.attempt_timeout_ms ? some(site.connect_timeout_ms) + some(e.attempt_timeout_ms->value)
+                                   : some(c.deadline_ms);
       }
-      const bool late = e.attempt_ms && at + w.network.most > c.deadline_ms;
-      const bool twice =
-          c.repeat == Repeat::kKeyed && n > 1 && last_sent + w.network.most + w.clock_error > c.key_ttl_ms;
+      const bool late = e.attempt_timeout_ms && at + w.network_delay.max > c.deadline_ms;
+      const bool twice = c.idempotency == Idempotency::kIdempotencyKey && n > 1 &&
+                         last_sent + w.network_delay.max + w.clock_error_ms > c.idempotency_key_ttl_ms;
       return late || twice;
     };
-    if (v.lawful()) {
+    if (v.valid()) {
       ++lawful;
       for (int run = 0; run < 20; ++run) EXPECT_FALSE(breaks(false)) << i;
       EXPECT_FALSE(breaks(true)) << i;
     } else {
       ++refused;
-      EXPECT_TRUE(breaks(true)) << i << ": " << v.refusals[0].line_text();
+      EXPECT_TRUE(breaks(true)) << i << ": " << v.errors[0].to_text();
     }
   }
   EXPECT_GE(lawful, 500);
@@ -264,17 +266,17 @@
   extproc::Mapping mapping;
   mapping.default_class = "lookup", mapping.default_plan = "team", mapping.default_customer = "c";
   extproc::Rule rule;
-  rule.path = "/a", rule.cls = "lookup", rule.bounds = RequestBounds{.attempts = 2};
+  rule.path = "/a", rule.cls = "lookup", rule.bounds = RequestBounds{.max_attempts = 2};
   mapping.rules.push_back(rule);
   extproc::Names names{{"lookup", "hold"}, {"team"}, plain_settings(2), {}};
-  names.bounds = {{.attempts = 3}, {.attempts = 1}};
+  names.bounds = {{.max_attempts = 3}, {.max_attempts = 1}};
   const extproc::Mapper mapper(mapping, names, 1);
   const auto attempts = [&](std::string_view path, std::string_view cls) {
     std::vector<http2::HeaderView> headers{{":path", path}};
     if (!cls.empty()) headers.push_back({"x-cometfold-class", cls});
     const auto mapped = mapper.map(headers);
     EXPECT_EQ(mapped.error, "");
-    return mapped.request.bounds.attempts;
+    return mapped.request.bounds.max_attempts;
   };
   EXPECT_EQ(attempts("/a", ""), 2);
   EXPECT_EQ(attempts("/a", "hold"), 1);
@@ -284,7 +286,7 @@
 // ---- the module keeps them ----
 
 Request bounded(RequestId id, RequestBounds bounds) {
-  Request q{.id = id, .customer = id, .expires_at = 4000, .units = 1, .spread = 2};
+  Request q{.id = id, .customer = id, .expires_at = 4000, .units = 1, .gateway_count = 2};
   q.bounds = bounds;
   return q;
 }
@@ -292,7 +294,7 @@
 TEST(Bounds, NoMoreAttemptsThanTheRequestHas) {
   for (const double most : {1.0, 2.0, 9.0}) {
     Gateway g(plain_settings());
-    g.control.on_request(0, bounded(1, {.attempts = most}), g.out);
+    g.control.on_request(0, bounded(1, {.max_attempts = most}), g.out);
     int sent = 0;
     while (const Act* a = g.out.of(Act::kSend, 1)) {
       const HostId at = a->host;
@@ -306,7 +308,7 @@
 
 TEST(Bounds, AnAttemptIsGivenUpAfterItsTime) {
   Gateway g(plain_settings());
-  g.control.on_request(0, bounded(1, {.attempt_ms = 300}), g.out);
+  g.control.on_request(0, bounded(1, {.attempt_timeout_ms = 300}), g.out);
   EXPECT_EQ(g.out.of(Act::kSend, 1)->value, 300);
   g.control.on_request(0, bounded(2, {}), g.out);
   EXPECT_EQ(g.out.of(Act::kSend, 2)->value, 0);
@@ -315,7 +317,7 @@
 TEST(Bounds, NoFurtherAttemptAfterTheLastTime) {
   for (const Ms at : {200.0, 201.0}) {
     Gateway g(plain_settings());
-    g.control.on_request(0, bounded(1, {.send_until_ms = 200}), g.out);
+    g.control.on_request(0, bounded(1, {.retry_window_ms = 200}), g.out);
     const HostId host = g.out.of(Act::kSend, 1)->host;
     g.out.take();
     g.now = at;
@@ -337,9 +339,10 @@
     return std::pair{g.out.count(Act::kSend), g.out.count(Act::kCancel)};
   };
   EXPECT_EQ(after_long({}), (std::pair<std::size_t, std::size_t>{1, 0}));
-  EXPECT_EQ(after_long({.second_copies = false}), (std::pair<std::size_t, std::size_t>{0, 1}));
-  EXPECT_EQ(after_long({.attempts = 1, .second_copies = false}), (std::pair<std::size_t, std::size_t>{0, 0}));
-  EXPECT_EQ(after_long({.second_copies = false, .send_until_ms = 500}),
+  EXPECT_EQ(after_long({.hedging_allowed = false}), (std::pair<std::size_t, std::size_t>{0, 1}));
+  EXPECT_EQ(after_long({.max_attempts = 1, .hedging_allowed = false}),
+            (std::pair<std::size_t, std::size_t>{0, 0}));
+  EXPECT_EQ(after_long({.hedging_allowed = false, .retry_window_ms = 500}),
             (std::pair<std::size_t, std::size_t>{0, 0}));
 }
 
--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -15,7 +15,7 @@
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// A target of its own zone and start; `boot_ms` below 0: not told.
+// A target of its own zone and start; `boot_unix_ms` below 0: not told.
 std::string target_in(const std::string& uid, int port, const std::string& zone, double boot_ms = 0,
                       const std::string& state = "active") {
   boost::json::object o{{"uid", uid},          {"endpoint", "127.0.0.1:" + std::to_string(port)},
--- a/tests/long_values_test.cpp
+++ b/tests/long_values_test.cpp
@@ -26,29 +26,29 @@
   const std::string value = noise(70'000);
   const auto reply = served(value);
   for (const std::size_t step : {1u, 7u, 1000u, 65'536u, 200'000u}) {
-    resp::Reader reader({.elements = 3, .long_value = kMega}, false);
+    resp::RespReader reader({.max_elements = 3, .max_streamed_value_bytes = kMega}, false);
     resp::Frame frame;
     std::string got;
     bool whole = false;
     std::size_t most = 0;
     for (std::size_t at = 0; at < reply.size();) {
-      const auto space = reader.space();
+      const auto space = reader.prepare();
       const auto n = std::min({step, space.size(), reply.size() - at});
       std::copy_n(reply.data() + at, n, space.data());
       reader.commit(n);
       at += n;
-      for (auto p = reader.next(frame); p != resp::Progress::kMore; p = reader.next(frame)) {
-        ASSERT_NE(p, resp::Progress::kBroken) << reader.fault();
-        if (p == resp::Progress::kFrame) {
+      for (auto p = reader.next(frame); p != resp::ReadResult::kNeedMore; p = reader.next(frame)) {
+        ASSERT_NE(p, resp::ReadResult::kProtocolError) << reader.error();
+        if (p == resp::ReadResult::kFrame) {
           whole = true;
           break;
         }
-        EXPECT_EQ(reader.long_size(), value.size());
-        const auto piece = reader.take_long();
+        EXPECT_EQ(reader.streamed_value_size(), value.size());
+        const auto piece = reader.take_streamed_chunk();
         if (piece.empty()) break;
         got += piece;
       }
-      most = std::max(most, reader.held());
+      most = std::max(most, reader.buffer_capacity());
     }
     EXPECT_TRUE(whole) << step;
     EXPECT_EQ(got, value) << step;
@@ -62,12 +62,12 @@
 TEST(LongValues, AreOnlyTakenFirstInAnArrayAndUpToTheBound) {
   for (const std::string bad :
        {"*1\r\n$1048577\r\n", "$70000\r\n", "*3\r\n$1\r\nv\r\n$70000\r\n", "*1\r\n$3000000000\r\n"}) {
-    resp::Reader reader({.elements = 3, .long_value = kMega}, false);
+    resp::RespReader reader({.max_elements = 3, .max_streamed_value_bytes = kMega}, false);
     resp::Frame frame;
-    const auto space = reader.space();
+    const auto space = reader.prepare();
     std::copy(bad.begin(), bad.end(), space.data());
     reader.commit(bad.size());
-    EXPECT_EQ(reader.next(frame), resp::Progress::kBroken) << bad;
+    EXPECT_EQ(reader.next(frame), resp::ReadResult::kProtocolError) << bad;
   }
 }
 
@@ -75,7 +75,7 @@
 
 class Blocked : public resp::Stream {  // takes `room` bytes and then none
  public:
-  Written write(std::string_view bytes) override {
+  WriteResult write(std::string_view bytes) override {
     const auto n = std::min(bytes.size(), room);
     out.append(bytes.substr(0, n));
     room -= n;
@@ -83,12 +83,12 @@
   }
   void await_writable() override { ++awaited; }
   void read(std::span<char>) override {}
-  void later() override { ++laters; }
-  std::size_t unread() override { return 0; }
-  bool quiet() override { return true; }
-  bool ended() override { return false; }
-  void await_end() override {}
-  void shut_send() override {}
+  void post() override { ++laters; }
+  std::size_t unread_bytes() override { return 0; }
+  bool is_quiet() override { return true; }
+  bool peer_closed() override { return false; }
+  void await_peer_close() override {}
+  void shutdown_send() override {}
   void close() override { closed = true; }
   std::string out;
   std::size_t room = 0;
@@ -96,15 +96,15 @@
   bool closed = false;
 };
 
-struct Owner : resp::ClientOwner {
-  resp::Named on_command(Ms, resp::Ticket ticket, std::span<const resp::Item>, Ms) override {
-    return {ticket.place + 1, ticket.place + 1, true};
+struct Owner : resp::ClientConnectionCallbacks {
+  resp::CommandResult on_command(Ms, resp::ResponseHandle ticket, std::span<const resp::Item>, Ms) override {
+    return {ticket.sequence + 1, ticket.sequence + 1, true};
   }
-  void on_unsent(std::uint64_t) override {}
-  void on_sent(std::uint64_t) override {}
-  void on_client_gone(Ms, std::uint64_t name) override { gone.push_back(name); }
+  void on_reply_pending(std::uint64_t) override {}
+  void on_reply_flushed(std::uint64_t) override {}
+  void on_client_disconnected(Ms, std::uint64_t name) override { gone.push_back(name); }
   void on_closed(std::uint64_t) override {}
-  void on_room(Ms, std::uint64_t name) override { rooms.push_back(name); }
+  void on_client_writable(Ms, std::uint64_t name) override { rooms.push_back(name); }
   std::vector<std::uint64_t> gone, rooms;
 };
 
@@ -112,7 +112,8 @@
   Owner owner;
   resp::ClientTotals totals;
   std::vector<char> taken = std::vector<char>(4096);
-  std::shared_ptr<resp::ClientLink> link = std::make_shared<resp::ClientLink>(owner, totals, 1, 0);
+  std::shared_ptr<resp::ClientConnection> link =
+      std::make_shared<resp::ClientConnection>(owner, totals, 1, 0);
   Blocked* stream;
   explicit OneClient(int commands) {
     class Feeding : public Blocked {
@@ -133,11 +134,11 @@
 
 TEST(LongValues, AClientThatDoesNotReadHoldsTheValueBackAndLittleIsKept) {
   OneClient c(1);
-  c.link->begin_value(1, 0, 4 * kMega);
+  c.link->start_value(1, 0, 4 * kMega);
   const auto piece = noise(16 * 1024);
   int pieces = 0;
-  while (c.link->add_to_value(1, 0, piece)) ASSERT_LT(++pieces, 100);
-  EXPECT_LE(c.totals.unsent, 96 * 1024u);
+  while (c.link->append_value(1, 0, piece)) ASSERT_LT(++pieces, 100);
+  EXPECT_LE(c.totals.unsent_bytes, 96 * 1024u);
   EXPECT_TRUE(c.owner.rooms.empty());
   std::size_t sent = (pieces + 1) * piece.size(), most = 0;
   while (sent < 4 * kMega) {
@@ -146,14 +147,14 @@
     ASSERT_FALSE(c.owner.rooms.empty());  // asked for more, once it has read
     c.owner.rooms.clear();
     for (bool more = true; more && sent < 4 * kMega; sent += piece.size())
-      more = c.link->add_to_value(2, 0, piece);
-    most = std::max(most, c.totals.unsent);
+      more = c.link->append_value(2, 0, piece);
+    most = std::max(most, c.totals.unsent_bytes);
   }
   EXPECT_LE(most, 192 * 1024u);  // of 4 MiB
   c.stream->room = kMega;
   c.link->on_writable(3, true);
-  c.link->end_value(3, 0);
-  EXPECT_EQ(c.totals.unsent, 0u);
+  c.link->finish_value(3, 0);
+  EXPECT_EQ(c.totals.unsent_bytes, 0u);
   EXPECT_EQ(c.stream->out.substr(0, 10), "$4194304\r\n");
   EXPECT_EQ(c.stream->out.size(), 10 + 4 * kMega + 2);
 }
@@ -161,39 +162,39 @@
 TEST(LongValues, OneBehindAnotherAnswerWaitsInBoundsAndGoesOnAfterIt) {
   OneClient c(2);
   c.stream->room = kMega;
-  c.link->begin_value(1, 1, 100'000);
+  c.link->start_value(1, 1, 100'000);
   const auto piece = noise(16 * 1024);
-  while (c.link->add_to_value(1, 1, piece)) {
+  while (c.link->append_value(1, 1, piece)) {
   }
   EXPECT_TRUE(c.stream->out.empty());
-  EXPECT_LE(c.totals.unsent, 80 * 1024u);
-  c.link->answer(2, 0, "+first\r\n");
+  EXPECT_LE(c.totals.unsent_bytes, 80 * 1024u);
+  c.link->send_reply(2, 0, "+first\r\n");
   EXPECT_EQ(c.stream->out.substr(0, 17), "+first\r\n$100000\r\n");
   ASSERT_EQ(c.stream->laters, 1);
-  c.link->on_later(2);
+  c.link->on_posted(2);
   EXPECT_EQ(c.owner.rooms, std::vector<std::uint64_t>{2});
 }
 
 TEST(LongValues, OneCutOffEndsTheConnectionIfSomeOfItIsOutElseItIsAnError) {
   OneClient out(1);
   out.stream->room = kMega;
-  out.link->begin_value(1, 0, 100'000);
-  out.link->add_to_value(1, 0, "some");
-  out.link->answer(2, 0, "-ERR failed\r\n");
+  out.link->start_value(1, 0, 100'000);
+  out.link->append_value(1, 0, "some");
+  out.link->send_reply(2, 0, "-ERR failed\r\n");
   EXPECT_FALSE(out.stream->closed);  // not from inside the engine's call
-  out.link->on_later(2);
+  out.link->on_posted(2);
   EXPECT_TRUE(out.stream->closed);
   EXPECT_EQ(out.stream->out, "$100000\r\nsome");
   EXPECT_TRUE(out.owner.gone.empty());  // it has had its answer
 
   OneClient held(2);
   held.stream->room = kMega;
-  held.link->begin_value(1, 1, 100'000);
-  held.link->add_to_value(1, 1, "some");
-  held.link->answer(2, 1, "-ERR failed\r\n");
-  held.link->answer(2, 0, "+first\r\n");
+  held.link->start_value(1, 1, 100'000);
+  held.link->append_value(1, 1, "some");
+  held.link->send_reply(2, 1, "-ERR failed\r\n");
+  held.link->send_reply(2, 0, "+first\r\n");
   EXPECT_EQ(held.stream->out, "+first\r\n-ERR failed\r\n");
-  EXPECT_EQ(held.totals.unsent, 0u);
+  EXPECT_EQ(held.totals.unsent_bytes, 0u);
 }
 
 // ---- the program ----
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -20,24 +20,25 @@
 
 class Cluster {
  public:
-  explicit Cluster(std::size_t n, std::uint64_t seed = 1, Settings settings = {}, std::size_t seeded = 3)
+  explicit Cluster(std::size_t n, std::uint64_t seed = 1, MembershipSettings settings = {},
+                   std::size_t seeded = 3)
       : settings_(settings),
         seeds_(seeded),
         model(
-            [this](Record self, std::vector<std::string> seeds, Membership::Draw draw) {
+            [this](MemberRecord self, std::vector<std::string> seeds, Membership::Draw draw) {
               return std::make_unique<RealMember>(settings_, std::move(self), std::move(seeds),
                                                   std::move(draw));
             },
             seed) {
-    model.on_change = [this](std::size_t i, const Change& c) {
+    model.on_change = [this](std::size_t i, const MembershipEvent& c) {
       judge.see(i * 1000 + model.member(i).round, model.member(i).name, c);
-      if (c.what == Change::kMember && c.state == State::kFailed) {
+      if (c.kind == MembershipEvent::kMemberChanged && c.state == MemberState::kFailed) {
         const std::size_t who = std::stoul(c.name.substr(1));
         if (model.member(who).running && !model.member(who).paused) ++false_failures;
         failed_at[who].insert({i, model.now()});
       }
-      if (c.what == Change::kNewStart) ++new_starts;
-      if (c.what == Change::kConflict) ++conflicts;
+      if (c.kind == MembershipEvent::kNewIncarnation) ++new_starts;
+      if (c.kind == MembershipEvent::kNameConflict) ++conflicts;
     };
     for (std::size_t i = 0; i < n; ++i) {
       model.add("g" + std::to_string(i));
@@ -54,13 +55,13 @@
   const Membership& real(std::size_t i) {
     return dynamic_cast<RealMember&>(*model.member(i).protocol).real();
   }
-  State state(std::size_t at, std::size_t of) {
+  MemberState state(std::size_t at, std::size_t of) {
     for (const auto& m : real(at).members(model.now())) {
       if (m.name == model.member(of).name) return m.state;
     }
-    return State::kLeft;
+    return MemberState::kLeft;
   }
-  Standing standing(std::size_t i) { return real(i).standing(); }
+  ConnectivityState standing(std::size_t i) { return real(i).connectivity(); }
   // Breaches once all faults have ended.
   std::vector<std::string> settled() {
     std::map<std::string, std::uint64_t> running;
@@ -84,7 +85,7 @@
   }
 
  private:
-  Settings settings_;
+  MembershipSettings settings_;
   std::size_t seeds_;
 
  public:
@@ -110,7 +111,7 @@
     EXPECT_EQ(c.settled(), Breaches{}) << n;
     EXPECT_EQ(c.new_starts, 0);
     for (std::size_t i = 0; i < n; ++i) {
-      EXPECT_EQ(c.standing(i), n == 1 ? Standing::kAlone : Standing::kTogether);
+      EXPECT_EQ(c.standing(i), n == 1 ? ConnectivityState::kIsolated : ConnectivityState::kConnected);
       EXPECT_EQ(c.real(i).digest(), c.real(0).digest());
     }
   }
@@ -124,7 +125,7 @@
     c.model.kill(n - 1);
     c.run(4000);
     for (std::size_t i = 0; i + 1 < n; ++i) {
-      EXPECT_EQ(c.state(i, n - 1), State::kFailed) << n << " at " << i;
+      EXPECT_EQ(c.state(i, n - 1), MemberState::kFailed) << n << " at " << i;
       EXPECT_GT(c.failed_at[n - 1][i], crash + 800);
     }
     EXPECT_EQ(c.false_failures, 0);
@@ -138,8 +139,8 @@
   c.run(5000);
   c.model.kill(1);
   c.run(2500);
-  EXPECT_EQ(c.state(0, 1), State::kSuspect);
-  EXPECT_EQ(c.standing(0), Standing::kAlone);
+  EXPECT_EQ(c.state(0, 1), MemberState::kSuspect);
+  EXPECT_EQ(c.standing(0), ConnectivityState::kIsolated);
   c.run(22'000);
   EXPECT_EQ(c.settled(), Breaches{});
   EXPECT_EQ(c.false_failures, 0);
@@ -154,7 +155,7 @@
   c.run(500);
   for (std::size_t i = 0; i < 12; ++i) {
     if (i != 4) {
-      EXPECT_EQ(c.state(i, 4), State::kLeft);
+      EXPECT_EQ(c.state(i, 4), MemberState::kLeft);
     }
   }
   c.gone.insert(4);
@@ -165,12 +166,12 @@
 TEST(Membership, ARestartWithinTheSuspicionIsANewMember) {
   Cluster c(12);
   c.run(5000);
-  const auto before = c.real(3).self().start;
+  const auto before = c.real(3).self().incarnation;
   c.model.kill(3);
   c.run(1500);
   c.start(3);
   c.run(8000);
-  EXPECT_GT(c.real(3).self().start, before);
+  EXPECT_GT(c.real(3).self().incarnation, before);
   EXPECT_EQ(c.settled(), Breaches{});
   EXPECT_EQ(c.failed_at[3].size(), 0U);
 }
@@ -215,12 +216,12 @@
   c.run(5000);
   for (std::size_t i = 0; i < 24; ++i) {
     if (i != 7) {
-      EXPECT_EQ(c.state(i, 7), State::kFailed);
+      EXPECT_EQ(c.state(i, 7), MemberState::kFailed);
     }
   }
   c.model.resume(7);
   c.run(200);
-  EXPECT_TRUE(c.real(7).starved(c.model.now()));
+  EXPECT_TRUE(c.real(7).recently_paused(c.model.now()));
   c.run(4000);
   EXPECT_EQ(c.settled(), Breaches{});
   EXPECT_EQ(c.false_failures, 0);
@@ -234,11 +235,11 @@
   c.run(5000);
   for (std::size_t i = 0; i < 24; ++i) {
     if (i < 18) {
-      EXPECT_EQ(c.state(i, 20), State::kFailed);
-      EXPECT_LE(c.standing(i), Standing::kDoubtful);
+      EXPECT_EQ(c.state(i, 20), MemberState::kFailed);
+      EXPECT_LE(c.standing(i), ConnectivityState::kDegraded);
     } else {
-      EXPECT_EQ(c.state(i, 2), State::kSuspect);
-      EXPECT_GE(c.standing(i), Standing::kCutOff);
+      EXPECT_EQ(c.state(i, 2), MemberState::kSuspect);
+      EXPECT_GE(c.standing(i), ConnectivityState::kPartitioned);
     }
   }
   c.heal();
@@ -252,7 +253,7 @@
   c.run(5000);
   c.group({range(0, 11), {11}});
   c.run(60'000);
-  EXPECT_EQ(c.standing(11), Standing::kAlone);
+  EXPECT_EQ(c.standing(11), ConnectivityState::kIsolated);
   c.heal();
   c.run(6000);
   EXPECT_EQ(c.settled(), Breaches{});
@@ -290,8 +291,8 @@
   c.run(5000);
   c.model.silent = [](std::size_t, std::size_t to) { return to == 3; };
   c.run(5000);
-  EXPECT_EQ(c.state(0, 3), State::kFailed);
-  EXPECT_EQ(c.standing(3), Standing::kAlone);
+  EXPECT_EQ(c.state(0, 3), MemberState::kFailed);
+  EXPECT_EQ(c.standing(3), ConnectivityState::kIsolated);
   c.model.silent = [](std::size_t, std::size_t) { return false; };
   c.run(8000);
   EXPECT_EQ(c.settled(), Breaches{});
@@ -313,7 +314,7 @@
   for (std::size_t i = 18; i < 60; ++i) c.model.kill(i);
   c.run(40'000);
   EXPECT_EQ(c.settled(), Breaches{});
-  for (std::size_t i = 0; i < 18; ++i) EXPECT_EQ(c.standing(i), Standing::kTogether);
+  for (std::size_t i = 0; i < 18; ++i) EXPECT_EQ(c.standing(i), ConnectivityState::kConnected);
 }
 
 TEST(Membership, TwoProcessesOfOneNameBothSaySoAndTheOlderYieldsUntilTheOtherIsOver) {
@@ -322,12 +323,12 @@
   const std::size_t twin = c.model.add("g3");
   c.start(twin);
   c.run(6000);
-  EXPECT_EQ(c.real(twin).rival(), c.model.member(3).address);
-  EXPECT_EQ(c.real(3).rival(), c.model.member(twin).address);
-  EXPECT_EQ(c.standing(3), Standing::kDoubtful);
+  EXPECT_EQ(c.real(twin).conflicting_address(), c.model.member(3).address);
+  EXPECT_EQ(c.real(3).conflicting_address(), c.model.member(twin).address);
+  EXPECT_EQ(c.standing(3), ConnectivityState::kDegraded);
   c.model.kill(twin);
   c.run(15'000);
-  EXPECT_EQ(c.real(3).rival(), "");
+  EXPECT_EQ(c.real(3).conflicting_address(), "");
   EXPECT_EQ(c.settled(), Breaches{});
 }
 
@@ -347,7 +348,7 @@
   c.model.links.loss = 0;
   c.run(40'000);
   std::size_t riding = 0;
-  c.model.size = [&riding](const Message& m) { return riding += m.records.size() + m.accusations.size(); };
+  c.model.size = [&riding](const Message& m) { return riding += m.records.size() + m.suspicions.size(); };
   c.run(5000);
   EXPECT_EQ(riding, 0U);
 }
@@ -360,7 +361,7 @@
     c.run(3000);
     c.heal();
     c.run(3000);
-    for (std::size_t i = 0; i < 11; ++i) EXPECT_EQ(c.standing(i), Standing::kTogether);
+    for (std::size_t i = 0; i < 11; ++i) EXPECT_EQ(c.standing(i), ConnectivityState::kConnected);
   }
   c.run(8000);
   EXPECT_EQ(c.settled(), Breaches{});
@@ -368,15 +369,15 @@
 }
 
 TEST(Membership, WhoComesBackAfterItWasForgottenTakesANewNumberAndRevivesNobody) {
-  Settings s;
-  s.forget = 60'000;
+  MembershipSettings s;
+  s.tombstone_retention_ms = 60'000;
   Cluster c(12, 1, s);
   c.run(5000);
   c.model.pause(11);
   c.run(100);
   c.model.kill(5);  // what the stopped one never hears
   c.run(90'000);
-  EXPECT_EQ(c.state(0, 11), State::kLeft);  // not there at all
+  EXPECT_EQ(c.state(0, 11), MemberState::kLeft);  // not there at all
   c.model.resume(11);
   c.run(10'000);
   EXPECT_EQ(c.settled(), Breaches{});
@@ -421,7 +422,7 @@
     c.model.resume(7);
     c.run(300);
     for (std::size_t i = 0; i < 12; ++i) {
-      if (c.state(7, i) == State::kSuspect) all.push_back("stopped: it takes others for silent");
+      if (c.state(7, i) == MemberState::kSuspect) all.push_back("stopped: it takes others for silent");
     }
     c.run(6000);
     look(c, "stopped", c.false_failures > 0 || c.new_starts > 1, "others paid for it");
@@ -441,7 +442,9 @@
     const std::size_t twin = c.model.add("g3");
     c.start(twin);
     c.run(6000);
-    look(c, "one name twice", c.real(3).rival().empty() || c.real(twin).rival().empty() || c.new_starts > 4,
+    look(c, "one name twice",
+         c.real(3).conflicting_address().empty() || c.real(twin).conflicting_address().empty() ||
+             c.new_starts > 4,
          "not told, or no end of it");
   }
   {
@@ -452,8 +455,8 @@
     look(c, "seven in ten killed", false, "");
   }
   {
-    Settings s;
-    s.forget = 40'000;
+    MembershipSettings s;
+    s.tombstone_retention_ms = 40'000;
     Cluster c(12, 1, s);
     c.run(5000);
     c.model.pause(11);
@@ -463,7 +466,7 @@
     c.start(c.model.add("g12"));
     for (int i = 0; i < 20; ++i) {
       c.run(100);
-      if (c.state(12, 5) != State::kLeft)
+      if (c.state(12, 5) != MemberState::kLeft)
         all.push_back("away for long: it revived the dead for one who never knew them");
     }
     c.run(8000);
@@ -490,8 +493,8 @@
   std::mt19937_64 random(seed);
   const auto draw = [&random](std::uint64_t below) { return static_cast<std::size_t>(random() % below); };
   const std::size_t n = 3 + draw(14);
-  Settings settings;
-  if (draw(4) == 0) settings.forget = 45'000;
+  MembershipSettings settings;
+  if (draw(4) == 0) settings.tombstone_retention_ms = 45'000;
   Cluster c(n, seed, settings, n);
   c.run(static_cast<Ms>(2000 + draw(4000)));
   for (std::size_t steps = 4 + draw(14); steps > 0; --steps) {
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -138,11 +138,11 @@
 
 TEST(Figures, ClassesOfOneNameAreOneLine) {
   const std::vector<std::string> labels{"a", "b", "a"};
-  const std::vector<engine::ClassFigures> counts{{1, 2, 3, 4}, {0, 0, 0, 9}};
-  ops::Figures figures{.loads = 5};
-  figures.refused.by_cause[static_cast<std::size_t>(Cause::kShed)] = 7;
-  figures.refused.no_room_here = 2;
-  const auto text = ops::render(figures, labels, counts);
+  const std::vector<engine::ClassMetrics> counts{{1, 2, 3, 4}, {0, 0, 0, 9}};
+  ops::GatewayMetrics figures{.config_reloads = 5};
+  figures.rejections.by_reason[static_cast<std::size_t>(RejectionReason::kLoadShed)] = 7;
+  figures.rejections.no_capacity = 2;
+  const auto text = ops::render_metrics(figures, labels, counts);
   EXPECT_NE(text.find("edge_edge.given_up.shed:7|c\n"), std::string::npos);
   EXPECT_NE(text.find("edge_edge.given_up.no_room_here:2|c\n"), std::string::npos);
   EXPECT_NE(text.find("edge_edge.handled.a.passed:1|c\n"), std::string::npos);
@@ -250,50 +250,51 @@
   EXPECT_EQ(s.serve(client, 1), "v");
 }
 
-ClassSettings kind(Repeat repeat, Ms deadline) {
+ClassSettings kind(Idempotency repeat, Ms deadline) {
   ClassSettings c;
-  c.repeat = repeat;
+  c.idempotency = repeat;
   c.deadline_ms = deadline;
   return c;
 }
 
 TEST(Numbering, NamesKeepTheirNumbersAndAnotherRightIsAnotherClass) {
-  settings::Numbered before{{"a", "b"}, {"p"}, {}};
-  before.settings.classes = {kind(Repeat::kSafe, 100), kind(Repeat::kKeyed, 200)};
+  settings::NumberedSettings before{{"a", "b"}, {"p"}, {}};
+  before.settings.classes = {kind(Idempotency::kIdempotent, 100), kind(Idempotency::kIdempotencyKey, 200)};
   before.settings.plans.resize(1);
-  settings::Numbered fresh{{"c", "b", "a"}, {"q", "p"}, {}};
-  fresh.settings.classes = {kind(Repeat::kUnsafe, 1), kind(Repeat::kUnsafe, 2), kind(Repeat::kSafe, 3)};
+  settings::NumberedSettings fresh{{"c", "b", "a"}, {"q", "p"}, {}};
+  fresh.settings.classes = {kind(Idempotency::kNonIdempotent, 1), kind(Idempotency::kNonIdempotent, 2),
+                            kind(Idempotency::kIdempotent, 3)};
   fresh.settings.plans.resize(2);
   const auto merged = settings::renumber(before, fresh);
   EXPECT_EQ(merged.classes, (std::vector<std::string>{"a", "", "c", "b"}));
   EXPECT_EQ(merged.plans, (std::vector<std::string>{"p", "q"}));
   EXPECT_EQ(merged.settings.classes[0].deadline_ms, 3);
-  EXPECT_EQ(merged.settings.classes[1].repeat, Repeat::kKeyed);  // for what is under way
-  EXPECT_EQ(merged.settings.classes[3].repeat, Repeat::kUnsafe);
+  EXPECT_EQ(merged.settings.classes[1].idempotency, Idempotency::kIdempotencyKey);  // for what is under way
+  EXPECT_EQ(merged.settings.classes[3].idempotency, Idempotency::kNonIdempotent);
   const auto back = settings::renumber(merged, before);
   EXPECT_EQ(back.classes, (std::vector<std::string>{"a", "b", "", ""}));
 }
 
 TEST(Numbering, NamesOfZonesStayWhereTheyAre) {
   std::vector<std::string> zones{"a", "b"};
-  settings::extend(zones, {"c", "a"});
+  settings::extend_names(zones, {"c", "a"});
   EXPECT_EQ(zones, (std::vector<std::string>{"a", "b", "c"}));
 }
 
 TEST(Numbering, IsBounded) {
-  settings::Numbered now{{"c"}, {"p"}, {}};
-  now.settings.classes = {kind(Repeat::kSafe, 1)};
+  settings::NumberedSettings now{{"c"}, {"p"}, {}};
+  now.settings.classes = {kind(Idempotency::kIdempotent, 1)};
   now.settings.plans.resize(1);
   const auto turn = [&](int n) {
     auto next = now;
     next.classes = {"c"};
-    next.settings.classes = {kind(Repeat::kKeyed, n)};
-    next.settings.classes[0].key_ttl_ms = n + 1;  // another right each time
+    next.settings.classes = {kind(Idempotency::kIdempotencyKey, n)};
+    next.settings.classes[0].idempotency_key_ttl_ms = n + 1;  // another right each time
     next.plans = {"p"};
     next.settings.plans.resize(1);
     now = settings::renumber(now, next);
   };
-  EXPECT_THROW(for (int n = 0; n < 2000; ++n) turn(n), settings::TooMany);
+  EXPECT_THROW(for (int n = 0; n < 2000; ++n) turn(n), settings::TooManyNamesError);
   EXPECT_EQ(now.classes.size(), 1024u);
 }
 
--- a/tests/quotas_test.cpp
+++ b/tests/quotas_test.cpp
@@ -9,14 +9,14 @@
 
 constexpr std::size_t kGateways = 300;
 
-Settings shop() {
+AdmissionSettings shop() {
   auto s = plain_settings();
-  s.gateways = kGateways;
-  s.classes[0].aim_ms = 1700;
+  s.gateway_count = kGateways;
+  s.classes[0].latency_objective_ms = 1700;
   s.max_retry_after_ms = 1000;
-  s.plans = {{.quota_rate = 1.4, .burst = 6, .overrun_cost = 1.2},
-             {.quota_rate = 2.5, .burst = 11, .overrun_cost = 0.6},
-             {.quota_rate = 6, .burst = 12, .overrun_cost = 0.8}};
+  s.plans = {{.quota_rate = 1.4, .quota_burst = 6, .over_quota_cost = 1.2},
+             {.quota_rate = 2.5, .quota_burst = 11, .over_quota_cost = 0.6},
+             {.quota_rate = 6, .quota_burst = 12, .over_quota_cost = 0.8}};
   return s;
 }
 
@@ -27,7 +27,7 @@
   double inside = 0;  // what passed inside
 };
 
-QuietDay play(const Settings& s, double comes_again) {
+QuietDay play(const AdmissionSettings& s, double comes_again) {
   std::vector<HostEntry> hosts;
   for (HostId h = 1; h <= 200; ++h) hosts.push_back(host(h));
   ModelFleet fleet(s, kGateways, hosts, [](ModelFleet& m, HostId) {
@@ -44,7 +44,7 @@
   double due = 0;
   for (std::size_t p = 0; p < s.plans.size(); ++p) {
     const auto& a = customers.accounts()[p];
-    due += a.due, day.inside += a.inside, day.price += a.beyond * s.plans[p].overrun_cost;
+    due += a.due, day.inside += a.inside, day.price += a.beyond * s.plans[p].over_quota_cost;
   }
   day.inside /= due, day.price /= due;
   return day;
@@ -65,8 +65,8 @@
   EXPECT_GE(day.inside, 0.74);
 }
 
-double first_requests_sent(Settings s, double gateways, double spread) {
-  s.gateways = gateways;
+double first_requests_sent(AdmissionSettings s, double gateways, double spread) {
+  s.gateway_count = gateways;
   Gateway g(s, {host(1), host(2), host(3), host(4)});
   int sent = 0;
   constexpr int kCustomers = 400;
@@ -81,9 +81,9 @@
 // A slice of half a request at each of four gateways: four bursts at the most, and all pass as before.
 TEST(Quotas, InSmallSetsAFullSliceLetsAllOn) {
   auto s = shop();
-  s.plans[0].burst = 8;
-  s.plans[0].overrun_cost = 3;
-  s.largest_units = 4;
+  s.plans[0].quota_burst = 8;
+  s.plans[0].over_quota_cost = 3;
+  s.max_request_units = 4;
   EXPECT_EQ(first_requests_sent(s, 4, 4), 1);
   EXPECT_EQ(first_requests_sent(s, 300, 4), 1);
   EXPECT_LT(first_requests_sent(s, 300, 100), 0.95);
@@ -92,8 +92,8 @@
 // Soft plans bind under pressure only: what goes beyond earns what it costs.
 TEST(Quotas, SoftPlansAreNotHeldBack) {
   auto s = shop();
-  s.plans[0].beyond_earns = s.plans[0].overrun_cost = 0.7;
-  s.largest_units = 4;
+  s.plans[0].over_quota_value = s.plans[0].over_quota_cost = 0.7;
+  s.max_request_units = 4;
   EXPECT_EQ(first_requests_sent(s, 300, 100), 1);
 }
 
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -287,11 +287,11 @@
 
 // Bytes leave the socket in the turn that tells of them: what looks quiet is quiet.
 TEST(RareClose, WhatHasComeIsCountedUntilItIsTold) {
-  struct Events : resp::StreamEvents {
+  struct Events : resp::StreamCallbacks {
     void on_connected(Ms, bool) override {}
     void on_read(Ms, std::size_t n, bool) override { bytes += n; }
     void on_writable(Ms, bool) override {}
-    void on_later(Ms) override {}
+    void on_posted(Ms) override {}
     std::size_t bytes = 0;
   };
   boost::asio::io_context io(1);
@@ -306,17 +306,17 @@
   const auto events = std::make_shared<Events>();
   TcpStream stream(std::move(socket), clock, *events);
   far.send("noise");
-  while (stream.unread() < 5) {
+  while (stream.unread_bytes() < 5) {
   }
   std::array<char, 16> space{};
   stream.read(space);
-  EXPECT_EQ(stream.unread(), 5u);
-  EXPECT_FALSE(stream.quiet());
-  EXPECT_FALSE(stream.ended());
+  EXPECT_EQ(stream.unread_bytes(), 5u);
+  EXPECT_FALSE(stream.is_quiet());
+  EXPECT_FALSE(stream.peer_closed());
   far.close();
-  while (!stream.ended()) {
+  while (!stream.peer_closed()) {
   }
-  EXPECT_EQ(stream.unread(), 5u);
+  EXPECT_EQ(stream.unread_bytes(), 5u);
   io.run_one();
   EXPECT_EQ(events->bytes, 5u);
   stream.close();
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -10,9 +10,9 @@
 namespace cometfold::resp {
 namespace {
 
-void feed(Reader& reader, std::string_view text) {
+void feed(RespReader& reader, std::string_view text) {
   while (!text.empty()) {
-    const auto space = reader.space();
+    const auto space = reader.prepare();
     const auto n = std::min(space.size(), text.size());
     std::memcpy(space.data(), text.data(), n);
     reader.commit(n);
@@ -21,13 +21,13 @@
 }
 
 // All at once, then byte by byte: the outcome must be the same.
-Progress outcome(const std::string& text, bool commands, Frame& frame, std::vector<std::string>& values) {
-  std::vector<Progress> seen;
+ReadResult outcome(const std::string& text, bool commands, Frame& frame, std::vector<std::string>& values) {
+  std::vector<ReadResult> seen;
   for (const bool single : {false, true}) {
-    Reader reader(Limits{}, commands);
-    Progress p = Progress::kMore;
+    RespReader reader(RespLimits{}, commands);
+    ReadResult p = ReadResult::kNeedMore;
     if (single) {
-      for (std::size_t i = 0; i < text.size() && p == Progress::kMore; ++i) {
+      for (std::size_t i = 0; i < text.size() && p == ReadResult::kNeedMore; ++i) {
         feed(reader, text.substr(i, 1));
         p = reader.next(frame);
       }
@@ -36,7 +36,7 @@
       p = reader.next(frame);
     }
     values.clear();
-    if (p == Progress::kFrame) {
+    if (p == ReadResult::kFrame) {
       for (const auto& item : frame.items) values.emplace_back(item.text);
     }
     seen.push_back(p);
@@ -50,36 +50,36 @@
   std::vector<std::string> values;
   const std::string body = std::string("a\r\nb\0c$9", 8);
   const auto p = outcome("*3\r\n$3\r\nGET\r\n$0\r\n\r\n$8\r\n" + body + "\r\n", true, frame, values);
-  ASSERT_EQ(p, Progress::kFrame);
+  ASSERT_EQ(p, ReadResult::kFrame);
   EXPECT_EQ(values, (std::vector<std::string>{"GET", "", body}));
 }
 
 TEST(Resp, FramesThatFollowEachOtherComeOneByOne) {
-  Reader reader(Limits{}, true);
+  RespReader reader(RespLimits{}, true);
   Frame frame;
   feed(reader, "*1\r\n$1\r\na\r\n*0\r\n*1\r\n$1\r\nb\r\n*1\r\n");
-  ASSERT_EQ(reader.next(frame), Progress::kFrame);
+  ASSERT_EQ(reader.next(frame), ReadResult::kFrame);
   EXPECT_EQ(frame.items.at(0).text, "a");
-  ASSERT_EQ(reader.next(frame), Progress::kFrame);
+  ASSERT_EQ(reader.next(frame), ReadResult::kFrame);
   EXPECT_TRUE(frame.items.empty());
-  ASSERT_EQ(reader.next(frame), Progress::kFrame);
+  ASSERT_EQ(reader.next(frame), ReadResult::kFrame);
   EXPECT_EQ(frame.items.at(0).text, "b");
   EXPECT_FALSE(reader.empty());
-  EXPECT_EQ(reader.next(frame), Progress::kMore);
+  EXPECT_EQ(reader.next(frame), ReadResult::kNeedMore);
 }
 
 TEST(Resp, RepliesOfAllKinds) {
   Frame frame;
   std::vector<std::string> values;
-  ASSERT_EQ(outcome("*3\r\n$2\r\nok\r\n$-1\r\n$7\r\nqueue=2\r\n", false, frame, values), Progress::kFrame);
+  ASSERT_EQ(outcome("*3\r\n$2\r\nok\r\n$-1\r\n$7\r\nqueue=2\r\n", false, frame, values), ReadResult::kFrame);
   EXPECT_TRUE(frame.array);
-  EXPECT_EQ(frame.items[1].kind, Kind::kNull);
+  EXPECT_EQ(frame.items[1].type, ItemType::kNull);
   EXPECT_EQ(values[2], "queue=2");
-  ASSERT_EQ(outcome("-BUSY queue=3\r\n", false, frame, values), Progress::kFrame);
-  EXPECT_EQ(frame.items[0].kind, Kind::kError);
+  ASSERT_EQ(outcome("-BUSY queue=3\r\n", false, frame, values), ReadResult::kFrame);
+  EXPECT_EQ(frame.items[0].type, ItemType::kError);
   EXPECT_EQ(values[0], "BUSY queue=3");
-  ASSERT_EQ(outcome(":-12\r\n", false, frame, values), Progress::kFrame);
-  EXPECT_EQ(frame.items[0].kind, Kind::kInteger);
+  ASSERT_EQ(outcome(":-12\r\n", false, frame, values), ReadResult::kFrame);
+  EXPECT_EQ(frame.items[0].type, ItemType::kInteger);
 }
 
 TEST(Resp, MalformedInputIsBroken) {
@@ -88,30 +88,30 @@
   for (const char* text :
        {"PING\r\n", "*x\r\n", "*-1\r\n", "*9\r\n", "*01\r\n", "*1\n", "*1\r\n+OK\r\n", "*1\r\n$-1\r\n",
         "*1\r\n$+1\r\n", "*1\r\n$\r\n", "*1\r\n$65537\r\n", "*1\r\n$1\r\nab\r\n", "*1\r\n*1\r\n", "\r\n"}) {
-    EXPECT_EQ(outcome(text, true, frame, values), Progress::kBroken) << text;
+    EXPECT_EQ(outcome(text, true, frame, values), ReadResult::kProtocolError) << text;
   }
   for (const char* text : {"!\r\n", ":1x\r\n", "*1\r\n*1\r\n", "$-2\r\n", "*5\r\n$x\r\n"}) {
-    EXPECT_EQ(outcome(text, false, frame, values), Progress::kBroken) << text;
+    EXPECT_EQ(outcome(text, false, frame, values), ReadResult::kProtocolError) << text;
   }
-  EXPECT_EQ(outcome("-" + std::string(2000, 'x'), false, frame, values), Progress::kBroken);
+  EXPECT_EQ(outcome("-" + std::string(2000, 'x'), false, frame, values), ReadResult::kProtocolError);
 }
 
 TEST(Resp, NothingIsSetAsideForWhatIsOnlyAnnounced) {
-  Reader reader(Limits{}, true);
+  RespReader reader(RespLimits{}, true);
   Frame frame;
   feed(reader, "*8\r\n$65536\r\n");
-  EXPECT_EQ(reader.next(frame), Progress::kMore);
-  EXPECT_LE(reader.held(), 4096u);
+  EXPECT_EQ(reader.next(frame), ReadResult::kNeedMore);
+  EXPECT_LE(reader.buffer_capacity(), 4096u);
 }
 
 TEST(Resp, AWholeFrameIsBounded) {
-  Reader reader(Limits{}, true);
+  RespReader reader(RespLimits{}, true);
   Frame frame;
   const std::string value = "$65536\r\n" + std::string(65536, 'v') + "\r\n";
   feed(reader, "*8\r\n" + value + value);
-  EXPECT_EQ(reader.next(frame), Progress::kMore);
+  EXPECT_EQ(reader.next(frame), ReadResult::kNeedMore);
   feed(reader, "$65536\r\n");
-  EXPECT_EQ(reader.next(frame), Progress::kBroken);
+  EXPECT_EQ(reader.next(frame), ReadResult::kProtocolError);
 }
 
 TEST(Resp, AnErrorStaysOnOneLine) {
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -31,12 +31,12 @@
 
 TEST(Effects, UnsafeIsNeitherRepeatedNorRefusedOnceItMayHaveRun) {
   auto s = plain_settings();
-  s.classes[0].repeat = Repeat::kUnsafe;
+  s.classes[0].idempotency = Idempotency::kNonIdempotent;
   Gateway g(s);
   ASSERT_TRUE(g.ask(1));
   const HostId first = g.out.of(Act::kSend, 1)->host;
   g.out.take();
-  g.end(1, 0, first, Outcome::kBroken);
+  g.end(1, 0, first, Outcome::kConnectionLost);
   EXPECT_EQ(g.out.count(Act::kSend), 0u);
   EXPECT_EQ(g.out.count(Act::kRefuse), 0u);
   EXPECT_EQ(g.out.count(Act::kFail), 1u);
@@ -44,7 +44,7 @@
 
 TEST(Effects, UnsafeIsTriedAgainWhenItNeverRan) {
   auto s = plain_settings();
-  s.classes[0].repeat = Repeat::kUnsafe;
+  s.classes[0].idempotency = Idempotency::kNonIdempotent;
   Gateway g(s);
   ASSERT_TRUE(g.ask(1));
   const HostId first = g.out.of(Act::kSend, 1)->host;
@@ -56,29 +56,29 @@
 
 TEST(Effects, KeyedStaysInItsGroupAndWithinTheKeysLife) {
   auto s = plain_settings();
-  s.classes[0].repeat = Repeat::kKeyed;
-  s.classes[0].group = KeyGroup::kZone;
-  s.classes[0].key_ttl_ms = 500;
+  s.classes[0].idempotency = Idempotency::kIdempotencyKey;
+  s.classes[0].idempotency_scope = IdempotencyScope::kZone;
+  s.classes[0].idempotency_key_ttl_ms = 500;
   Gateway g(s, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0),
                 host(3, HostState::kReady, 0, 1), host(4, HostState::kReady, 0, 1)});
   ASSERT_TRUE(g.ask(1));
   const HostId first = g.out.of(Act::kSend, 1)->host;
   g.out.take();
   g.now += 100;
-  g.end(1, 0, first, Outcome::kBroken);
+  g.end(1, 0, first, Outcome::kConnectionLost);
   ASSERT_EQ(g.out.count(Act::kSend), 1u);
   const HostId second = g.out.of(Act::kSend, 1)->host;
   EXPECT_EQ(first <= 2, second <= 2);
   g.out.take();
   g.now += 450;  // the first send's key is forgotten at 500
-  g.end(1, 1, second, Outcome::kBroken);
+  g.end(1, 1, second, Outcome::kConnectionLost);
   EXPECT_EQ(g.out.count(Act::kSend), 0u);
   EXPECT_EQ(g.out.count(Act::kFail), 1u) << "a refusal would promise that a retry does no harm";
 }
 
 TEST(Effects, NoSecondCopyWhereTheSiteForbidsIt) {
   auto s = plain_settings();
-  s.second_copies = false;
+  s.hedging_allowed = false;
   Gateway g(s);
   ASSERT_TRUE(g.ask(1));
   const HostId first = g.out.of(Act::kSend, 1)->host;
@@ -93,13 +93,13 @@
 
 TEST(Drains, NothingNewOnceTold) {
   Gateway g(plain_settings());
-  g.list(ListKind::kChanges, {host(1, HostState::kDraining), host(2, HostState::kGone)});
+  g.list(HostListUpdate::kDelta, {host(1, HostState::kDraining), host(2, HostState::kRemoved)});
   for (RequestId id = 1; id <= 6; ++id) {
     if (g.ask(id, 1, 2, 100 + id)) {
       EXPECT_EQ(g.out.of(Act::kSend, id)->host, 3u);
     }
   }
-  g.list(ListKind::kWhole, {});  // what a whole list leaves out is gone
+  g.list(HostListUpdate::kSnapshot, {});  // what a whole list leaves out is gone
   EXPECT_FALSE(g.ask(9, 1, 2, 900));
 }
 
@@ -118,7 +118,7 @@
     return sends;
   };
   minute(300, 10);
-  g.list(ListKind::kChanges, {host(2, HostState::kReady, g.now), host(3, HostState::kReady, g.now)});
+  g.list(HostListUpdate::kDelta, {host(2, HostState::kReady, g.now), host(3, HostState::kReady, g.now)});
   auto sends = minute(50, 20);  // the fall time of 1 s: present ability 0.2 to 0.28, twice that is the edge
   EXPECT_LT(sends[2], 0.4 * sends[1]);
   EXPECT_LT(sends[3], 0.4 * sends[1]);
@@ -132,10 +132,10 @@
   Gateway g(plain_settings());
   constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
   g.end(99, 0, 1, Outcome::kOk);
-  g.control.on_gone(g.now, 99, g.out);
+  g.control.on_client_disconnected(g.now, 99, g.out);
   g.control.on_timer(g.now, 99, g.out);
-  g.control.on_stream_begun(g.now, 99, 3, g.out);
-  g.control.on_probe_end(g.now, 77, kNan, true, {kNan, {}, {}}, g.out);
+  g.control.on_stream_started(g.now, 99, 3, g.out);
+  g.control.on_health_check_end(g.now, 77, kNan, true, {kNan, {}, {}}, g.out);
   EXPECT_TRUE(g.out.acts.empty());
   g.control.on_request(g.now, {1, 5, 0, 1, g.now + 100, 1, 1}, g.out);  // class out of range
   g.control.on_request(g.now, {2, 0, 9, 1, g.now + 100, 1, 1}, g.out);  // plan out of range
@@ -168,13 +168,13 @@
   std::mt19937_64 random(GetParam());
   const auto draw = [&](std::uint64_t n) { return random() % n; };
   auto s = plain_settings(3);
-  s.classes[1] = {800, 2500, 3, 0, Repeat::kKeyed, KeyGroup::kZone, 1500};
-  s.classes[2] = {800, 2500, 5, 0, Repeat::kUnsafe, KeyGroup::kNone, 0};
+  s.classes[1] = {800, 2500, 3, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kZone, 1500};
+  s.classes[2] = {800, 2500, 5, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0};
   s.plans.resize(2);
   s.plans[0] = {200, 200, 1, 0.5, 0, 0, 0, 0, 0};
   s.plans[1] = {40, 80, 2, 0, 0.3, 80, 160, 16, 6};
-  s.second_copies = draw(2) != 0;
-  s.largest_units = 3;
+  s.hedging_allowed = draw(2) != 0;
+  s.max_request_units = 3;
   std::vector<HostEntry> hosts;
   for (HostId h = 1; h <= 8; ++h) hosts.push_back(host(h, HostState::kReady, 0, h % 2));
   Gateway g(s, hosts, 1e6);
@@ -218,7 +218,7 @@
       if (a.kind == Act::kSend) {
         ASSERT_EQ(state[a.host], HostState::kReady) << "sent to a leaving host";
         ASSERT_LT(r.tries.size(), s.max_attempts);
-        if (!s.second_copies) {
+        if (!s.hedging_allowed) {
           ASSERT_FALSE(out);
         }
         if (r.cls == 2) {
@@ -272,7 +272,7 @@
         auto& t = r.tries[i];
         const auto o = static_cast<Outcome>(draw(8));
         t.out = false;
-        t.may = o != Outcome::kFull && o != Outcome::kConnectFailed && o != Outcome::kNotSent;
+        t.may = o != Outcome::kOverloaded && o != Outcome::kConnectFailed && o != Outcome::kNotSent;
         if (o == Outcome::kNotSent) {
           t.never = true;
           refill();
@@ -289,7 +289,7 @@
       const auto h = static_cast<HostId>(1 + draw(8));
       state[h] = static_cast<HostState>(draw(3));
       if (draw(2) != 0) state[h] = HostState::kReady;
-      g.list(ListKind::kChanges, {host(h, state[h], draw(4) == 0 ? g.now : 0, h % 2)});
+      g.list(HostListUpdate::kDelta, {host(h, state[h], draw(4) == 0 ? g.now : 0, h % 2)});
     }
     ASSERT_NO_FATAL_FAILURE(obey());
   }
@@ -306,18 +306,18 @@
 // ---- what a key binds repeats to ----
 
 // A keyed request is out at host 1, which is in zone 1, when the list changes; then its attempt is reset.
-class KeyedRepeat : public ::testing::TestWithParam<KeyGroup> {
+class KeyedRepeat : public ::testing::TestWithParam<IdempotencyScope> {
  protected:
-  static Settings settings() {
-    Settings s = plain_settings();
-    s.classes[0].repeat = Repeat::kKeyed;
-    s.classes[0].group = GetParam();
-    s.classes[0].key_ttl_ms = 3000;
+  static AdmissionSettings settings() {
+    AdmissionSettings s = plain_settings();
+    s.classes[0].idempotency = Idempotency::kIdempotencyKey;
+    s.classes[0].idempotency_scope = GetParam();
+    s.classes[0].idempotency_key_ttl_ms = 3000;
     return s;
   }
   // To which host the repeat goes; none.
   std::optional<HostId> repeat() {
-    gateway.end(1, 0, 1, Outcome::kBroken);
+    gateway.end(1, 0, 1, Outcome::kConnectionLost);
     const Act* again = gateway.out.of(Act::kSend, 1);
     return again ? std::optional(again->host) : std::nullopt;
   }
@@ -330,20 +330,20 @@
 
 TEST_P(KeyedRepeat, StaysInTheGroupOfAHostThatIsGone) {
   take();
-  gateway.list(ListKind::kWhole, {host(2, HostState::kReady, 0, 0), HostEntry::gone(1)});
+  gateway.list(HostListUpdate::kSnapshot, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
 TEST_P(KeyedRepeat, GoesToAHostOfTheSameGroup) {
   take();
-  gateway.list(ListKind::kWhole,
-               {host(2, HostState::kReady, 0, 0), host(3, HostState::kReady, 0, 1), HostEntry::gone(1)});
+  gateway.list(HostListUpdate::kSnapshot,
+               {host(2, HostState::kReady, 0, 0), host(3, HostState::kReady, 0, 1), HostEntry::removed(1)});
   EXPECT_EQ(repeat(), HostId{3});
 }
 
 TEST_P(KeyedRepeat, IsBoundToWhereTheHostWasWhenItWasSent) {
   take();
-  gateway.list(ListKind::kChanges, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0)});
+  gateway.list(HostListUpdate::kDelta, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
@@ -352,39 +352,40 @@
   nowhere.zone = nowhere.cell = std::nullopt;
   HostEntry first = nowhere;
   first.id = 1;
-  gateway.list(ListKind::kWhole, {first});
+  gateway.list(HostListUpdate::kSnapshot, {first});
   take();
-  gateway.list(ListKind::kWhole, {nowhere, HostEntry::gone(1)});
+  gateway.list(HostListUpdate::kSnapshot, {nowhere, HostEntry::removed(1)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
 TEST_P(KeyedRepeat, KeepsTheTermsThatItsRequestCameUnder) {
   take();
-  gateway.list(ListKind::kChanges, {host(2, HostState::kReady, 0, 0), HostEntry::gone(1)});
-  Settings later = settings();
-  later.classes[0].group = KeyGroup::kAll;
-  gateway.control.on_settings(gateway.now, later);
+  gateway.list(HostListUpdate::kDelta, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
+  AdmissionSettings later = settings();
+  later.classes[0].idempotency_scope = IdempotencyScope::kAll;
+  gateway.control.update_settings(gateway.now, later);
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
 TEST_P(KeyedRepeat, LeavesTimeForAProcessThatIsHeldUp) {
-  Settings s = settings();
-  s.classes[0].key_ttl_ms = 600;
+  AdmissionSettings s = settings();
+  s.classes[0].idempotency_key_ttl_ms = 600;
   Gateway held(s, {host(1, HostState::kReady, 0, 1), host(3, HostState::kReady, 0, 1)}, 20'000);
   ASSERT_TRUE(held.ask(1));
   const HostId first = held.out.take().front().host;
   held.now += 600 - 140;  // within 0.8 of it, and bytes may go out 0.15 s later
-  held.end(1, 0, first, Outcome::kBroken);
+  held.end(1, 0, first, Outcome::kConnectionLost);
   EXPECT_EQ(held.out.of(Act::kSend, 1), nullptr);
 }
 
-INSTANTIATE_TEST_SUITE_P(Groups, KeyedRepeat, ::testing::Values(KeyGroup::kZone, KeyGroup::kCell));
+INSTANTIATE_TEST_SUITE_P(Groups, KeyedRepeat,
+                         ::testing::Values(IdempotencyScope::kZone, IdempotencyScope::kCell));
 
 // A customer whose set grows from one gateway to ten has a tenth of its ceiling here from then on.
 TEST(Ceiling, FollowsTheSetOfItsCustomer) {
-  Settings s = plain_settings();
-  s.gateways = 10;
-  s.plans[0] = {.quota_rate = 1000, .burst = 1000, .ceiling_rate = 20, .ceiling_burst = 20};
+  AdmissionSettings s = plain_settings();
+  s.gateway_count = 10;
+  s.plans[0] = {.quota_rate = 1000, .quota_burst = 1000, .ceiling_rate = 20, .ceiling_burst = 20};
   Gateway gateway(s, {host(1), host(2), host(3)}, 60'000);
   gateway.now += 60'000;  // the slice is full
   ASSERT_TRUE(gateway.ask(1, 1, 1));
--- a/tests/scale_test.cpp
+++ b/tests/scale_test.cpp
@@ -11,11 +11,11 @@
 namespace cometfold::testing {
 namespace {
 
-Settings large(double gateways = 400) {
+AdmissionSettings large(double gateways = 400) {
   auto s = plain_settings();
-  s.gateways = gateways;
+  s.gateway_count = gateways;
   s.plans[0].quota_rate = 1e6;
-  s.plans[0].burst = 1e6;
+  s.plans[0].quota_burst = 1e6;
   return s;
 }
 
@@ -72,8 +72,8 @@
 TEST(Scale, ASliceFarBelowOneRequestGoesByTheWorthExpected) {
   auto s = large();
   s.plans[0].quota_rate = 4;
-  s.plans[0].burst = 8;
-  s.plans[0].overrun_cost = 0.8;
+  s.plans[0].quota_burst = 8;
+  s.plans[0].over_quota_cost = 0.8;
   Gateway g(s, fleet(50));
   g.wait(20000);
   int first = 0, later = 0;
@@ -103,8 +103,8 @@
 TEST(Scale, AMarkedRepeatTellsOfRefusalsElsewhere) {
   auto s = large();
   s.plans[0].quota_rate = 4;
-  s.plans[0].burst = 8;
-  s.plans[0].overrun_cost = 1;
+  s.plans[0].quota_burst = 8;
+  s.plans[0].over_quota_cost = 1;
   for (const bool repeat : {false, true}) {
     Gateway g(s, fleet(50));
     g.wait(3000);  // a slice of a fifth a second: half a request was to be expected
@@ -121,8 +121,8 @@
 TEST(Scale, ACeilingSliceOfTwoRequestsIsNotAlwaysNear) {
   auto s = large();
   s.plans[0].quota_rate = 10;
-  s.plans[0].burst = 20;
-  s.plans[0].overrun_cost = 0.5;
+  s.plans[0].quota_burst = 20;
+  s.plans[0].over_quota_cost = 0.5;
   s.plans[0].ceiling_rate = 40;
   s.plans[0].ceiling_burst = 40;
   Gateway g(s, fleet(50), 0);
@@ -157,7 +157,7 @@
       g.out.take();
       ++(plan == 0 ? throttled : other)[h];
       const bool full = plan == 0 && h <= 2;
-      g.end(id, attempt, h, full ? Outcome::kFull : Outcome::kOk, 50);
+      g.end(id, attempt, h, full ? Outcome::kOverloaded : Outcome::kOk, 50);
       if (!full) break;
     }
     g.out.take();
@@ -170,7 +170,7 @@
 }
 
 TEST(Throttle, WhatNeverRanIsTriedElsewhereOutsideTheBudget) {
-  for (const auto outcome : {Outcome::kFull, Outcome::kConnectFailed}) {
+  for (const auto outcome : {Outcome::kOverloaded, Outcome::kConnectFailed}) {
     auto s = large(2);
     s.plans.push_back(s.plans[0]);
     Gateway g(s, fleet(60));
@@ -197,9 +197,9 @@
   }
 }
 
-Settings probing() {
+AdmissionSettings probing() {
   auto s = large();
-  s.may_probe = true;
+  s.health_checks_allowed = true;
   return s;
 }
 
@@ -226,7 +226,7 @@
       for (HostId h = 1; h <= 6; ++h) {
         LoadReport load{0, {}, 0.3};
         if (h == 1) load = silent == 0 ? LoadReport{} : LoadReport{9, {}, 1.0};
-        g.control.on_probe_end(g.now, h, 1, !(h == 1 && silent == 1), load, g.out);
+        g.control.on_health_check_end(g.now, h, 1, !(h == 1 && silent == 1), load, g.out);
       }
       if (g.ask(id, 1, 2, id)) ++sends[g.out.of(Act::kSend, id)->host];
       g.answer_all();
@@ -285,8 +285,8 @@
   constexpr double kQuota = 4, kAsked = 12, kGateways = 48;
   auto s = large(kGateways);
   s.plans[0].quota_rate = kQuota;
-  s.plans[0].burst = 12;
-  s.plans[0].overrun_cost = 1;
+  s.plans[0].quota_burst = 12;
+  s.plans[0].over_quota_cost = 1;
   std::vector<std::unique_ptr<Gateway>> all;
   for (std::uint64_t i = 0; i < kGateways; ++i)
     all.push_back(std::make_unique<Gateway>(s, fleet(24), 0, 50 + i));
@@ -309,10 +309,10 @@
 TEST(Scale, RefusalsOfHostsWithoutAQueueAreNoJam) {
   for (const double queue : {0.0, 20.0}) {
     auto s = large(48);
-    s.report_fields = {LoadField::kQueue};
+    s.load_report_fields = {LoadField::kQueueLength};
     s.plans[0].quota_rate = 4;
-    s.plans[0].burst = 8;
-    s.plans[0].overrun_cost = 0;  // quotas refuse nothing here
+    s.plans[0].quota_burst = 8;
+    s.plans[0].over_quota_cost = 0;  // quotas refuse nothing here
     Gateway g(s, fleet(40));
     int refused = 0;
     for (RequestId id = 1; id <= 200; ++id) {
@@ -323,8 +323,8 @@
         const HostId h = a->host;
         g.out.take();
         const bool full = attempt == 0 && id % 3 == 0;
-        AttemptEnd end{id, attempt, h, full ? Outcome::kFull : Outcome::kOk, 60, !full, {}, {}};
-        if (!full) end.load.queue = queue;
+        AttemptResult end{id, attempt, h, full ? Outcome::kOverloaded : Outcome::kOk, 60, !full, {}, {}};
+        if (!full) end.load_report.queue_length = queue;
         g.control.on_attempt_end(g.now, end, g.out);
       }
       refused += g.out.why(id).has_value();
@@ -345,8 +345,8 @@
   int cold = 0, all = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     auto s = large(48);
-    s.cold_from = 0.16;
-    s.warm_after_ms = 16'000;
+    s.slow_start_initial_weight = 0.16;
+    s.slow_start_duration_ms = 16'000;
     Gateway g(s, fleet(24, 16, 1e6), 1e6 + 6000, seed);
     std::vector<std::pair<Ms, Act>> answers;
     for (RequestId id = 1; id <= 20; ++id) {
@@ -361,8 +361,9 @@
         std::erase_if(answers, [&](const auto& due) {
           if (due.first > g.now) return false;
           const bool warm = due.second.host > 16;
-          AttemptEnd end{due.second.id, 0, due.second.host, Outcome::kOk, warm ? 900.0 : 250.0, true, {}, {}};
-          end.load.queue = warm ? 4 : 0;
+          AttemptResult end{
+              due.second.id, 0, due.second.host, Outcome::kOk, warm ? 900.0 : 250.0, true, {}, {}};
+          end.load_report.queue_length = warm ? 4 : 0;
           g.control.on_attempt_end(g.now, end, g.out);
           return true;
         });
@@ -381,8 +382,8 @@
 TEST(Fleet, ColdHostsGetTheirPartOfWhatAHundredGatewaysSend) {
   constexpr int kGateways = 100;
   auto s = large(kGateways);
-  s.cold_from = 0.16;
-  s.warm_after_ms = 16'000;
+  s.slow_start_initial_weight = 0.16;
+  s.slow_start_duration_ms = 16'000;
   int cold = 0, all = 0;
   for (std::uint64_t i = 0; i < kGateways; ++i) {
     Gateway g(s, fleet(60, 36, 1e6), 1e6 + 10'000, 300 + i);
@@ -401,12 +402,12 @@
 // A hundred gateways and sixty hosts on which nothing is wrong, after `span`.
 std::unique_ptr<ModelFleet> healthy(Ms span) {
   auto s = large(100);
-  s.classes[0].aim_ms = 1700;
+  s.classes[0].latency_objective_ms = 1700;
   auto f = std::make_unique<ModelFleet>(s, 100, fleet(60), [](ModelFleet& m, HostId) {
     return Fate{Outcome::kOk, m.exponential(350)};
   });
   f->run(900, span, [](ModelFleet& m) {
-    return Request{.customer = static_cast<CustomerId>(m.draw() * 1e9), .spread = 60};
+    return Request{.customer = static_cast<CustomerId>(m.draw() * 1e9), .gateway_count = 60};
   });
   return f;
 }
@@ -438,12 +439,12 @@
     int asked = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       auto s = plain_settings();
-      s.gateways = 100;
-      s.conn_idle_ms = conn_idle;
+      s.gateway_count = 100;
+      s.connection_idle_timeout_ms = conn_idle;
       Gateway g(s, {host(1)}, 100'000, seed);
       g.ask(1);
       g.answer_all();
-      g.list(ListKind::kChanges, {host(2)});
+      g.list(HostListUpdate::kDelta, {host(2)});
       g.wait(5000);
       g.ask(2, 1, 2, 2);
       const auto* sent = g.out.of(Act::kSend, 2);
@@ -460,9 +461,9 @@
 TEST(Scale, LargerRequestsAreBelievedNoMoreThanSmallOnes) {
   auto s = large(100);
   s.plans[0].quota_rate = 4;
-  s.plans[0].burst = 8;
-  s.plans[0].overrun_cost = 1;
-  s.largest_units = 2;
+  s.plans[0].quota_burst = 8;
+  s.plans[0].over_quota_cost = 1;
+  s.max_request_units = 2;
   for (const double units : {1.0, 2.0}) {
     Gateway g(s, fleet(50));
     g.wait(9000);
@@ -482,8 +483,8 @@
   constexpr double kQuota = 4, kGateways = 100;
   auto s = large(kGateways);
   s.plans[0].quota_rate = kQuota;
-  s.plans[0].burst = 12;
-  s.plans[0].overrun_cost = 1;
+  s.plans[0].quota_burst = 12;
+  s.plans[0].over_quota_cost = 1;
   for (const double asked : {3.0, 12.0}) {
     std::vector<std::unique_ptr<Gateway>> all;
     for (std::uint64_t i = 0; i < kGateways; ++i)
@@ -529,13 +530,13 @@
                      static_cast<std::size_t>(kGateways * fleet_.draw()), 0.3 + 1.2 * fleet_.draw());
     }
   }
-  static Settings shop() {
+  static AdmissionSettings shop() {
     auto s = plain_settings();
-    s.gateways = kGateways;
-    s.classes[0].aim_ms = 1700;
-    s.plans = {{.quota_rate = 1.4, .burst = 6, .overrun_cost = 1.2},
-               {.quota_rate = 2.5, .burst = 11, .overrun_cost = 0.6},
-               {.quota_rate = 6, .burst = 12, .overrun_cost = 0.8}};
+    s.gateway_count = kGateways;
+    s.classes[0].latency_objective_ms = 1700;
+    s.plans = {{.quota_rate = 1.4, .quota_burst = 6, .over_quota_cost = 1.2},
+               {.quota_rate = 2.5, .quota_burst = 11, .over_quota_cost = 0.6},
+               {.quota_rate = 6, .quota_burst = 12, .over_quota_cost = 0.8}};
     return s;
   }
   static std::vector<HostEntry> hosts() {
@@ -545,7 +546,7 @@
   }
   static Fate answers(ModelFleet& m, HostId) { return {Outcome::kOk, m.exponential(350)}; }
 
-  Settings settings_;
+  AdmissionSettings settings_;
   ModelFleet fleet_;
   ModelCustomers customers_;
 };
@@ -605,12 +606,12 @@
   for (const Ms took : {30.0, 100.0}) {
     auto s = large(100);
     s.plans.push_back(s.plans[0]);
-    s.plans[1].pays = 0.5;
+    s.plans[1].plan_weight = 0.5;
     Ms now_takes = 50;  // calm: the wait aimed for becomes 300 ms
     ModelFleet f(s, 1, fleet(10), [&](ModelFleet&, HostId) { return Fate{Outcome::kOk, now_takes}; });
     int shed[2] = {};
-    f.watcher().on_refused = [&](const Request& q, Ms, Cause why) {
-      shed[q.plan_index] += why == Cause::kShed;
+    f.watcher().on_refused = [&](const Request& q, Ms, RejectionReason why) {
+      shed[q.plan_index] += why == RejectionReason::kLoadShed;
     };
     const auto ask = [](ModelFleet& m) {
       return Request{.plan_index = m.draw() < 0.3, .customer = static_cast<CustomerId>(m.draw() * 1e9)};
@@ -626,9 +627,10 @@
 
 TEST(Causes, EachRefusalNamesItsOwn) {
   auto s = plain_settings();
-  s.plans[0].overrun_cost = 1;
-  s.plans.push_back({.quota_rate = 1000, .burst = 1000, .ceiling_rate = 10, .ceiling_burst = 20});
-  s.plans.push_back({.quota_rate = 1000, .burst = 1000, .overrun_cost = 1, .open_limit = 2});
+  s.plans[0].over_quota_cost = 1;
+  s.plans.push_back({.quota_rate = 1000, .quota_burst = 1000, .ceiling_rate = 10, .ceiling_burst = 20});
+  s.plans.push_back(
+      {.quota_rate = 1000, .quota_burst = 1000, .over_quota_cost = 1, .max_concurrent_attempts = 2});
   const auto cause = [&](std::uint32_t plan, int before, std::vector<HostEntry> hosts) {
     Gateway g(s, std::move(hosts));
     RequestId id = 1;
@@ -638,13 +640,13 @@
     g.control.on_request(g.now, {id, 0, plan, 5, g.now + 4000, 1, 2}, g.out);
     return g.out.why(id);
   };
-  EXPECT_EQ(cause(9, 0, {host(1)}), Cause::kMalformed);
-  EXPECT_EQ(cause(1, 0, {host(1)}), Cause::kCeiling) << "its slice begins empty";
-  EXPECT_EQ(cause(0, 0, {}), Cause::kNoHost);
-  EXPECT_EQ(cause(0, 0, {host(1, HostState::kDraining)}), Cause::kNoHost);
+  EXPECT_EQ(cause(9, 0, {host(1)}), RejectionReason::kMalformed);
+  EXPECT_EQ(cause(1, 0, {host(1)}), RejectionReason::kCeiling) << "its slice begins empty";
+  EXPECT_EQ(cause(0, 0, {}), RejectionReason::kNoHost);
+  EXPECT_EQ(cause(0, 0, {host(1, HostState::kDraining)}), RejectionReason::kNoHost);
   EXPECT_EQ(cause(0, 0, {host(1)}), std::nullopt);
-  EXPECT_EQ(cause(2, 1, {host(1)}), Cause::kOpen);
-  EXPECT_EQ(cause(0, 6, {host(1), host(2), host(3), host(4), host(5)}), Cause::kBeyond);
+  EXPECT_EQ(cause(2, 1, {host(1)}), RejectionReason::kConcurrencyLimit);
+  EXPECT_EQ(cause(0, 6, {host(1), host(2), host(3), host(4), host(5)}), RejectionReason::kOverQuota);
 }
 
 // Seen with a foreign client: of 50 calls at once on four idle hosts 36 were refused, and again after a lull.
--- a/tests/succession_test.cpp
+++ b/tests/succession_test.cpp
@@ -8,11 +8,11 @@
 namespace cometfold::testing {
 namespace {
 
-Settings with_ceiling() {
+AdmissionSettings with_ceiling() {
   auto s = plain_settings(2);
   s.plans[0] = {};
   s.plans[0].quota_rate = 400;
-  s.plans[0].burst = 400;
+  s.plans[0].quota_burst = 400;
   s.plans[0].ceiling_rate = 20;
   s.plans[0].ceiling_burst = 30;
   return s;
@@ -41,10 +41,10 @@
     // Everything allowed up to here, and from here on.
     const double before = given;
     EXPECT_LE(before, burst + rate * 3 + 1);
-    const auto state = first.control.hand_over(first.now);
-    second.control.take_over(second.now, state);
+    const auto state = first.control.export_handover(first.now);
+    second.control.import_handover(second.now, state);
     given = 0;
-    const double left = state.customers.empty() ? burst : state.customers[0].ceiling / 0.8;
+    const double left = state.customers.empty() ? burst : state.customers[0].ceiling_level / 0.8;
     for (int i = 0; i < 300; ++i) {
       step();
       try_at(random() % 4 == 0 ? first : second);
@@ -58,7 +58,7 @@
   const auto settings = with_ceiling();
   Gateway first(settings, {host(1)}, 100000), second(settings, {host(1)}, 100000, 9);
   first.wait(10000), second.wait(10000);
-  second.control.take_over(second.now, first.control.hand_over(first.now));
+  second.control.import_handover(second.now, first.control.export_handover(first.now));
   EXPECT_FALSE(first.ask(1, 1, 2, 77));
   first.wait(1000);
   EXPECT_FALSE(first.ask(2, 1, 2, 77));
@@ -78,9 +78,9 @@
     Gateway second(settings, {host(1)}, 100000);
     second.wait(60000);
     if (died) {
-      second.control.take_over_unknown(second.now);
+      second.control.assume_unknown_predecessor(second.now);
     } else {
-      second.control.take_over(second.now, {});
+      second.control.import_handover(second.now, {});
     }
     EXPECT_FALSE(second.ask(1));
     second.wait(1000);
@@ -92,7 +92,7 @@
 // is another one.
 TEST(Succession, WhatIsKnownOfHostsGoesOver) {
   auto settings = plain_settings();
-  settings.plans[0].quota_rate = settings.plans[0].burst = 1000;
+  settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
   for (const bool handed : {false, true}) {
     for (const Ms started : {0.0, 99000.0}) {
       Gateway first(settings, {host(1), host(2), host(3)}, 100000);
@@ -106,9 +106,9 @@
         first.out.take();
         first.wait(20), second.wait(20);
       }
-      const auto state = first.control.hand_over(first.now);
+      const auto state = first.control.export_handover(first.now);
       EXPECT_EQ(state.hosts.size(), 3u);
-      if (handed) second.control.take_over(second.now, state);
+      if (handed) second.control.import_handover(second.now, state);
       int bad = 0;
       for (RequestId id = 1; id <= 12; ++id) {
         second.ask(id, 1, 2, id);
@@ -120,7 +120,7 @@
       } else if (started == 0) {
         EXPECT_GE(bad, 2) << "the even part is 4";
       } else {
-        EXPECT_EQ(second.control.avoided(second.now), 0u);
+        EXPECT_EQ(second.control.excluded_host_count(second.now), 0u);
       }
     }
   }
@@ -129,34 +129,34 @@
 // What a class takes was handed over, and the first answer at the second overwrote it.
 TEST(Succession, AClassTimeThatIsHandedOverOutlastsTheFirstAnswer) {
   auto settings = plain_settings();
-  settings.plans[0].quota_rate = settings.plans[0].burst = 1000;
+  settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
   Gateway first(settings), second(settings);
   for (RequestId id = 1; id <= 100; ++id) {
     first.ask(id, 1, 2, id);
     first.answer_all(200);
     first.wait(100);
   }
-  second.control.take_over(second.now, first.control.hand_over(first.now));
+  second.control.import_handover(second.now, first.control.export_handover(first.now));
   second.ask(1);
   second.answer_all(1000);
-  EXPECT_NEAR(second.control.hand_over(second.now).class_ms.at(0), 220, 25);
+  EXPECT_NEAR(second.control.export_handover(second.now).class_latency_ms.at(0), 220, 25);
 }
 
 // Two attempts of a customer may be out through a gateway; those at the first count until it has ended.
 TEST(Succession, AttemptsOutAtTheFirstCountAtTheSecond) {
   auto settings = plain_settings();
   settings.plans[0] = {};
-  settings.plans[0].open_limit = 4;
-  settings.plans[0].overrun_cost = 1;
+  settings.plans[0].max_concurrent_attempts = 4;
+  settings.plans[0].over_quota_cost = 1;
   Gateway first(settings, {host(1), host(2)}, 100000), second(settings, {host(1), host(2)}, 100000, 9);
   EXPECT_TRUE(first.ask(1));
   EXPECT_TRUE(first.ask(2));
   EXPECT_FALSE(first.ask(3));
-  second.control.take_over(second.now, first.control.hand_over(first.now));
+  second.control.import_handover(second.now, first.control.export_handover(first.now));
   EXPECT_FALSE(second.ask(4));
   first.answer_all();
   EXPECT_FALSE(first.ask(5)) << "the places are the second's now";
-  second.control.predecessor_gone(second.now);
+  second.control.on_predecessor_exited(second.now);
   EXPECT_TRUE(second.ask(6));
   EXPECT_TRUE(second.ask(7));
   EXPECT_FALSE(second.ask(8));
@@ -170,7 +170,7 @@
   g.answer_all(5);
   settings.plans[0].ceiling_burst = 4;  // a slice of two units
   settings.plans[0].ceiling_rate = 0.001;
-  g.control.on_settings(g.now, settings);
+  g.control.update_settings(g.now, settings);
   int given = 0;
   for (RequestId id = 2; id < 12; ++id) {
     given += g.ask(id);
@@ -191,7 +191,8 @@
   g.wait(10000);
   const auto asks = [&](RequestId id, std::uint32_t plan) {
     Request q;
-    q.id = id, q.plan_index = plan, q.customer = 1, q.expires_at = g.now + 4000, q.units = 1, q.spread = 2;
+    q.id = id, q.plan_index = plan, q.customer = 1, q.expires_at = g.now + 4000, q.units = 1,
+    q.gateway_count = 2;
     g.control.on_request(g.now, q, g.out);
     const bool given = g.out.of(Act::kSend, id) != nullptr;
     g.answer_all(5);
@@ -209,31 +210,31 @@
 
 TEST(NewSettings, ClassesAreAddedUnderWayAndAHeldRequestKeepsItsRight) {
   auto settings = plain_settings(1);
-  settings.plans[0].quota_rate = settings.plans[0].burst = 1000;
+  settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
   Gateway g(settings);
   ASSERT_TRUE(g.ask(1));
   settings.classes.push_back(settings.classes[0]);
-  settings.classes[1].repeat = Repeat::kUnsafe;
-  g.control.on_settings(g.now, settings);
+  settings.classes[1].idempotency = Idempotency::kNonIdempotent;
+  g.control.update_settings(g.now, settings);
   const auto sent = *g.out.of(Act::kSend, 1);
   g.out.take();
-  g.end(1, 0, sent.host, Outcome::kBroken);
+  g.end(1, 0, sent.host, Outcome::kConnectionLost);
   EXPECT_NE(g.out.of(Act::kSend, 1), nullptr);  // safe: sent again
   ASSERT_TRUE(g.ask(2, 1, 2, 5, 1));
   const auto unsafe = *g.out.of(Act::kSend, 2);
   g.out.take();
-  g.end(2, 0, unsafe.host, Outcome::kBroken);
+  g.end(2, 0, unsafe.host, Outcome::kConnectionLost);
   EXPECT_EQ(g.out.of(Act::kSend, 2), nullptr);
   EXPECT_NE(g.out.of(Act::kFail, 2), nullptr);
 }
 
 TEST(NewSettings, HostsThatLeaveAreAvoided) {
   Gateway g(plain_settings());
-  EXPECT_EQ(g.control.avoided(g.now), 0u);
-  g.list(ListKind::kChanges, {host(2, HostState::kDraining)});
-  EXPECT_EQ(g.control.avoided(g.now), 1u);
-  g.list(ListKind::kChanges, {host(2, HostState::kGone)});
-  EXPECT_EQ(g.control.avoided(g.now), 0u);
+  EXPECT_EQ(g.control.excluded_host_count(g.now), 0u);
+  g.list(HostListUpdate::kDelta, {host(2, HostState::kDraining)});
+  EXPECT_EQ(g.control.excluded_host_count(g.now), 1u);
+  g.list(HostListUpdate::kDelta, {host(2, HostState::kRemoved)});
+  EXPECT_EQ(g.control.excluded_host_count(g.now), 0u);
 }
 
 }  // namespace
--- a/tests/support.h
+++ b/tests/support.h
@@ -14,23 +14,25 @@
   enum Kind { kSend, kCancel, kRefuse, kFail, kWake, kProbe, kFollow, kFetch, kNote } kind;
   std::uint64_t id = 0;  // request or token
   HostId host = 0;
-  double value = 0;               // time, or the attempt's number
-  Cause why = Cause::kMalformed;  // of refusals and failures
+  double value = 0;                                   // time, or the attempt's number
+  RejectionReason why = RejectionReason::kMalformed;  // of refusals and failures
 };
 
-class Recorder : public Actions {
+class Recorder : public ActionSink {
  public:
   std::vector<Act> acts;
 
   void send(RequestId r, HostId h, Ms t) override { acts.push_back({Act::kSend, r, h, t}); }
   void cancel(RequestId r, std::uint32_t a) override { acts.push_back({Act::kCancel, r, 0, double(a)}); }
-  void refuse(RequestId r, Ms t, Cause why) override { acts.push_back({Act::kRefuse, r, 0, t, why}); }
-  void fail(RequestId r, Cause why) override { acts.push_back({Act::kFail, r, 0, 0, why}); }
-  void wake(Ms t, std::uint64_t token) override { acts.push_back({Act::kWake, token, 0, t}); }
-  void probe(HostId h) override { acts.push_back({Act::kProbe, 0, h, 0}); }
-  void follow_list() override { acts.push_back({Act::kFollow, 0, 0, 0}); }
-  void fetch_list() override { acts.push_back({Act::kFetch, 0, 0, 0}); }
-  void note(std::string_view) override { acts.push_back({Act::kNote, 0, 0, 0}); }
+  void reject(RequestId r, Ms t, RejectionReason why) override {
+    acts.push_back({Act::kRefuse, r, 0, t, why});
+  }
+  void fail(RequestId r, RejectionReason why) override { acts.push_back({Act::kFail, r, 0, 0, why}); }
+  void schedule_timer(Ms t, std::uint64_t token) override { acts.push_back({Act::kWake, token, 0, t}); }
+  void send_health_check(HostId h) override { acts.push_back({Act::kProbe, 0, h, 0}); }
+  void watch_hosts() override { acts.push_back({Act::kFollow, 0, 0, 0}); }
+  void poll_hosts() override { acts.push_back({Act::kFetch, 0, 0, 0}); }
+  void log(std::string_view) override { acts.push_back({Act::kNote, 0, 0, 0}); }
 
   std::size_t count(Act::Kind kind) const {
     return static_cast<std::size_t>(
@@ -43,7 +45,7 @@
     return nullptr;
   }
   // Why this request was refused or given up; nothing if it was not.
-  std::optional<Cause> why(std::uint64_t id) const {
+  std::optional<RejectionReason> why(std::uint64_t id) const {
     for (const auto kind : {Act::kRefuse, Act::kFail}) {
       if (const Act* a = of(kind, id)) return a->why;
     }
@@ -52,25 +54,25 @@
   std::vector<Act> take() { return std::exchange(acts, {}); }
 };
 
-inline Settings plain_settings(std::size_t classes = 1) {
-  Settings s;
+inline AdmissionSettings plain_settings(std::size_t classes = 1) {
+  AdmissionSettings s;
   s.classes.resize(classes);
-  for (auto& c : s.classes) c = {1000, 4000, 1, 0, Repeat::kSafe, KeyGroup::kNone, 0};
+  for (auto& c : s.classes) c = {1000, 4000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0};
   s.plans.resize(1);
   s.plans[0].quota_rate = 4;
-  s.plans[0].burst = 8;
-  s.plans[0].overrun_cost = 1;
-  s.gateways = 2;
-  s.second_copies = true;
-  s.may_cancel = true;
-  s.retry_after = true;
+  s.plans[0].quota_burst = 8;
+  s.plans[0].over_quota_cost = 1;
+  s.gateway_count = 2;
+  s.hedging_allowed = true;
+  s.cancellation_allowed = true;
+  s.retry_after_allowed = true;
   s.max_attempts = 4;
   s.max_retry_after_ms = 100000;
-  s.tick_ms = 4;
-  s.cold_from = 0.2;
-  s.warm_after_ms = 10000;
+  s.min_event_interval_ms = 4;
+  s.slow_start_initial_weight = 0.2;
+  s.slow_start_duration_ms = 10000;
   s.overload_factor = 2;
-  s.fall_ms = 1000;
+  s.overload_window_ms = 1000;
   return s;
 }
 
@@ -81,19 +83,21 @@
 
 // One gateway with its sink and a running clock.
 struct Gateway {
-  Settings settings;
-  Control control;
+  AdmissionSettings settings;
+  AdmissionController control;
   Recorder out;
   Ms now = 0;
 
-  explicit Gateway(const Settings& s, std::vector<HostEntry> hosts = {host(1), host(2), host(3)},
+  explicit Gateway(const AdmissionSettings& s, std::vector<HostEntry> hosts = {host(1), host(2), host(3)},
                    Ms start = 0, std::uint64_t seed = 7)
       : settings(s), control(s, seed), now(start) {
     control.start(now, out);
-    control.on_list(now, ListKind::kCached, hosts, out);
+    control.on_host_list(now, HostListUpdate::kCached, hosts, out);
     out.take();
   }
-  void list(ListKind kind, std::vector<HostEntry> hosts) { control.on_list(now, kind, hosts, out); }
+  void list(HostListUpdate kind, std::vector<HostEntry> hosts) {
+    control.on_host_list(now, kind, hosts, out);
+  }
   // Hands in a request; true if it was sent on.
   bool ask(RequestId id, double units = 1, double spread = 2, CustomerId customer = 1, std::uint32_t cls = 0,
            Ms lasts = 4000) {
--- a/tests/symptoms_test.cpp
+++ b/tests/symptoms_test.cpp
@@ -8,10 +8,10 @@
 namespace cometfold::testing {
 namespace {
 
-Settings roomy() {
+AdmissionSettings roomy() {
   auto s = plain_settings();
   s.plans[0].quota_rate = 1000;
-  s.plans[0].burst = 1000;
+  s.plans[0].quota_burst = 1000;
   return s;
 }
 
@@ -29,7 +29,7 @@
       g.out.take();
       ++sends[h];
       const bool bad = h == 1;
-      g.end(id, attempt, h, bad ? Outcome::kFull : Outcome::kOk, bad ? 1 : 60);
+      g.end(id, attempt, h, bad ? Outcome::kOverloaded : Outcome::kOk, bad ? 1 : 60);
     }
     g.out.take();
     if (id % 20 == 0) g.tick();
@@ -72,11 +72,11 @@
 namespace {
 
 // Quota 10 a second, burst 10: a slice of 5 and 5 at each of 2 gateways.
-Settings sold() {
+AdmissionSettings sold() {
   auto s = plain_settings();
   s.plans[0].quota_rate = 10;
-  s.plans[0].burst = 10;
-  s.plans[0].overrun_cost = 0.8;
+  s.plans[0].quota_burst = 10;
+  s.plans[0].over_quota_cost = 0.8;
   return s;
 }
 
@@ -102,7 +102,7 @@
 TEST(Worth, ALargerSetMayBeMoreSkewed) {
   for (const double spread : {2.0, 4.0}) {
     auto s = sold();
-    s.gateways = 4;
+    s.gateway_count = 4;
     Gateway g(s);
     const double slice = s.plans[0].quota_rate / spread;
     const Ms gap = 1000 / (2.4 * slice);
@@ -182,7 +182,7 @@
   for (const bool alone : {true, false}) {
     for (const double attempts : {1.0, 4.0}) {
       auto s = roomy();
-      s.second_copies = false;
+      s.hedging_allowed = false;
       s.max_attempts = attempts;
       Gateway g(s, alone ? std::vector{host(1)} : std::vector{host(1), host(2)});
       RequestId id = g.fill(1, 50);
@@ -248,16 +248,16 @@
 
 TEST(Restart, ANewGatewayAsksForTheListAtOnce) {
   Recorder out;
-  Control control(plain_settings(), 1);
+  AdmissionController control(plain_settings(), 1);
   control.start(0, out);
   EXPECT_EQ(out.count(Act::kFetch), 1u);
 }
 
 TEST(Restart, ASubscriptionThatFailsIsTakenUpAgain) {
   auto s = plain_settings();
-  s.must_subscribe = true;
+  s.host_watch_required = true;
   Gateway g(s);
-  g.list(ListKind::kFailed, {});
+  g.list(HostListUpdate::kFailed, {});
   ASSERT_EQ(g.out.count(Act::kWake), 1u);
   const auto token = g.out.take().front().id;
   g.control.on_timer(g.now + 1000, token, g.out);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -55,36 +55,40 @@
 // As text, between processes that number classes differently, and from one that tells of customers only.
 TEST(HandedText, HostsAndClassesGoOverAndWhatIsMissingIsNotKnown) {
   const std::vector<std::string> theirs{"look", "hold"}, ours{"hold", "audit", "look"}, plans{"team"};
-  HandedState state{
-      5000, {{.id = 7, .plan = 0, .open = 3}}, {{42, 1500, 2.5, 0.5, 4, 9, 800}}, {60, 250}, 90};
-  state.customers[0].children = {1, 2};
-  state.departed = {{43, 1234.5}, {44, std::nullopt}};
+  HandoverSnapshot state{5000,
+                         {{.id = 7, .plan_index = 0, .attempts_in_flight = 3}},
+                         {{42, 1500, 2.5, 0.5, 4, 9, 800}},
+                         {60, 250},
+                         90};
+  state.customers[0].class_levels = {1, 2};
+  state.departed_hosts = {{43, 1234.5}, {44, std::nullopt}};
   const PlanSettings plan;
-  const auto text = ops::encode(state, {theirs, plans}, std::span(&plan, 1));
-  const auto got = ops::decode(text, {ours, plans});
+  const auto text = ops::encode_handover(state, {theirs, plans}, std::span(&plan, 1));
+  const auto got = ops::decode_handover(text, {ours, plans});
   ASSERT_EQ(got.customers.size(), 1u);
-  EXPECT_EQ(got.customers[0].open, 3);
+  EXPECT_EQ(got.customers[0].attempts_in_flight, 3);
   ASSERT_EQ(got.hosts.size(), 1u);
   EXPECT_EQ(got.hosts[0].id, 42u);
-  EXPECT_EQ(got.hosts[0].up_for, 1500);
-  EXPECT_EQ(got.hosts[0].ejected_for, 800);
-  EXPECT_EQ(got.class_ms, (std::vector<Ms>{250, 0, 60}));
-  EXPECT_EQ(got.calm_ms, 90);
-  ASSERT_EQ(got.departed.size(), 2u);
-  EXPECT_EQ(got.departed[0].id, 43u);
-  EXPECT_EQ(got.departed[0].boot_ms, 1234.5);
-  EXPECT_FALSE(got.departed[1].boot_ms);
+  EXPECT_EQ(got.hosts[0].uptime_ms, 1500);
+  EXPECT_EQ(got.hosts[0].ejection_remaining_ms, 800);
+  EXPECT_EQ(got.class_latency_ms, (std::vector<Ms>{250, 0, 60}));
+  EXPECT_EQ(got.unloaded_latency_ms, 90);
+  ASSERT_EQ(got.departed_hosts.size(), 2u);
+  EXPECT_EQ(got.departed_hosts[0].id, 43u);
+  EXPECT_EQ(got.departed_hosts[0].boot_unix_ms, 1234.5);
+  EXPECT_FALSE(got.departed_hosts[1].boot_unix_ms);
 
-  const auto before = ops::decode(R"({"version":1,"age_ms":1,"classes":["look"],"plans":["team"],)"
-                                  R"("customers":[[7,0,1,1,1,1,0,0,[1]]]})",
-                                  {ours, plans});
+  const auto before = ops::decode_handover(R"({"version":1,"age_ms":1,"classes":["look"],"plans":["team"],)"
+                                           R"("customers":[[7,0,1,1,1,1,0,0,[1]]]})",
+                                           {ours, plans});
   ASSERT_EQ(before.customers.size(), 1u);
-  EXPECT_EQ(before.customers[0].open, 0);
+  EXPECT_EQ(before.customers[0].attempts_in_flight, 0);
   EXPECT_TRUE(before.hosts.empty());
-  EXPECT_TRUE(before.departed.empty());
-  EXPECT_THROW(ops::decode(R"({"version":1,"age_ms":1,"classes":[],"plans":[],"customers":[],"hosts":[[1]]})",
+  EXPECT_TRUE(before.departed_hosts.empty());
+  EXPECT_THROW(
+      ops::decode_handover(R"({"version":1,"age_ms":1,"classes":[],"plans":[],"customers":[],"hosts":[[1]]})",
                            {ours, plans}),
-               ops::HandoverError);
+      ops::HandoverError);
 }
 
 TEST(Upgrade, TheSecondBeginsWhenTheFirstIsToldToEnd) {
@@ -298,31 +302,31 @@
 TEST(HandedState, ComesThroughInTheNumbersOfTheOther) {
   const std::vector<std::string> classes{"a", "b"}, plans{"p", "q"};
   const std::vector<std::string> their_classes{"c", "b"}, their_plans{"q"};
-  HandedState state{1500, {}};
+  HandoverSnapshot state{1500, {}};
   state.customers.push_back({(1ULL << 33) - 1, 1, 2, 3.5, -4, 5, {6, 7}, 8, 9});
   state.customers.push_back({7, 0, 1, 1, 1, 1, {1, 1}, 1, 1});
   const std::vector<PlanSettings> settings(2);
-  const auto text = ops::encode(state, {classes, plans}, settings);
+  const auto text = ops::encode_handover(state, {classes, plans}, settings);
   EXPECT_EQ(text.find('\n'), std::string::npos);
-  const auto got = ops::decode(text, {their_classes, their_plans});
-  EXPECT_EQ(got.age, 1500);
+  const auto got = ops::decode_handover(text, {their_classes, their_plans});
+  EXPECT_EQ(got.age_ms, 1500);
   ASSERT_EQ(got.customers.size(), 1u);  // the other's plan is not there
   EXPECT_EQ(got.customers[0].id, (1ULL << 33) - 1);
-  EXPECT_EQ(got.customers[0].plan, 0u);
-  EXPECT_EQ(got.customers[0].whole, -4);
-  EXPECT_EQ(got.customers[0].children, (std::vector<double>{3.5, 7}));
+  EXPECT_EQ(got.customers[0].plan_index, 0u);
+  EXPECT_EQ(got.customers[0].undivided_quota_level, -4);
+  EXPECT_EQ(got.customers[0].class_levels, (std::vector<double>{3.5, 7}));
 }
 
 TEST(HandedState, WhatIsNoneIsRefused) {
   const std::vector<std::string> names{"a"};
-  const ops::Names n{names, names};
+  const ops::HandoverNames n{names, names};
   for (const std::string bad :
        {"", "{", "[]", "{}", R"({"version":2,"age_ms":0,"classes":[],"plans":[],"customers":[]})",
         R"({"version":1,"age_ms":0,"classes":["a"],"plans":["a"],"customers":[[1,5,1,1,1,1,1,1,[]]]})",
         R"({"version":1,"age_ms":0,"classes":["a"],"plans":["a"],"customers":[[1,0,1,1,1,1,1,1,[1,2]]]})",
         R"({"version":1,"age_ms":0,"classes":["a"],"plans":["a"],"customers":[[-1,0,1,1,1,1,1,1,[]]]})",
         R"({"version":1,"age_ms":0,"classes":["a"],"plans":["a"],"customers":[[1,0]]})"}) {
-    EXPECT_THROW(ops::decode(bad, n), ops::HandoverError) << bad;
+    EXPECT_THROW(ops::decode_handover(bad, n), ops::HandoverError) << bad;
   }
 }
 
@@ -330,15 +334,16 @@
   const std::vector<std::string> names{"soft", "hard"}, classes{"a"};
   std::vector<PlanSettings> plans(2);
   plans[1].ceiling_rate = 1;
-  HandedState state;
-  state.age = 1e6;
-  for (std::size_t i = 0; i < ops::kMostHanded + 10; ++i)
-    state.customers.push_back({.id = i, .children = {1}});
-  state.customers.back().plan = 1;
-  const auto got = ops::decode(ops::encode(state, {classes, names}, plans), {classes, names});
-  EXPECT_EQ(got.customers.size(), ops::kMostHanded);
-  EXPECT_EQ(got.customers.front().plan, 1u);
-  EXPECT_EQ(got.age, 0);  // those left out must not have a full ceiling
+  HandoverSnapshot state;
+  state.age_ms = 1e6;
+  for (std::size_t i = 0; i < ops::kMaxHandedCustomers + 10; ++i)
+    state.customers.push_back({.id = i, .class_levels = {1}});
+  state.customers.back().plan_index = 1;
+  const auto got =
+      ops::decode_handover(ops::encode_handover(state, {classes, names}, plans), {classes, names});
+  EXPECT_EQ(got.customers.size(), ops::kMaxHandedCustomers);
+  EXPECT_EQ(got.customers.front().plan_index, 1u);
+  EXPECT_EQ(got.age_ms, 0);  // those left out must not have a full ceiling
 }
 
 }  // namespace
