--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery over HTTP/1.1, with the troubles that the protocol page knows."""
+"""Discovery over HTTP/1.1, with the faults that the protocol page knows."""
 import asyncio
 import json
 import re
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The troubles of a soak, and the schedule that lets two or three of them overlap."""
+"""The faults of a soak, and the schedule that lets two or three of them overlap."""
 import asyncio
 import errno
 import os
@@ -321,7 +321,7 @@
     """Troubles of different kinds, up to OVERLAP at a time."""
     draw = world.draw
     named = {name: t for kind in KINDS for name, t in kind.items()}
-    only = world.options.troubles.split(",") if world.options.troubles else None
+    only = world.options.faults.split(",") if world.options.faults else None
     end = world.now() + seconds
     on = {}
     while world.now() < end:
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -3,8 +3,8 @@
 
     tests/soak/soak.py --program build/cometfold --shim build/fault_shim.so --seeds 1-20 --seconds 25
 
-Each seed draws a fleet and a schedule of troubles, of which two or three overlap at any time. What the run saw is
-judged by oracle.py; a broken rule, a crash or a stop that takes too long fails it, with the troubles that were on.
+Each seed draws a fleet and a schedule of faults, of which two or three overlap at any time. What the run saw is
+judged by oracle.py; a broken rule, a crash or a stop that takes too long fails it, with the faults that were on.
 The schedule of a seed is always the same, the moments of a run are those of the machine.
 """
 import argparse
@@ -21,7 +21,7 @@
 import time
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
-import troubles  # noqa: E402
+import faults  # noqa: E402
 from clients import Clients, kind_of  # noqa: E402
 from discovery import Discovery, SILENT_AFTER  # noqa: E402
 from gateways import CLIENTS_PORT, Gateway  # noqa: E402
@@ -232,7 +232,7 @@
 
         def breach(rule, text):
             on = ", ".join(name for name, until in self.active if until > self.now() - 1.5)
-            self.oracle_breach(rule, f"{text} [{self.now() - self.began:.2f} s; {on or 'no trouble'}]")
+            self.oracle_breach(rule, f"{text} [{self.now() - self.began:.2f} s; {on or 'no fault'}]")
         self.oracle.breach = breach
         # A mistake of the observer's own fails the run too: what it missed was not judged.
         asyncio.get_running_loop().set_exception_handler(
@@ -243,7 +243,7 @@
         clients = [asyncio.ensure_future(c.run()) for c in self.clients.values()]
         tasks += clients
         await asyncio.sleep(WARM_UP)
-        await troubles.play(self, self.options.seconds)
+        await faults.play(self, self.options.seconds)
         await asyncio.sleep(SETTLE)
         for c in self.clients.values():
             c.running = False
@@ -316,9 +316,9 @@
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--program", required=True, help="the gateway")
     parser.add_argument("--settings", help="the gateway's own settings")
-    parser.add_argument("--shim", help="the library that makes system calls fail; without it those troubles are left out")
+    parser.add_argument("--shim", help="the library that makes system calls fail; without it those faults are left out")
     parser.add_argument("--seeds", default="1", help="one seed, or first-last")
-    parser.add_argument("--seconds", type=float, default=20, help="of troubles")
+    parser.add_argument("--seconds", type=float, default=20, help="of faults")
     parser.add_argument("--gateways", type=int, default=10)
     parser.add_argument("--hosts", type=int, default=8)
     parser.add_argument("--rate", type=float, default=15, help="requests a second at each gateway")
@@ -326,7 +326,7 @@
     parser.add_argument("--sockets", type=int, default=200, help="descriptors that a gateway may use")
     parser.add_argument("--no-delay", action="store_true",
                         help="hosts' answers are never held back by their system: leaves out a fault that is known")
-    parser.add_argument("--troubles", help="only these, with commas between")
+    parser.add_argument("--faults", help="only these, with commas between")
     parser.add_argument("--results", help="a file that a line of JSON is added to for each seed")
     parser.add_argument("--keep", help="a folder for logs, kept")
     options = parser.parse_args()
--- a/tools/lint.py
+++ b/tools/lint.py
@@ -16,13 +16,12 @@
 import shlex
 import subprocess
 import sys
+import tempfile
 
 CLANG_FORMAT = "clang-format-14"
 CLANG_TIDY = "clang-tidy-14"
 CLANG = "clang++-14"
 LINTED_FOLDERS = ("src", "adapter")
-# Warnings are the compiler's business; clang does not know all of GCC's.
-EXTRA_ARGUMENTS = ("-w", "-Wno-unknown-warning-option")
 FILES_PER_FORMAT_CALL = 50
 
 
@@ -55,34 +54,38 @@
     return units
 
 
-def preprocessor_arguments(entry):
-    """What of a compile command decides what the compiler sees."""
+def clang_command(file, entry):
+    """A compile command for clang: what decides what the compiler sees, without GCC's warnings and precompiled headers."""
     words = shlex.split(entry["command"])
-    kept = []
+    kept = [CLANG]
     for word, following in zip(words, words[1:] + [""]):
         if re.match(r"-[ID]|-std=", word):
             kept.append(word)
-        elif word in ("-isystem", "-include"):
+        elif word == "-isystem":
             kept += [word, following]
-    return kept
+    return [*kept, "-w", "-c", str(file)]
+
+
+def write_compile_commands(folder, units):
+    commands = [{"directory": entry["directory"], "file": str(file), "arguments": clang_command(file, entry)}
+                for file, entry in units.items()]
+    (folder / "compile_commands.json").write_text(json.dumps(commands))
 
 
 def fingerprint(file, entry, settings):
     """A hash of what clang-tidy would read; none if the file does not compile, so that clang-tidy says why."""
-    done = subprocess.run([CLANG, *preprocessor_arguments(entry), "-E", "-C", str(file)], cwd=entry["directory"],
-                          capture_output=True)
+    done = subprocess.run([*clang_command(file, entry), "-E", "-C"], cwd=entry["directory"], capture_output=True)
     if done.returncode != 0:
         return None
     return hashlib.sha256(settings + done.stdout).hexdigest()
 
 
-def findings(file, entry, build, settings, cache):
+def findings(file, entry, commands, settings, cache):
     """What clang-tidy says of a unit; empty if it is clean."""
     key = fingerprint(file, entry, settings)
     if key and (cache / key).exists():
         return ""
-    extra = [f"--extra-arg={argument}" for argument in EXTRA_ARGUMENTS]
-    done = subprocess.run([CLANG_TIDY, "--quiet", "-p", str(build), *extra, str(file)], capture_output=True, text=True)
+    done = subprocess.run([CLANG_TIDY, "--quiet", "-p", commands, str(file)], capture_output=True, text=True)
     if done.returncode != 0:
         return done.stdout + done.stderr
     if key:
@@ -101,8 +104,9 @@
     files = tracked_sources(root)
     problems = unformatted(files)
     units = linted_units(root, build)
-    with concurrent.futures.ThreadPoolExecutor(os.cpu_count()) as pool:
-        found = pool.map(lambda unit: findings(*unit, build, settings, cache), units.items())
+    with tempfile.TemporaryDirectory() as commands, concurrent.futures.ThreadPoolExecutor(os.cpu_count()) as pool:
+        write_compile_commands(pathlib.Path(commands), units)
+        found = pool.map(lambda unit: findings(*unit, commands, settings, cache), units.items())
         problems += [text for text in found if text]
     for problem in problems:
         print(problem)
