--- a/src/extproc/exchange.cpp
+++ b/src/extproc/exchange.cpp
@@ -5,7 +5,6 @@
 #include <utility>
 
 #include "extproc/host_load.h"
-#include "extproc/responses.h"
 
 namespace cometfold::extproc {
 
@@ -13,164 +12,172 @@
 
 using http2::grpc::Code;
 
-constexpr std::size_t kMostHeaders = 512;
-constexpr int kFullDuplexStreamed = 4;  // a BodySendMode: the proxy sends on only what it gets back
+constexpr std::size_t kMaxHeaders = 512;
+constexpr int kFullDuplexStreamed = 4;  // a BodySendMode: the proxy forwards only what it gets back
 
-bool same_name(std::string_view a, std::string_view lower) {
-  return a.size() == lower.size() && std::equal(a.begin(), a.end(), lower.begin(), [](char x, char y) {
-           return (x >= 'A' && x <= 'Z' ? x - 'A' + 'a' : x) == y;
-         });
+bool equals_ignoring_case(std::string_view name, std::string_view lower) {
+  return std::equal(name.begin(), name.end(), lower.begin(), lower.end(), [](char a, char b) {
+    const char lowered = a >= 'A' && a <= 'Z' ? static_cast<char>(a - 'A' + 'a') : a;
+    return lowered == b;
+  });
 }
 
 }  // namespace
 
 void Processor::Exchange::on_message(Ms now, std::string_view bytes) {
-  if (over_) return;
-  Message& message = owner_.message_;
-  if (!read_message(bytes, message)) {
-    ++owner_.totals_.unreadable;
-    return complain(now, {Code::kInvalidArgument, "no ProcessingRequest: the bytes are no such message"});
+  if (finished_) return;
+  ProcessingRequest& message = owner_.message_;
+  if (!parse_processing_request(bytes, message)) {
+    ++owner_.metrics_.malformed;
+    return abort(now, {Code::kInvalidArgument, "no ProcessingRequest: the bytes are no such message"});
   }
   if (!started_ && message.observability_mode) {
-    observed_ = true;  // the proxy sends on by itself and hears no answer: there is nothing to decide
-    ++owner_.totals_.observed;
+    observe_only_ = true;  // the proxy forwards by itself and ignores replies: there is nothing to decide
+    ++owner_.metrics_.observed;
   }
   started_ = true;
-  if (observed_) return;
+  if (observe_only_) return;
   switch (message.part) {
-    case Message::kRequestHeaders:
-      return ask(now, message);
-    case Message::kResponseHeaders:
-      return report(now, message);
-    case Message::kRequestBody:
-    case Message::kRequestTrailers:
-      if (!asked_ || request_over_) return forbidden(now, "a part of the request");
-      return on_part(message);
-    case Message::kResponseBody:
-    case Message::kResponseTrailers:
+    case ProcessingRequest::kRequestHeaders:
+      return on_request_headers(now, message);
+    case ProcessingRequest::kResponseHeaders:
+      return on_response_headers(now, message);
+    case ProcessingRequest::kRequestBody:
+    case ProcessingRequest::kRequestTrailers:
+      if (!request_seen_ || request_complete_) return reject_out_of_order(now, "a part of the request");
+      return on_body_or_trailers(message);
+    case ProcessingRequest::kResponseBody:
+    case ProcessingRequest::kResponseTrailers:
       // A response may begin, and even end, while the request's body still comes.
-      if (!response_seen_ || response_over_) return forbidden(now, "a part of the response");
-      return on_part(message);
-    case Message::kNone:
-      return complain(now, {Code::kInvalidArgument, "a ProcessingRequest without any part of a request"});
+      if (!response_seen_ || response_complete_) return reject_out_of_order(now, "a part of the response");
+      return on_body_or_trailers(message);
+    case ProcessingRequest::kNone:
+      return abort(now, {Code::kInvalidArgument, "a ProcessingRequest without any part of a request"});
   }
 }
 
-void Processor::Exchange::ask(Ms now, const Message& message) {
-  if (asked_) return forbidden(now, "request_headers");
-  asked_ = true;
+void Processor::Exchange::on_request_headers(Ms now, const ProcessingRequest& message) {
+  if (request_seen_) return reject_out_of_order(now, "request_headers");
+  request_seen_ = true;
   echo_request_ = message.request_body_mode == kFullDuplexStreamed;
   echo_response_ = message.response_body_mode == kFullDuplexStreamed;
   // In that mode the proxy lets nobody change the modes.
   override_modes_ = settings_->mode_override && !echo_request_ && !echo_response_;
-  request_over_ = message.end_of_stream;
-  if (message.headers.size() > kMostHeaders) {
-    return complain(now, {Code::kInvalidArgument, "a request with more than 512 headers"});
+  request_complete_ = message.end_of_stream;
+  if (message.headers.size() > kMaxHeaders) {
+    return abort(now, {Code::kInvalidArgument, "a request with more than 512 headers"});
   }
-  const Mapped mapped = mapper_->map(message.headers);
-  grpc_ = mapped.grpc;
-  waits_ = true;
-  owner_.ask(now, *this, mapped);
+  const MappedRequest mapped = mapper_->map(message.headers);
+  is_grpc_ = mapped.is_grpc;
+  awaits_decision_ = true;
+  owner_.decide(now, *this, mapped);
 }
 
-void Processor::Exchange::report(Ms now, const Message& message) {
-  if (!asked_ || response_seen_ || waits_) return forbidden(now, "response_headers");
+void Processor::Exchange::on_response_headers(Ms now, const ProcessingRequest& message) {
+  if (!request_seen_ || response_seen_ || awaits_decision_) {
+    return reject_out_of_order(now, "response_headers");
+  }
   response_seen_ = true;
-  response_over_ = message.end_of_stream;
-  Report r;
-  r.seen.details = message.code_details;
-  r.seen.grpc = grpc_;
+  response_complete_ = message.end_of_stream;
+  ResponseReport report;
+  report.attempt.details = message.code_details;
+  report.attempt.is_grpc = is_grpc_;
+  for (const auto& header : message.headers) read_response_header(header, report);
+  call_.send(continue_response(BodyPart::kResponseHeaders));
+  on_attempt_report(now, report);
+}
+
+void Processor::Exchange::read_response_header(const HeaderView& header, ResponseReport& report) const {
+  const auto& [name, value] = header;
   const auto& mapping = settings_->load;
-  for (const auto& [name, value] : message.headers) {
-    if (name == ":status") {
-      std::from_chars(value.data(), value.data() + value.size(), r.seen.status);
-    } else if (same_name(name, "grpc-status")) {
-      r.seen.grpc_status = value;
-    } else if (same_name(name, "x-envoy-overloaded") || same_name(name, "x-envoy-local-overloaded")) {
-      r.seen.overloaded = true;
-    } else if (same_name(name, "x-gateway-destination-endpoint-served")) {
-      r.served = value;
-    } else if (same_name(name, "endpoint-load-metrics")) {
-      r.load = read_orca(mapping, value);
-    } else if (same_name(name, "endpoint-load-metrics-bin")) {
-      r.load = read_orca_binary(mapping, value);
-    } else if (!mapping.header.empty() && same_name(name, mapping.header)) {
-      r.load = read_plain(value);
-    }
+  if (name == ":status") {
+    std::from_chars(value.data(), value.data() + value.size(), report.attempt.status);
+  } else if (equals_ignoring_case(name, "grpc-status")) {
+    report.attempt.grpc_status = value;
+  } else if (equals_ignoring_case(name, "x-envoy-overloaded") ||
+             equals_ignoring_case(name, "x-envoy-local-overloaded")) {
+    report.attempt.overloaded = true;
+  } else if (equals_ignoring_case(name, "x-gateway-destination-endpoint-served")) {
+    report.served_by = value;
+  } else if (equals_ignoring_case(name, "endpoint-load-metrics")) {
+    report.load = parse_orca_report(mapping, value);
+  } else if (equals_ignoring_case(name, "endpoint-load-metrics-bin")) {
+    report.load = parse_orca_binary_report(mapping, value);
+  } else if (!mapping.header.empty() && equals_ignoring_case(name, mapping.header)) {
+    report.load = parse_plain_report(value);
   }
-  call_.send(continue_response(Part::kResponseHeaders));
-  on_report(now, r);
 }
 
-void Processor::Exchange::on_part(const Message& message) {
-  const bool request = message.part == Message::kRequestBody || message.part == Message::kRequestTrailers;
-  const bool body = message.part == Message::kRequestBody || message.part == Message::kResponseBody;
-  (request ? request_over_ : response_over_) = !body || message.end_of_stream;
-  if (!body) return call_.send(continue_response(request ? Part::kRequestTrailers : Part::kResponseTrailers));
-  const Part part = request ? Part::kRequestBody : Part::kResponseBody;
-  if (request ? echo_request_ : echo_response_) {
-    return call_.send(echo_response(part, message.body, message.end_of_stream));
+void Processor::Exchange::on_body_or_trailers(const ProcessingRequest& message) {
+  const bool is_request =
+      message.part == ProcessingRequest::kRequestBody || message.part == ProcessingRequest::kRequestTrailers;
+  const bool is_body =
+      message.part == ProcessingRequest::kRequestBody || message.part == ProcessingRequest::kResponseBody;
+  bool& complete = is_request ? request_complete_ : response_complete_;
+  complete = !is_body || message.end_of_stream;
+  if (!is_body) {
+    const auto trailers = is_request ? BodyPart::kRequestTrailers : BodyPart::kResponseTrailers;
+    return call_.send(continue_response(trailers));
   }
+  const BodyPart part = is_request ? BodyPart::kRequestBody : BodyPart::kResponseBody;
+  const bool echo = is_request ? echo_request_ : echo_response_;
+  if (echo) return call_.send(echo_response(part, message.body, message.end_of_stream));
   call_.send(continue_response(part));
 }
 
-void Processor::Exchange::route(std::string_view endpoint, Ms left, bool keep_retries) {
-  waits_ = false;
+void Processor::Exchange::route(std::string_view endpoint, Ms remaining, bool proxy_may_retry) {
+  awaits_decision_ = false;
   call_.send(route_response({.endpoint = endpoint,
-                             .left = left - settings_->margin_ms,
-                             .keep_retries = keep_retries,
+                             .remaining_ms = remaining - settings_->deadline_margin_ms,
+                             .proxy_may_retry = proxy_may_retry,
                              .override_modes = override_modes_},
                             settings_->destination));
 }
 
-bool Processor::Exchange::take_back() {
-  if (waits_ || over_ || response_seen_ || !call_.take_back()) return false;
-  waits_ = true;
+bool Processor::Exchange::withdraw_decision() {
+  if (awaits_decision_ || finished_ || response_seen_ || !call_.take_back()) return false;
+  awaits_decision_ = true;
   return true;
 }
 
-void Processor::Exchange::answer(const Answer& a) {
-  if (over_) return;
-  over_ = true;
-  waits_ = false;
-  call_.send(immediate_response({.status = a.status,
-                                 .grpc_status = a.grpc_status,
-                                 .retry_after = a.retry_after,
-                                 .grpc = grpc_,
-                                 .details = a.details,
-                                 .body = a.body}));
+void Processor::Exchange::reply(ImmediateReply reply) {
+  if (finished_) return;
+  finished_ = true;
+  awaits_decision_ = false;
+  reply.is_grpc = is_grpc_;
+  call_.send(immediate_response(reply));
   call_.finish({});
 }
 
 void Processor::Exchange::superseded() {
-  record_ = 0;
-  if (!waits_) return;
-  waits_ = false;
-  over_ = true;
+  pending_id_ = 0;
+  if (!awaits_decision_) return;
+  awaits_decision_ = false;
+  finished_ = true;
   call_.finish({Code::kAborted, "another call for the same request has come"});
 }
 
 void Processor::Exchange::on_half_closed(Ms now) {
-  owner_.leave(now, *this);
-  if (over_) return;
-  over_ = true;
+  owner_.on_call_closed(now, *this);
+  if (finished_) return;
+  finished_ = true;
   call_.finish({});
 }
 
 void Processor::Exchange::on_gone(Ms now) {
-  owner_.leave(now, *this);
-  over_ = true;
+  owner_.on_call_closed(now, *this);
+  finished_ = true;
 }
 
-void Processor::Exchange::forbidden(Ms now, const char* what) {
-  ++owner_.totals_.out_of_order;
-  complain(now, {Code::kInvalidArgument, std::string(what) + " can't come here"});
+void Processor::Exchange::reject_out_of_order(Ms now, const char* what) {
+  ++owner_.metrics_.out_of_order;
+  abort(now, {Code::kInvalidArgument, std::string(what) + " can't come here"});
 }
 
-// The call ends; what it had is treated as if the proxy had gone.
-void Processor::Exchange::complain(Ms now, http2::grpc::Status status) {
-  owner_.leave(now, *this);
-  over_ = true;
+// The call ends; its request is treated as if the proxy had gone.
+void Processor::Exchange::abort(Ms now, const http2::grpc::Status& status) {
+  owner_.on_call_closed(now, *this);
+  finished_ = true;
   call_.finish(status);
 }
 
--- a/src/extproc/exchange.h
+++ b/src/extproc/exchange.h
@@ -1,5 +1,5 @@
-// One call of `Process`: its messages in the order that the protocol allows, and what each is answered with.
-// What is decided is the processor's and the engine's.
+// One call of `Process`: its messages in the order that the protocol allows, and the replies to them. What is
+// decided is up to the processor and the engine.
 #pragma once
 
 #include <memory>
@@ -9,23 +9,15 @@
 #include "extproc/messages.h"
 #include "extproc/outcomes.h"
 #include "extproc/processor.h"
+#include "extproc/responses.h"
 
 namespace cometfold::extproc {
 
-// An answer to the proxy's client; see `Immediate`.
-struct Answer {
-  int status = 503;
-  int grpc_status = 14;
-  Ms retry_after = 0;
-  const char* details = "";
-  std::string body;
-};
-
 class Processor::Exchange : public http2::grpc::CallEvents {
  public:
-  // The settings that this call goes by to its end, whatever is loaded meanwhile.
-  Exchange(Processor& owner, http2::grpc::Call& call, std::shared_ptr<const Settings> settings,
-           std::shared_ptr<const Mapper> mapper)
+  // `settings` and `mapper` hold for this call to its end, whatever is reloaded meanwhile.
+  Exchange(Processor& owner, http2::grpc::Call& call, std::shared_ptr<const ProcessorSettings> settings,
+           std::shared_ptr<const RequestMapper> mapper)
       : owner_(owner), call_(call), settings_(std::move(settings)), mapper_(std::move(mapper)) {}
 
   // http2::grpc::CallEvents
@@ -33,43 +25,55 @@
   void on_half_closed(Ms now) override;
   void on_gone(Ms now) override;
 
-  RecordId record() const { return record_; }
-  void bind(RecordId record) { record_ = record; }
-  void unbind() { record_ = 0; }
-  bool waits() const { return waits_; }  // for its decision
+  // The request that this call carries; 0: none.
+  PendingId pending_id() const { return pending_id_; }
+  void bind(PendingId pending_id) { pending_id_ = pending_id; }
+  void unbind() { pending_id_ = 0; }
+  bool awaits_decision() const { return awaits_decision_; }
 
-  // The decision: a host ...
-  void route(std::string_view endpoint, Ms left, bool keep_retries);
-  // ... which is taken back if it has not left yet, and the call waits again ...
-  bool take_back();
-  // ... or an answer to the client, and the end of the call.
-  void answer(const Answer& answer);
+  // The decision is a host. `remaining`: milliseconds that the attempt may take.
+  void route(std::string_view endpoint, Ms remaining, bool proxy_may_retry);
+  // Withdraws that decision if it has not left yet; the call awaits another one then.
+  bool withdraw_decision();
+  // The decision is a reply to the proxy's client, and the call ends. `is_grpc` is filled in here.
+  void reply(ImmediateReply reply);
   // Another call has taken this one's place.
   void superseded();
 
  private:
-  struct Report {
-    Seen seen;
+  struct ResponseReport {
+    AttemptReport attempt;
     LoadReport load;
-    std::string_view served;  // by which host, if the proxy says so
+    std::string_view served_by;  // the host's endpoint; empty: the proxy does not say
   };
 
-  void ask(Ms now, const Message& message);
-  void report(Ms now, const Message& message);
-  void on_report(Ms now, const Report& report);
-  void on_part(const Message& message);
-  void forbidden(Ms now, const char* what);
-  void complain(Ms now, http2::grpc::Status status);
+  void on_request_headers(Ms now, const ProcessingRequest& message);
+  void on_response_headers(Ms now, const ProcessingRequest& message);
+  void read_response_header(const HeaderView& header, ResponseReport& report) const;
+  void on_attempt_report(Ms now, const ResponseReport& report);
+  void on_body_or_trailers(const ProcessingRequest& message);
+  void reject_out_of_order(Ms now, const char* what);
+  void abort(Ms now, const http2::grpc::Status& status);
 
   Processor& owner_;
   http2::grpc::Call& call_;
-  std::shared_ptr<const Settings> settings_;
-  std::shared_ptr<const Mapper> mapper_;
-  RecordId record_ = 0;
-  bool waits_ = false, over_ = false, observed_ = false, grpc_ = false;
-  bool asked_ = false, request_over_ = false, response_seen_ = false, response_over_ = false;
-  bool started_ = false;
-  bool echo_request_ = false, echo_response_ = false, override_modes_ = false;
+  std::shared_ptr<const ProcessorSettings> settings_;
+  std::shared_ptr<const RequestMapper> mapper_;
+  PendingId pending_id_ = 0;
+
+  bool started_ = false;  // a message has come
+  bool observe_only_ = false;
+  bool awaits_decision_ = false;
+  bool finished_ = false;
+  bool is_grpc_ = false;  // the proxy's client speaks gRPC
+  bool request_seen_ = false;
+  bool request_complete_ = false;
+  bool response_seen_ = false;
+  bool response_complete_ = false;
+  // The proxy forwards only what it gets back of these bodies.
+  bool echo_request_ = false;
+  bool echo_response_ = false;
+  bool override_modes_ = false;
 };
 
 }  // namespace cometfold::extproc
--- a/src/extproc/host_load.cpp
+++ b/src/extproc/host_load.cpp
@@ -14,28 +14,29 @@
 
 namespace pb = envoy::service::ext_proc::v3;
 
-constexpr double kMostReported = 1e5;  // of a figure; no host holds so many
-constexpr std::size_t kLongest = 8192;
+constexpr double kMaxReported = 1e5;  // of any figure; no host has so many requests
+constexpr std::size_t kMaxReportBytes = 8192;
 
-using Figure = std::function<std::optional<double>(std::string_view name)>;
+// Gives a figure of a report by its name; none if the report lacks it.
+using FigureLookup = std::function<std::optional<double>(std::string_view name)>;
 
-std::optional<double> sensible(double value) {
-  if (!(value >= 0 && value <= kMostReported)) return {};
+std::optional<double> in_range(double value) {
+  if (!(value >= 0 && value <= kMaxReported)) return {};
   return value;
 }
 
-std::optional<double> first_of(const std::vector<std::string>& names, const Figure& figure) {
+std::optional<double> first_of(const std::vector<std::string>& names, const FigureLookup& figure) {
   for (const auto& name : names) {
-    if (const auto value = figure(name)) return sensible(*value);
+    if (const auto value = figure(name)) return in_range(*value);
   }
   return {};
 }
 
-LoadReport report_of(const LoadMapping& mapping, const Figure& figure) {
+LoadReport report_of(const LoadReportMapping& mapping, const FigureLookup& figure) {
   LoadReport load;
-  load.queue_length = first_of(mapping.queue, figure);
+  load.queue_length = first_of(mapping.queue_length, figure);
   load.in_flight = first_of(mapping.in_flight, figure);
-  load.utilization = first_of(mapping.busy, figure);
+  load.utilization = first_of(mapping.utilization, figure);
   return load;
 }
 
@@ -45,14 +46,15 @@
   return text;
 }
 
-// The value behind `request_id` in a list of pairs.
+// The value of `name` in a list of `name=value` pairs.
 std::optional<double> in_text(std::string_view list, std::string_view name) {
   while (!list.empty()) {
-    const auto pair = trimmed(list.substr(0, list.find(',')));
-    list.remove_prefix(std::min(list.find(',') == list.npos ? list.size() : list.find(',') + 1, list.size()));
-    const auto eq = pair.find('=');
-    if (eq == pair.npos || trimmed(pair.substr(0, eq)) != name) continue;
-    const auto value = trimmed(pair.substr(eq + 1));
+    const auto comma = std::min(list.find(','), list.size());
+    const auto pair = trimmed(list.substr(0, comma));
+    list.remove_prefix(std::min(comma + 1, list.size()));
+    const auto equals = pair.find('=');
+    if (equals == pair.npos || trimmed(pair.substr(0, equals)) != name) continue;
+    const auto value = trimmed(pair.substr(equals + 1));
     double number = 0;
     const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number);
     if (error == std::errc{} && end == value.data() + value.size()) return number;
@@ -61,10 +63,10 @@
 }
 
 std::optional<double> in_json(const boost::json::object& report, std::string_view name) {
-  const auto number = [](const boost::json::value* v) -> std::optional<double> {
+  const auto number = [](const boost::json::value* value) -> std::optional<double> {
     boost::system::error_code error;
-    if (!v || !v->is_number()) return {};
-    return v->to_number<double>(error);
+    if (!value || !value->is_number()) return {};
+    return value->to_number<double>(error);
   };
   const auto dot = name.find('.');
   if (dot == name.npos) return number(report.if_contains(name));
@@ -77,7 +79,7 @@
 std::optional<double> in_message(const pb::OrcaLoadReport& report, std::string_view name) {
   if (name == "cpu_utilization") return report.cpu_utilization();
   if (name == "application_utilization") {
-    if (report.application_utilization() == 0) return {};  // then the processor's counts
+    if (report.application_utilization() == 0) return {};  // not set: cpu_utilization is used
     return report.application_utilization();
   }
   if (name == "mem_utilization") return report.mem_utilization();
@@ -94,29 +96,37 @@
   return it->second;
 }
 
+// The value of a digit of base64 or base64url; negative: it is none.
+int base64_digit(char c) {
+  if (c >= 'A' && c <= 'Z') return c - 'A';
+  if (c >= 'a' && c <= 'z') return c - 'a' + 26;
+  if (c >= '0' && c <= '9') return c - '0' + 52;
+  if (c == '+' || c == '-') return 62;
+  if (c == '/' || c == '_') return 63;
+  return -1;
+}
+
 std::optional<std::string> from_base64(std::string_view text) {
   std::string out;
   std::uint32_t bits = 0;
-  int have = 0;
+  int bit_count = 0;
   while (!text.empty() && text.back() == '=') text.remove_suffix(1);
   for (const char c : text) {
-    int digit = -1;
-    if (c >= 'A' && c <= 'Z') digit = c - 'A';
-    if (c >= 'a' && c <= 'z') digit = c - 'a' + 26;
-    if (c >= '0' && c <= '9') digit = c - '0' + 52;
-    if (c == '+' || c == '-') digit = 62;
-    if (c == '/' || c == '_') digit = 63;
+    const int digit = base64_digit(c);
     if (digit < 0) return {};
     bits = bits << 6 | static_cast<std::uint32_t>(digit);
-    if ((have += 6) >= 8) out += static_cast<char>(bits >> (have -= 8) & 0xff);
+    bit_count += 6;
+    if (bit_count < 8) continue;
+    bit_count -= 8;
+    out += static_cast<char>(bits >> bit_count & 0xff);
   }
   return out;
 }
 
 }  // namespace
 
-LoadReport read_orca(const LoadMapping& mapping, std::string_view value) {
-  if (value.size() > kLongest) return {};
+LoadReport parse_orca_report(const LoadReportMapping& mapping, std::string_view value) {
+  if (value.size() > kMaxReportBytes) return {};
   const auto space = value.find(' ');
   if (space == value.npos) return {};
   const auto form = value.substr(0, space);
@@ -124,7 +134,7 @@
   if (form == "TEXT") {
     return report_of(mapping, [&](std::string_view name) { return in_text(rest, name); });
   }
-  if (form == "BIN") return read_orca_binary(mapping, rest);
+  if (form == "BIN") return parse_orca_binary_report(mapping, rest);
   if (form != "JSON") return {};
   boost::system::error_code error;
   const auto json = boost::json::parse(rest, error);
@@ -132,20 +142,20 @@
   return report_of(mapping, [&](std::string_view name) { return in_json(json.get_object(), name); });
 }
 
-LoadReport read_orca_binary(const LoadMapping& mapping, std::string_view base64) {
-  if (base64.size() > kLongest) return {};
+LoadReport parse_orca_binary_report(const LoadReportMapping& mapping, std::string_view base64) {
+  if (base64.size() > kMaxReportBytes) return {};
   const auto bytes = from_base64(trimmed(base64));
   pb::OrcaLoadReport report;
   if (!bytes || !report.ParseFromString(*bytes)) return {};
   return report_of(mapping, [&](std::string_view name) { return in_message(report, name); });
 }
 
-LoadReport read_plain(std::string_view value) {
-  if (value.size() > kLongest) return {};
+LoadReport parse_plain_report(std::string_view value) {
+  if (value.size() > kMaxReportBytes) return {};
   LoadReport load;
   const auto figure = [&](std::string_view name) {
-    const auto n = in_text(value, name);
-    return n ? sensible(*n) : std::nullopt;
+    const auto number = in_text(value, name);
+    return number ? in_range(*number) : std::nullopt;
   };
   load.queue_length = figure("queue");
   load.in_flight = figure("in_flight");
--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -10,71 +10,84 @@
 using google::protobuf::internal::WireFormatLite;
 using Stream = google::protobuf::io::CodedInputStream;
 
+constexpr std::uint32_t kMaxFieldBytes = 0x7fffffff;
+
 // The fields of one message.
 class Fields {
  public:
   explicit Fields(std::string_view bytes)
       : in_(reinterpret_cast<const std::uint8_t*>(bytes.data()), static_cast<int>(bytes.size())) {}
 
-  // The next field, or 0 at the end, where `undivided_quota_level` says whether the message was good.
+  // The next field, or 0 at the end, where `complete` says whether the message was good.
   int next() {
     tag_ = in_.ReadTag();
-    if (tag_ == 0) whole_ = in_.ConsumedEntireMessage() && whole_;
+    if (tag_ == 0) complete_ = in_.ConsumedEntireMessage() && complete_;
     return WireFormatLite::GetTagFieldNumber(tag_);
   }
-  bool whole() const { return whole_; }
+  bool complete() const { return complete_; }
 
   // The value of the field that `next` gave; of another wire type than the field has, it is skipped as
   // unknown.
   bool bytes(std::string_view& into) {
     if (WireFormatLite::GetTagWireType(tag_) != WireFormatLite::WIRETYPE_LENGTH_DELIMITED) return skip();
     std::uint32_t size = 0;
-    const void* at = nullptr;
-    int there = 0;
-    if (!in_.ReadVarint32(&size) || size > 0x7fffffff) return whole_ = false;
+    if (!in_.ReadVarint32(&size) || size > kMaxFieldBytes) return fail();
     if (size == 0) {
       into = {};
       return true;
     }
-    if (!in_.GetDirectBufferPointer(&at, &there) || static_cast<std::uint32_t>(there) < size)
-      return whole_ = false;
-    into = {static_cast<const char*>(at), size};
-    return whole_ = in_.Skip(static_cast<int>(size));
+    const void* start = nullptr;
+    int available = 0;
+    if (!in_.GetDirectBufferPointer(&start, &available)) return fail();
+    if (static_cast<std::uint32_t>(available) < size) return fail();
+    into = {static_cast<const char*>(start), size};
+    complete_ = in_.Skip(static_cast<int>(size));
+    return complete_;
   }
   template <class Number>
   bool number(Number& into) {
     if (WireFormatLite::GetTagWireType(tag_) != WireFormatLite::WIRETYPE_VARINT) return skip();
     std::uint64_t value = 0;
-    if (!in_.ReadVarint64(&value)) return whole_ = false;
+    if (!in_.ReadVarint64(&value)) return fail();
     into = static_cast<Number>(value);
     return true;
   }
-  bool skip() { return whole_ = WireFormatLite::SkipField(&in_, tag_); }
+  bool skip() {
+    complete_ = WireFormatLite::SkipField(&in_, tag_);
+    return complete_;
+  }
 
  private:
+  bool fail() {
+    complete_ = false;
+    return false;
+  }
+
   Stream in_;
   std::uint32_t tag_ = 0;
-  bool whole_ = true;
+  bool complete_ = true;
 };
 
-// Plays `each` on all fields of a message; it gets the number and reads or skips.
+// Calls `each` for all fields of a message with their number; it reads or skips them.
 template <class Each>
 bool read_fields(std::string_view bytes, Each&& each) {
   Fields fields(bytes);
   for (int field = fields.next(); field != 0; field = fields.next()) {
     if (!each(field, fields)) return false;
   }
-  return fields.whole();
+  return fields.complete();
 }
 
 // HeaderMap { repeated HeaderValue headers = 1; }, HeaderValue { key = 1; value = 2; raw_value = 3; }
 bool read_header_map(std::string_view bytes, std::vector<HeaderView>& into) {
   return read_fields(bytes, [&](int field, Fields& map) {
     if (field != 1) return map.skip();
-    std::string_view one, value, raw;
-    if (!map.bytes(one)) return false;
+    std::string_view entry;
+    if (!map.bytes(entry)) return false;
+    std::string_view value;
+    std::string_view raw;
     HeaderView header;
-    const bool good = read_fields(one, [&](int part, Fields& fields) {
+    const bool good = read_fields(entry, [&](int part, Fields& fields) {
       if (part == 1) return fields.bytes(header.name);
       if (part == 2) return fields.bytes(value);
       if (part == 3) return fields.bytes(raw);
@@ -87,7 +100,7 @@
 }
 
 // HttpHeaders { headers = 1; end_of_stream = 3; }
-bool read_headers(std::string_view bytes, Message& into) {
+bool read_headers(std::string_view bytes, ProcessingRequest& into) {
   into.headers.clear();
   into.end_of_stream = false;
   return read_fields(bytes, [&](int field, Fields& fields) {
@@ -99,7 +112,7 @@
 }
 
 // HttpBody { body = 1; end_of_stream = 2; }
-bool read_body(std::string_view bytes, Message& into) {
+bool read_body(std::string_view bytes, ProcessingRequest& into) {
   into.body = {};
   into.end_of_stream = false;
   return read_fields(bytes, [&](int field, Fields& fields) {
@@ -125,7 +138,7 @@
 }
 
 // map<string, Struct>: by the filter's name, attributes by theirs.
-bool read_attributes(std::string_view entry, Message& into) {
+bool read_attributes(std::string_view entry, ProcessingRequest& into) {
   std::string_view filter, attributes;
   if (!read_entry(entry, filter, attributes)) return false;
   return read_fields(attributes,
@@ -137,7 +150,7 @@
                      });
 }
 
-bool read_protocol_config(std::string_view bytes, Message& into) {
+bool read_protocol_config(std::string_view bytes, ProcessingRequest& into) {
   return read_fields(bytes, [&](int field, Fields& fields) {
     if (field == 1) return fields.number(into.request_body_mode);
     if (field == 2) return fields.number(into.response_body_mode);
@@ -147,8 +160,8 @@
 
 }  // namespace
 
-bool read_message(std::string_view bytes, Message& into) {
-  into.part = Message::kNone;
+bool parse_processing_request(std::string_view bytes, ProcessingRequest& into) {
+  into.part = ProcessingRequest::kNone;
   into.headers.clear();
   into.observability_mode = false;
   into.request_body_mode = into.response_body_mode = 0;
@@ -156,17 +169,17 @@
   return read_fields(bytes, [&](int field, Fields& fields) {
     std::string_view inner;
     switch (field) {
-      case Message::kRequestHeaders:
-      case Message::kResponseHeaders:
-        into.part = static_cast<Message::Part>(field);
+      case ProcessingRequest::kRequestHeaders:
+      case ProcessingRequest::kResponseHeaders:
+        into.part = static_cast<ProcessingRequest::Part>(field);
         return fields.bytes(inner) && read_headers(inner, into);
-      case Message::kRequestBody:
-      case Message::kResponseBody:
-        into.part = static_cast<Message::Part>(field);
+      case ProcessingRequest::kRequestBody:
+      case ProcessingRequest::kResponseBody:
+        into.part = static_cast<ProcessingRequest::Part>(field);
         return fields.bytes(inner) && read_body(inner, into);
-      case Message::kRequestTrailers:
-      case Message::kResponseTrailers:
-        into.part = static_cast<Message::Part>(field);
+      case ProcessingRequest::kRequestTrailers:
+      case ProcessingRequest::kResponseTrailers:
+        into.part = static_cast<ProcessingRequest::Part>(field);
         return fields.bytes(inner);
       case 9:
         return fields.bytes(inner) && read_attributes(inner, into);
--- a/src/extproc/messages.h
+++ b/src/extproc/messages.h
@@ -1,18 +1,19 @@
-// A ProcessingRequest read in place: the headers are views into the message, which is not copied. It is read
-// with protobuf-lite's own primitives; generated classes would make two strings of each header, which took a
-// fifth of the processor's time.
+// A ProcessingRequest parsed in place: the headers are views into the message, which is not copied. It is
+// parsed with protobuf-lite's own primitives, as generated classes would make two strings of each header.
 #pragma once
 
 #include <cstdint>
 #include <string_view>
 #include <vector>
 
-#include "extproc/mapper.h"
+#include "http2/headers.h"
 
 namespace cometfold::extproc {
 
-struct Message {
-  enum Part : std::uint8_t {  // the published numbers of the oneof `is_request`
+using http2::HeaderView;
+
+struct ProcessingRequest {
+  enum Part : std::uint8_t {  // the published numbers of the oneof `request`
     kNone = 0,
     kRequestHeaders = 2,
     kResponseHeaders = 3,
@@ -26,12 +27,13 @@
   std::string_view body;
   bool end_of_stream = false;
   bool observability_mode = false;
-  int request_body_mode = 0, response_body_mode = 0;  // of protocol_config
-  std::string_view code_details;                      // the attribute response.code_details
+  int request_body_mode = 0;      // of protocol_config
+  int response_body_mode = 0;     // of protocol_config
+  std::string_view code_details;  // the attribute response.code_details
 };
 
 // False if the bytes are no such message. Unknown fields are skipped; of a oneof that is there twice the last
 // one holds. `into` must be fresh or have been read into before; its views last as long as the bytes.
-bool read_message(std::string_view bytes, Message& into);
+bool parse_processing_request(std::string_view bytes, ProcessingRequest& into);
 
 }  // namespace cometfold::extproc
--- /dev/null
+++ b/src/extproc/name_list.h
@@ -0,0 +1,30 @@
+// Names of classes and plans, by number.
+#pragma once
+
+#include <algorithm>
+#include <cstdint>
+#include <optional>
+#include <string>
+#include <string_view>
+#include <vector>
+
+namespace cometfold::extproc {
+
+// The number of a name; none if it is not in the list.
+inline std::optional<std::uint32_t> index_of(const std::vector<std::string>& names, std::string_view name) {
+  const auto it = std::find(names.begin(), names.end(), name);
+  if (it == names.end()) return {};
+  return static_cast<std::uint32_t>(it - names.begin());
+}
+
+// All names with commas between, for errors.
+inline std::string joined(const std::vector<std::string>& names) {
+  std::string all;
+  for (const auto& name : names) {
+    if (!all.empty()) all += ", ";
+    all += name;
+  }
+  return all;
+}
+
+}  // namespace cometfold::extproc
--- a/src/extproc/outcomes.cpp
+++ b/src/extproc/outcomes.cpp
@@ -13,8 +13,8 @@
   const char* why;
 };
 
-// The first that fits. Danger: a row that says 'has not run' lets an order be sent again, so only causes that
-// prove it stand there; what is not known may have run.
+// The first that matches. A row that says 'has not run' allows a retry of any request, so only causes that
+// prove it have one; an unknown cause may have run.
 constexpr ByDetails kDetails[] = {
     {"upstream_reset_before_response_started{connection_failure", Outcome::kConnectFailed,
      "no connection came up"},
@@ -94,16 +94,17 @@
 
 }  // namespace
 
-Outcome outcome_of(const Seen& seen, std::span<const int> not_run) {
-  if (!seen.details.empty() && seen.details != "via_upstream") {
+Outcome outcome_of(const AttemptReport& report, std::span<const int> not_run) {
+  if (!report.details.empty() && report.details != "via_upstream") {
     for (const auto& row : kDetails) {
-      if (seen.details.starts_with(row.prefix)) return row.outcome;
+      if (report.details.starts_with(row.prefix)) return row.outcome;
     }
     return Outcome::kCancelled;
   }
-  if (seen.overloaded && seen.details.empty()) return Outcome::kNotSent;
-  if (seen.grpc && !seen.grpc_status.empty() && seen.status == 200) return by_grpc(seen.grpc_status);
-  return by_status(seen.status, not_run);
+  if (report.overloaded && report.details.empty()) return Outcome::kNotSent;
+  if (report.is_grpc && !report.grpc_status.empty() && report.status == 200)
+    return by_grpc(report.grpc_status);
+  return by_status(report.status, not_run);
 }
 
 std::string outcome_table(std::span<const int> not_run) {
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -1,97 +1,67 @@
+// The processor's calls: decisions on new and on retried requests, and what the engine replies.
 #include "extproc/processor.h"
 
 #include <algorithm>
-#include <array>
 #include <utility>
-#include <vector>
 
 #include "extproc/exchange.h"
-#include "extproc/host_load.h"
+#include "extproc/pending_request.h"
 #include "extproc/responses.h"
 
 namespace cometfold::extproc {
 
-using engine::AttemptId;
 using engine::ResponseHandle;
-using engine::StartResult;
-
-// A request between its first call and the end of its last attempt.
-struct Processor::Record {
-  RecordId id = 0;
-  RequestId name = 0;  // at the engine; 0 while it is being taken
-  Exchange* exchange = nullptr;
-  AttemptId attempt = 0;  // that is out or offered; 0: none
-  Ms until = 0;           // that attempt's
-  std::shared_ptr<const std::string> endpoint;
-  std::string known_as;  // by the proxy; empty: it gave no id
-  std::uint32_t class_index = 0;
-  bool has_key = false;
-  bool shared = false;    // two open requests call themselves the same
-  bool answered = false;  // nothing is owed to the engine's front end any more
-  bool offered = false;   // the attempt waits for a call to fetch it
-  bool unsent = false;    // the attempt's message was taken back
-  bool left = false;      // an earlier attempt may have gone out
-
-  bool out() const { return attempt != 0 && !offered && !unsent; }
-  bool may_have_left() const { return left || out(); }
-};
-
-struct Processor::Over {
-  std::string known_as;
-  std::uint32_t class_index = 0;
-  Verdict verdict;
-};
-
-// What the engine holds for a request: only whose it is.
-class Processor::Order : public engine::Payload {
- public:
-  Order(RecordId record, std::size_t bytes) : record_(record), bytes_(bytes) {}
-  std::size_t bytes() const override { return bytes_; }
-  RecordId record() const { return record_; }
-
- private:
-  RecordId record_;
-  std::size_t bytes_;
-};
-
-std::string to_text(const Totals& t) {
-  std::string text;
-  const auto add = [&](const char* name, std::uint64_t n) {
-    text += (text.empty() ? "" : " ") + std::string(name) + "=" + std::to_string(n);
-  };
-  add("asked", t.asked);
-  add("again", t.again);
-  add("named", t.named);
-  add("refused", t.refused);
-  add("failed", t.failed);
-  add("rejected", t.rejected);
-  add("left", t.left);
-  add("ended", t.ended);
-  add("unknown", t.unknown);
-  add("silent", t.silent);
-  add("elsewhere", t.elsewhere);
-  add("withdrawn", t.withdrawn);
-  add("out_of_order", t.out_of_order);
-  add("unreadable", t.unreadable);
-  add("observed", t.observed);
-  return text;
+
+namespace {
+
+constexpr int kTooManyRequests = 429;
+constexpr int kServiceUnavailable = 503;
+constexpr int kGatewayTimeout = 504;
+
+constexpr Decision failure(const char* details, int status = kServiceUnavailable,
+                           int grpc_status = kGrpcUnavailable) {
+  return {Decision::kFailed, status, grpc_status, 0, details};
+}
+
+constexpr Decision kFirstAttemptNotKnown = failure("cometfold_first_attempt_not_known");
+constexpr Decision kAlreadyDone = failure("cometfold_already_done");
+constexpr Decision kMustNotRepeat = failure("cometfold_must_not_repeat");
+
+Decision rejection(const char* details, Ms retry_after) {
+  return {Decision::kRejected, kTooManyRequests, kGrpcResourceExhausted, retry_after, details};
+}
+
+Decision failure_of(engine::FailureReason reason) {
+  switch (reason) {
+    case engine::FailureReason::kTimedOut:
+      return failure("cometfold_timed_out", kGatewayTimeout, kGrpcDeadlineExceeded);
+    case engine::FailureReason::kShuttingDown:
+      return failure("cometfold_stopping");
+    case engine::FailureReason::kPolicy:
+    case engine::FailureReason::kInternal:
+      break;
+  }
+  return failure("cometfold_given_up");
 }
 
-Processor::Processor(engine::Engine& engine, Names names, Settings settings, std::uint64_t seed)
+}  // namespace
+
+Processor::Processor(engine::Engine& engine, NamedSettings names, ProcessorSettings settings,
+                     std::uint64_t seed)
     : engine_(engine), seed_(seed) {
   reload(std::move(settings), std::move(names));
 }
 Processor::~Processor() = default;
 
-void Processor::reload(Settings settings, Names names) {
-  check(settings, names);
-  auto mapper = std::make_shared<const Mapper>(settings.mapping, names, seed_);
+void Processor::reload(ProcessorSettings settings, NamedSettings names) {
+  validate(settings, names);
+  auto mapper = std::make_shared<const RequestMapper>(settings.mapping, names, seed_);
   names_ = std::move(names);
-  settings_ = std::make_shared<const Settings>(std::move(settings));
+  settings_ = std::make_shared<const ProcessorSettings>(std::move(settings));
   mapper_ = std::move(mapper);
 }
 
-void Processor::add(HostId host, std::string endpoint) {
+void Processor::add_host(HostId host, std::string endpoint) {
   auto& known = hosts_[host];
   if (!known || *known != endpoint) known = std::make_shared<const std::string>(std::move(endpoint));
 }
@@ -100,399 +70,226 @@
   return std::make_unique<Exchange>(*this, call, settings_, mapper_);
 }
 
-Processor::Record* Processor::find(RecordId id) {
-  const auto it = records_.find(id);
-  return it == records_.end() ? nullptr : &it->second;
+Processor::PendingRequest* Processor::find_pending(PendingId id) {
+  const auto it = pending_.find(id);
+  return it == pending_.end() ? nullptr : &it->second;
 }
 
-// ---- calls that ask ----
+// ---- calls that ask for a decision ----
 
-void Processor::ask(Ms now, Exchange& exchange, const Mapped& mapped) {
+void Processor::decide(Ms now, Exchange& exchange, const MappedRequest& mapped) {
   if (!mapped.error.empty()) {
-    ++totals_.rejected;
-    return exchange.answer({.status = 400,
-                            .grpc_status = static_cast<int>(http2::grpc::Code::kInvalidArgument),
-                            .details = "cometfold_bad_request",
-                            .body = mapped.error + "\n"});
+    ++metrics_.bad_requests;
+    const std::string body = mapped.error + "\n";
+    return exchange.reply({.status = 400,
+                           .grpc_status = static_cast<int>(http2::grpc::Code::kInvalidArgument),
+                           .details = "cometfold_bad_request",
+                           .body = body});
   }
   if (mapped.attempt > 1) {
-    ++totals_.again;
-    return ask_again(now, exchange, mapped);
+    ++metrics_.retried_requests;
+    return decide_retry(now, exchange, mapped);
   }
-  ++totals_.asked;
-  ask_anew(now, exchange, mapped);
-}
-
-void Processor::ask_anew(Ms now, Exchange& exchange, const Mapped& mapped) {
-  const RecordId id = ++last_;
-  Record& r = records_[id];
-  r.id = id;
-  r.exchange = &exchange;
-  r.class_index = mapped.request.class_index;
-  r.has_key = mapped.has_key;
-  r.known_as = mapped.id;
+  ++metrics_.new_requests;
+  decide_new(now, exchange, mapped);
+}
+
+void Processor::decide_new(Ms now, Exchange& exchange, const MappedRequest& mapped) {
+  const PendingId id = ++last_pending_id_;
+  PendingRequest& pending = pending_[id];
+  pending.id = id;
+  pending.exchange = &exchange;
+  pending.class_index = mapped.request.class_index;
+  pending.has_idempotency_key = mapped.has_idempotency_key;
+  pending.proxy_id = mapped.id;
   exchange.bind(id);
-  if (!r.known_as.empty()) {
-    const auto [it, fresh] = by_id_.try_emplace(r.known_as, id);
-    // Danger: of two open requests with one id, nobody could tell which of them a later call repeats. So it
-    // repeats neither.
-    if (!fresh) {
-      r.shared = true;
-      if (Record* other = find(it->second)) other->shared = true;
-    } else if (over_.contains(r.known_as)) {  // nor of one that is over and a later one
-      r.shared = true;
-    }
+  register_proxy_id(pending);
+
+  const std::size_t bytes = sizeof(PendingRequest) + mapped.id.size();
+  engine::IncomingRequest incoming{mapped.request, mapped.timeout_ms, seed_ ^ id,
+                                   std::make_unique<RequestPayload>(id, bytes), this};
+  RequestId engine_id = 0;
+  const auto result = engine_.accept(now, *this, ResponseHandle{id, 0}, std::move(incoming), engine_id);
+  PendingRequest* still_pending = find_pending(id);
+  if (!still_pending) return;
+  if (result != engine::AcceptResult::kAccepted) {  // nothing has been sent for it, so it may be rejected
+    finish(*still_pending, rejection("cometfold_no_room", 0));
+    return erase_if_finished(id);
   }
-  engine::IncomingRequest ask{mapped.request, mapped.wait, seed_ ^ id,
-                              std::make_unique<Order>(id, sizeof(Record) + mapped.id.size()), this};
-  RequestId name = 0;
-  const auto taken = engine_.accept(now, *this, ResponseHandle{id, 0}, std::move(ask), name);
-  Record* still = find(id);
-  if (!still) return;
-  if (taken != engine::AcceptResult::kAccepted) {  // nothing has been sent for it, so a refusal is lawful
-    settle(*still, {Verdict::kRefused, 429, 8, 0, "cometfold_no_room"});
-    return forget_if_done(id);
+  still_pending->engine_id = engine_id;
+}
+
+// Of two requests with one id, a later call could repeat either. So it repeats neither.
+void Processor::register_proxy_id(PendingRequest& pending) {
+  if (pending.proxy_id.empty()) return;
+  const auto [it, inserted] = pending_by_proxy_id_.try_emplace(pending.proxy_id, pending.id);
+  if (!inserted) {
+    pending.proxy_id_ambiguous = true;
+    if (PendingRequest* other = find_pending(it->second)) other->proxy_id_ambiguous = true;
+  } else if (finished_.contains(pending.proxy_id)) {
+    pending.proxy_id_ambiguous = true;
   }
-  still->name = name;
 }
 
-// What a request's class and key say of sending it once more.
-bool Processor::class_allows(const Record& r) const {
-  const auto& c = names_.settings.classes[r.class_index];
-  return !r.shared && (c.idempotency == Idempotency::kIdempotent ||
-                       (c.idempotency == Idempotency::kIdempotencyKey && r.has_key));
+// Whether class and key allow that the request is sent once more.
+bool Processor::class_allows_retry(const PendingRequest& pending) const {
+  if (pending.proxy_id_ambiguous) return false;
+  const auto idempotency = names_.settings.classes[pending.class_index].idempotency;
+  if (idempotency == Idempotency::kIdempotent) return true;
+  return idempotency == Idempotency::kIdempotencyKey && pending.has_idempotency_key;
 }
 
-bool Processor::may_come_again(const Record& r) const {
-  return settings_->repeats == Repeats::kMarked && class_allows(r) && !r.known_as.empty();
+bool Processor::proxy_may_retry(const PendingRequest& pending) const {
+  return settings_->proxy_retries == ProxyRetries::kMarked && class_allows_retry(pending) &&
+         !pending.proxy_id.empty();
 }
 
-// A repeat of which nothing is known here, after a restart or because it came too late. Danger: the first
-// attempt may have run anywhere. A key that holds at all hosts for as long as the client waits still covers
-// it; one that holds in a zone or cell does not, as it is not known which.
-bool Processor::allowed_unknown(const Mapped& m) const {
-  const auto& c = names_.settings.classes[m.request.class_index];
-  if (c.idempotency == Idempotency::kIdempotent) return true;
-  const Ms waits = std::max(m.wait, c.deadline_ms);
-  return c.idempotency == Idempotency::kIdempotencyKey && m.has_key &&
-         c.idempotency_scope == IdempotencyScope::kAll && c.idempotency_key_ttl_ms > waits;
+// A retry whose first attempt is not known here, after a restart or because it came too late. That attempt
+// may have run anywhere: a key that holds at all hosts for as long as the client waits still covers it; one
+// that holds in a zone or cell does not, as the zone or cell is not known.
+bool Processor::unknown_retry_allowed(const MappedRequest& mapped) const {
+  const auto& terms = names_.settings.classes[mapped.request.class_index];
+  if (terms.idempotency == Idempotency::kIdempotent) return true;
+  const Ms longest_wait = std::max(mapped.timeout_ms, terms.deadline_ms);
+  return terms.idempotency == Idempotency::kIdempotencyKey && mapped.has_idempotency_key &&
+         terms.idempotency_scope == IdempotencyScope::kAll && terms.idempotency_key_ttl_ms > longest_wait;
 }
 
-void Processor::ask_again(Ms now, Exchange& exchange, const Mapped& mapped) {
-  const std::string known_as(mapped.id);
-  const auto open = known_as.empty() ? by_id_.end() : by_id_.find(known_as);
-  const Verdict not_unique{Verdict::kFailed, 503, 14, 0, "cometfold_id_not_unique"};
-  if (open != by_id_.end()) {
-    Record& r = records_.at(open->second);
-    if (r.class_index != mapped.request.class_index) return tell(exchange, not_unique);
-    return fetch(now, exchange, r);
+void Processor::decide_retry(Ms now, Exchange& exchange, const MappedRequest& mapped) {
+  const std::string proxy_id(mapped.id);
+  const auto open = proxy_id.empty() ? pending_by_proxy_id_.end() : pending_by_proxy_id_.find(proxy_id);
+  if (open != pending_by_proxy_id_.end()) {
+    PendingRequest& pending = pending_.at(open->second);
+    if (pending.class_index != mapped.request.class_index) return reply(exchange, kIdNotUnique);
+    return resume_open(now, exchange, pending);
   }
-  bool allowed = allowed_unknown(mapped);
-  Verdict verdict{Verdict::kFailed, 503, 14, 0, "cometfold_first_attempt_not_known"};
-  const auto over = known_as.empty() ? over_.end() : over_.find(known_as);
-  if (over != over_.end()) {
-    const Over& o = *over->second;
-    if (o.class_index != mapped.request.class_index) return tell(exchange, not_unique);
-    verdict = o.verdict;
-    allowed = o.verdict.kind == Verdict::kUnsent;  // nothing of it ever went out
-    if (o.verdict.kind == Verdict::kServed) {
-      allowed = names_.settings.classes[o.class_index].idempotency == Idempotency::kIdempotent;
-      verdict = {Verdict::kFailed, 503, 14, 0, "cometfold_already_done"};
+  const FinishedRequest* finished = proxy_id.empty() ? nullptr : finished_.find(proxy_id);
+  if (const Decision* refusal = refusal_of_retry(mapped, finished)) return reply(exchange, *refusal);
+  finished_.erase(proxy_id);  // the same request goes on
+  decide_new(now, exchange, mapped);
+}
+
+// Why a retry of a request that is not open must not be sent; null if it may be.
+const Decision* Processor::refusal_of_retry(const MappedRequest& mapped,
+                                            const FinishedRequest* finished) const {
+  if (!finished) return unknown_retry_allowed(mapped) ? nullptr : &kFirstAttemptNotKnown;
+  if (finished->class_index != mapped.request.class_index) return &kIdNotUnique;
+  switch (finished->decision.kind) {
+    case Decision::kNotSent:
+      return nullptr;
+    case Decision::kServed: {
+      const auto idempotency = names_.settings.classes[finished->class_index].idempotency;
+      return idempotency == Idempotency::kIdempotent ? nullptr : &kAlreadyDone;
     }
+    case Decision::kRejected:
+    case Decision::kFailed:
+      break;
   }
-  if (!allowed) return tell(exchange, verdict);
-  if (over != over_.end()) {  // the same request goes on
-    const auto old = over->second;
-    over_.erase(over);
-    order_.erase(old);
-  }
-  ask_anew(now, exchange, mapped);
+  return &finished->decision;
 }
 
 // A call that comes again while its request is open.
-void Processor::fetch(Ms now, Exchange& exchange, Record& r) {
-  if (r.shared) return tell(exchange, {Verdict::kFailed, 503, 14, 0, "cometfold_id_not_unique"});
-  if (r.exchange) {  // the proxy has given up on that call
-    if (r.out() && take_back(r)) r.offered = true;
-    if (r.exchange->waits()) ++totals_.left;
-    r.exchange->superseded();
-    r.exchange = nullptr;
-  }
-  if (!class_allows(r) && r.may_have_left()) {
-    tell(exchange, {Verdict::kFailed, 503, 14, 0, "cometfold_must_not_repeat"});
-    if (r.attempt != 0) {
-      ++totals_.unknown;
-      end_attempt(now, r, Outcome::kCancelled, {}, true);
+void Processor::resume_open(Ms now, Exchange& exchange, PendingRequest& pending) {
+  if (pending.proxy_id_ambiguous) return reply(exchange, kIdNotUnique);
+  if (pending.exchange) supersede_call(pending);
+  if (!class_allows_retry(pending) && pending.any_attempt_may_have_left()) {
+    reply(exchange, kMustNotRepeat);
+    if (pending.attempt != 0) {
+      ++metrics_.unreported;
+      report_attempt_end(now, pending, Outcome::kCancelled, {}, true);
     }
     return;
   }
-  r.exchange = &exchange;
-  exchange.bind(r.id);
-  if (r.offered) {
-    // Danger: it was decided on when the call before ended.
-    if (!engine_.may_write(now, r.attempt, false)) return end_attempt(now, r, Outcome::kNotSent, {}, false);
-    name_host(now, r);
-  } else if (r.attempt != 0) {
-    ++totals_.unknown;
-    end_attempt(now, r, Outcome::kCancelled, {}, false);
-  }
-}
-
-// Whether the decision on its attempt had not left yet; it has not been made then.
-bool Processor::take_back(Record& r) {
-  if (!r.exchange || !r.exchange->take_back()) return false;
-  ++totals_.withdrawn;
-  --totals_.named;
-  return true;
-}
-
-void Processor::tell(Exchange& exchange, const Verdict& v) {
-  ++(v.kind == Verdict::kRefused ? totals_.refused : totals_.failed);
-  exchange.answer({.status = v.status,
-                   .grpc_status = v.grpc_status,
-                   .retry_after = v.retry_after,
-                   .details = v.details,
-                   .body = {}});
-}
-
-// ---- what the engine answers ----
-
-void Processor::settle(Record& r, const Verdict& verdict) {
-  r.answered = true;
-  Verdict kept = verdict;
-  if (r.exchange && r.exchange->waits()) {
-    tell(*r.exchange, verdict);
-  } else if (r.out() && take_back(r)) {
-    r.unsent = true;
-    tell(*r.exchange, verdict);
-  } else if (verdict.kind != Verdict::kServed && !r.may_have_left()) {
-    kept.kind = Verdict::kUnsent;
-  }
-  remember(r, kept);
-}
-
-void Processor::on_served(Ms, ResponseHandle ticket, std::string_view) {
-  if (Record* r = find(ticket.connection)) settle(*r, {Verdict::kServed, 200, 0, 0, ""});
-}
-
-void Processor::on_rejected(Ms, ResponseHandle ticket, Ms retry_after) {
-  Record* r = find(ticket.connection);
-  if (!r) return;
-  settle(*r, {Verdict::kRefused, 429, 8, retry_after, "cometfold_refused"});
-  forget_if_done(ticket.connection);
-}
-
-void Processor::on_failed(Ms, ResponseHandle ticket, engine::FailureReason why) {
-  Record* r = find(ticket.connection);
-  if (!r) return;
-  switch (why) {
-    case engine::FailureReason::kTimedOut:
-      settle(*r, {Verdict::kFailed, 504, 4, 0, "cometfold_timed_out"});
-      break;
-    case engine::FailureReason::kShuttingDown:
-      settle(*r, {Verdict::kFailed, 503, 14, 0, "cometfold_stopping"});
-      break;
-    case engine::FailureReason::kPolicy:
-    case engine::FailureReason::kInternal:
-      settle(*r, {Verdict::kFailed, 503, 14, 0, "cometfold_given_up"});
-      break;
-  }
-  forget_if_done(ticket.connection);
-}
-
-// Kept for calls that come again. The oldest makes room.
-void Processor::remember(Record& r, const Verdict& verdict) {
-  if (r.known_as.empty()) return;
-  const auto open = by_id_.find(r.known_as);
-  if (open == by_id_.end() || open->second != r.id) return;
-  by_id_.erase(open);
-  const auto known = over_.find(r.known_as);
-  if (known != over_.end()) {
-    const auto old = known->second;
-    over_.erase(known);
-    order_.erase(old);
-  }
-  if (settings_->remembered == 0) return;
-  while (order_.size() >= settings_->remembered) {
-    over_.erase(order_.front().known_as);
-    order_.pop_front();
-  }
-  order_.push_back({r.known_as, r.class_index, verdict});
-  if (r.shared) order_.back().verdict = {Verdict::kFailed, 503, 14, 0, "cometfold_id_not_unique"};
-  over_.emplace(order_.back().known_as, std::prev(order_.end()));
-}
-
-void Processor::forget_if_done(RecordId id) {
-  const auto it = records_.find(id);
-  if (it == records_.end() || !it->second.answered || it->second.attempt != 0) return;
-  if (it->second.exchange) it->second.exchange->unbind();
-  records_.erase(it);
-}
-
-// ---- attempts ----
-
-StartResult Processor::start(Ms now, AttemptId attempt, HostId host, const engine::Payload& payload,
-                             Ms left) {
-  Record* r = find(static_cast<const Order&>(payload).record());
-  const auto h = hosts_.find(host);
-  if (!r || h == hosts_.end()) return StartResult::kHostUnavailable;
-  // One call carries one attempt: there is no second copy on this wire.
-  if (r->attempt != 0) return StartResult::kNoLocalCapacity;
-  const bool waits = r->exchange && r->exchange->waits();
-  if (!waits && !may_come_again(*r)) return StartResult::kNoLocalCapacity;
-  if (!waits && r->exchange) {  // what it may still report is of an attempt that is over
-    r->exchange->unbind();
-    r->exchange = nullptr;
-  }
-  r->attempt = attempt;
-  r->until = now + left;
-  r->endpoint = h->second;
-  r->unsent = false;
-  attempts_.emplace(attempt, r->id);
-  if (waits) {
-    name_host(now, *r);
-  } else {
-    r->offered = true;
-    offers_.push_back({now + settings_->repeat_wait_ms, r->id, attempt});
+  pending.exchange = &exchange;
+  exchange.bind(pending.id);
+  if (pending.awaits_fetch) {
+    // The attempt was decided on when the call before ended; it may not be sent any more.
+    if (!engine_.may_write(now, pending.attempt, false)) {
+      return report_attempt_end(now, pending, Outcome::kNotSent, {}, false);
+    }
+    send_route(now, pending);
+  } else if (pending.attempt != 0) {
+    ++metrics_.unreported;
+    report_attempt_end(now, pending, Outcome::kCancelled, {}, false);
   }
-  return StartResult::kStarted;
-}
-
-void Processor::name_host(Ms now, Record& r) {
-  ++totals_.named;
-  r.offered = false;
-  r.exchange->route(*r.endpoint, r.until - now, may_come_again(r));
 }
 
-void Processor::attempt_over(Record& r, bool went) {
-  attempts_.erase(r.attempt);
-  r.attempt = 0;
-  r.offered = r.unsent = false;
-  r.left = r.left || went;
+// The proxy has given up on the call that carries this request.
+void Processor::supersede_call(PendingRequest& pending) {
+  if (pending.attempt_in_flight() && withdraw_decision(pending)) pending.awaits_fetch = true;
+  if (pending.exchange->awaits_decision()) ++metrics_.disconnected;
+  pending.exchange->superseded();
+  pending.exchange = nullptr;
 }
 
-bool Processor::abandon(Ms, AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return false;
-  const RecordId id = it->second;
-  Record& r = records_.at(id);
-  if (r.out()) ++totals_.silent;
-  attempt_over(r, r.out());
-  forget_if_done(id);
-  return false;  // the proxy was told how long: it reports a host that is silent by itself
-}
-
-bool Processor::withdraw(Ms, AttemptId attempt) {
-  const auto it = attempts_.find(attempt);
-  if (it == attempts_.end()) return false;
-  Record& r = records_.at(it->second);
-  if (r.out() && !take_back(r)) return false;
-  const RecordId id = r.id;
-  attempt_over(r, false);
-  forget_if_done(id);
+// Whether the decision on its attempt had not left yet; then it was not made.
+bool Processor::withdraw_decision(PendingRequest& pending) {
+  if (!pending.exchange || !pending.exchange->withdraw_decision()) return false;
+  ++metrics_.withdrawn;
+  --metrics_.routed;
   return true;
 }
 
-bool Processor::awaits_first_byte(AttemptId attempt) const {
-  const auto it = attempts_.find(attempt);
-  return it != attempts_.end() && records_.at(it->second).offered;
-}
-
-// What waits for a call, or has not left yet, goes elsewhere. Ends may lead to new attempts: so first all are
-// found, then ended.
-void Processor::retire_host(Ms now, HostId host) {
-  const auto h = hosts_.find(host);
-  if (h == hosts_.end()) return;
-  const auto endpoint = h->second;
-  hosts_.erase(h);
-  std::vector<std::pair<RecordId, AttemptId>> mine;
-  for (const auto& [attempt, id] : attempts_) {
-    if (records_.at(id).endpoint == endpoint) mine.emplace_back(id, attempt);
-  }
-  std::sort(mine.begin(), mine.end());
-  for (const auto& [id, attempt] : mine) {
-    Record* r = find(id);
-    if (!r || r->attempt != attempt) continue;
-    if (r->unsent || (r->out() && !take_back(*r))) continue;
-    end_attempt(now, *r, Outcome::kNotSent, {}, false);
+void Processor::reply(Exchange& exchange, const Decision& decision) {
+  auto& counter = decision.kind == Decision::kRejected ? metrics_.rejected : metrics_.failed;
+  ++counter;
+  exchange.reply({.status = decision.status,
+                  .grpc_status = decision.grpc_status,
+                  .retry_after_ms = decision.retry_after_ms,
+                  .details = decision.details,
+                  .body = {}});
+}
+
+// ---- what the engine replies ----
+
+void Processor::finish(PendingRequest& pending, const Decision& decision) {
+  pending.answered = true;
+  Decision remembered = decision;
+  if (pending.exchange && pending.exchange->awaits_decision()) {
+    reply(*pending.exchange, decision);
+  } else if (pending.attempt_in_flight() && withdraw_decision(pending)) {
+    pending.decision_withdrawn = true;
+    reply(*pending.exchange, decision);
+  } else if (decision.kind != Decision::kServed && !pending.any_attempt_may_have_left()) {
+    remembered.kind = Decision::kNotSent;
   }
+  remember_decision(pending, remembered);
 }
 
-// Tells the engine; `last`: the client has its answer, whatever it is.
-void Processor::end_attempt(Ms now, Record& r, Outcome outcome, const LoadReport& load, bool last) {
-  const RecordId id = r.id;
-  const AttemptId attempt = r.attempt;
-  attempt_over(r, outcome != Outcome::kNotSent);
-  if (last) {
-    r.answered = true;
-    remember(r, {!r.left ? Verdict::kUnsent : Verdict::kServed, 503, 14, 0, "cometfold_already_done"});
-    engine_.on_final_attempt_end(now, attempt, outcome, load);
-  } else {
-    engine_.on_attempt_end(now, attempt, outcome, {}, load);
+void Processor::on_served(Ms, ResponseHandle handle, std::string_view) {
+  if (PendingRequest* pending = find_pending(handle.connection)) {
+    finish(*pending, {Decision::kServed, 200, 0, 0, ""});
   }
-  forget_if_done(id);
 }
 
-// The proxy has told how it ended, in `report`; its call goes on without the request.
-void Processor::Exchange::on_report(Ms now, const Report& report) {
-  Record* r = owner_.find(record_);
-  if (!r) return;
-  record_ = 0;
-  r->exchange = nullptr;
-  if (r->attempt == 0) return owner_.forget_if_done(r->id);
-  ++owner_.totals_.ended;
-  Outcome outcome = outcome_of(report.seen, settings_->not_run);
-  if (!report.served.empty() && report.served != *r->endpoint) {
-    // Danger: whatever this tells, it tells of another host than the one whose record it would go to.
-    ++owner_.totals_.elsewhere;
-    return owner_.end_attempt(now, *r, Outcome::kCancelled, {}, true);
-  }
-  const bool last = outcome != Outcome::kOk && !owner_.may_come_again(*r);
-  owner_.end_attempt(now, *r, outcome, report.load, last);
+void Processor::on_rejected(Ms, ResponseHandle handle, Ms retry_after) {
+  PendingRequest* pending = find_pending(handle.connection);
+  if (!pending) return;
+  finish(*pending, rejection("cometfold_refused", retry_after));
+  erase_if_finished(handle.connection);
 }
 
-// The call is over without a word on the attempt.
-void Processor::leave(Ms now, Exchange& exchange) {
-  Record* r = find(exchange.record());
-  if (!r) return;
-  const RecordId id = r->id;
-  const bool waited = exchange.waits();
-  const bool unsent = r->out() && take_back(*r);
-  exchange.unbind();
-  r->exchange = nullptr;
-  if (waited) ++totals_.left;
-  if (r->attempt == 0) {  // nothing out: nobody is there to be answered
-    if (!r->answered) {
-      r->answered = true;
-      remember(*r, {r->left ? Verdict::kServed : Verdict::kUnsent, 503, 14, 0, "cometfold_already_done"});
-      engine_.on_client_disconnected(now, r->name);
-    }
-    return forget_if_done(id);
-  }
-  if (unsent) {
-    ++totals_.left;
-    return end_attempt(now, *r, Outcome::kNotSent, {}, true);
-  }
-  ++totals_.unknown;
-  end_attempt(now, *r, Outcome::kCancelled, {}, !may_come_again(*r));
+void Processor::on_failed(Ms, ResponseHandle handle, engine::FailureReason reason) {
+  PendingRequest* pending = find_pending(handle.connection);
+  if (!pending) return;
+  finish(*pending, failure_of(reason));
+  erase_if_finished(handle.connection);
 }
 
-// ---- time ----
-
-std::optional<Ms> Processor::next_due() const {
-  if (offers_.empty()) return {};
-  return offers_.front().until;
+void Processor::remember_decision(const PendingRequest& pending, const Decision& decision) {
+  if (pending.proxy_id.empty()) return;
+  const auto open = pending_by_proxy_id_.find(pending.proxy_id);
+  if (open == pending_by_proxy_id_.end() || open->second != pending.id) return;
+  pending_by_proxy_id_.erase(open);
+  const Decision& remembered = pending.proxy_id_ambiguous ? kIdNotUnique : decision;
+  finished_.insert({pending.proxy_id, pending.class_index, remembered}, settings_->max_remembered_decisions);
 }
 
-// Attempts that no call has fetched: the proxy does not repeat, or its client has gone.
-void Processor::run_due(Ms now) {
-  while (!offers_.empty() && offers_.front().until <= now) {
-    const Offer offer = offers_.front();
-    offers_.pop_front();
-    Record* r = find(offer.record);
-    if (!r || !r->offered || r->attempt != offer.attempt) continue;
-    end_attempt(now, *r, Outcome::kNotSent, {}, true);
-  }
+void Processor::erase_if_finished(PendingId id) {
+  const auto it = pending_.find(id);
+  if (it == pending_.end() || !it->second.answered || it->second.attempt != 0) return;
+  if (it->second.exchange) it->second.exchange->unbind();
+  pending_.erase(it);
 }
 
 }  // namespace cometfold::extproc
--- a/src/extproc/responses.cpp
+++ b/src/extproc/responses.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kEndpointHeader = "x-gateway-destination-endpoint";
 constexpr const char* kOriginalDst = "x-envoy-original-dst-host";
 
-// Room for one response on the stack.
+// Space for one response on the stack.
 class Arena {
  public:
   google::protobuf::Arena* get() { return &arena_; }
@@ -39,17 +39,18 @@
   option->set_append_action(pb::HeaderValueOption::OVERWRITE_IF_EXISTS_OR_ADD);
 }
 
-std::string whole(Ms ms, double (*round)(double)) {
+// Whole milliseconds, at least 1.
+std::string rounded(Ms ms, double (*round)(double)) {
   return std::to_string(static_cast<std::int64_t>(std::max(round(ms), 1.0)));
 }
 
 }  // namespace
 
-std::string route_response(const Route& route, const Destination& destination) {
+std::string route_response(const RouteDecision& route, const DestinationFormat& destination) {
   Arena arena;
   auto& response = *google::protobuf::Arena::CreateMessage<pb::ProcessingResponse>(arena.get());
   auto& mutation = *response.mutable_request_headers()->mutable_response()->mutable_header_mutation();
-  // Danger: a client's own word for the destination must not stand where ours does not.
+  // A destination that the client itself has set must not remain where none is set here.
   if (destination.header) {
     set(mutation, kEndpointHeader, route.endpoint);
   } else {
@@ -64,8 +65,8 @@
     auto& lb = *(*response.mutable_dynamic_metadata()->mutable_fields())["envoy.lb"].mutable_struct_value();
     (*lb.mutable_fields())[kEndpointHeader].set_string_value(route.endpoint.data(), route.endpoint.size());
   }
-  set(mutation, "x-envoy-upstream-rq-timeout-ms", whole(route.left, std::floor));
-  if (!route.keep_retries) {
+  set(mutation, "x-envoy-upstream-rq-timeout-ms", rounded(route.remaining_ms, std::floor));
+  if (!route.proxy_may_retry) {
     set(mutation, "x-envoy-max-retries", "0");
     for (const char* asks : {"x-envoy-retry-on", "x-envoy-retry-grpc-on", "x-envoy-hedge-on-per-try-timeout",
                              "x-envoy-upstream-rq-per-try-timeout-ms"}) {
@@ -81,45 +82,45 @@
   return response.SerializeAsString();
 }
 
-std::string immediate_response(const Immediate& immediate) {
+std::string immediate_response(const ImmediateReply& reply) {
   Arena arena;
   auto& response = *google::protobuf::Arena::CreateMessage<pb::ProcessingResponse>(arena.get());
   auto& answer = *response.mutable_immediate_response();
-  answer.mutable_status()->set_code(immediate.status);
+  answer.mutable_status()->set_code(reply.status);
   auto& headers = *answer.mutable_headers();
-  if (immediate.retry_after >= 1) {
-    set(headers, "retry-after", whole(immediate.retry_after / 1000, std::ceil));
-    set(headers, "retry-after-ms", whole(immediate.retry_after, std::ceil));
+  if (reply.retry_after_ms >= 1) {
+    set(headers, "retry-after", rounded(reply.retry_after_ms / 1000, std::ceil));
+    set(headers, "retry-after-ms", rounded(reply.retry_after_ms, std::ceil));
     // gRPC's retry design (proposal A6): how long the client waits before it tries again.
-    if (immediate.grpc) set(headers, "grpc-retry-pushback-ms", whole(immediate.retry_after, std::ceil));
+    if (reply.is_grpc) set(headers, "grpc-retry-pushback-ms", rounded(reply.retry_after_ms, std::ceil));
   }
-  if (immediate.grpc) answer.mutable_grpc_status()->set_status(static_cast<unsigned>(immediate.grpc_status));
-  if (!immediate.body.empty()) {
-    if (!immediate.grpc) set(headers, "content-type", "text/plain");
-    answer.set_body(immediate.body.data(), immediate.body.size());
+  if (reply.is_grpc) answer.mutable_grpc_status()->set_status(static_cast<unsigned>(reply.grpc_status));
+  if (!reply.body.empty()) {
+    if (!reply.is_grpc) set(headers, "content-type", "text/plain");
+    answer.set_body(reply.body.data(), reply.body.size());
   }
-  answer.set_details(immediate.details.data(), immediate.details.size());
+  answer.set_details(reply.details.data(), reply.details.size());
   return response.SerializeAsString();
 }
 
 namespace {
 
-std::string make_continue(Part part) {
+std::string make_continue(BodyPart part) {
   pb::ProcessingResponse response;
   switch (part) {
-    case Part::kResponseHeaders:
+    case BodyPart::kResponseHeaders:
       response.mutable_response_headers();
       break;
-    case Part::kRequestBody:
+    case BodyPart::kRequestBody:
       response.mutable_request_body();
       break;
-    case Part::kResponseBody:
+    case BodyPart::kResponseBody:
       response.mutable_response_body();
       break;
-    case Part::kRequestTrailers:
+    case BodyPart::kRequestTrailers:
       response.mutable_request_trailers();
       break;
-    case Part::kResponseTrailers:
+    case BodyPart::kResponseTrailers:
       response.mutable_response_trailers();
       break;
   }
@@ -128,18 +129,18 @@
 
 }  // namespace
 
-const std::string& continue_response(Part part) {
+const std::string& continue_response(BodyPart part) {
   static const std::array<std::string, 5> all{
-      make_continue(Part::kResponseHeaders), make_continue(Part::kRequestBody),
-      make_continue(Part::kResponseBody), make_continue(Part::kRequestTrailers),
-      make_continue(Part::kResponseTrailers)};
+      make_continue(BodyPart::kResponseHeaders), make_continue(BodyPart::kRequestBody),
+      make_continue(BodyPart::kResponseBody), make_continue(BodyPart::kRequestTrailers),
+      make_continue(BodyPart::kResponseTrailers)};
   return all[static_cast<std::size_t>(part)];
 }
 
-std::string echo_response(Part part, std::string_view body, bool end) {
+std::string echo_response(BodyPart part, std::string_view body, bool end) {
   pb::ProcessingResponse response;
   auto& answer =
-      part == Part::kRequestBody ? *response.mutable_request_body() : *response.mutable_response_body();
+      part == BodyPart::kRequestBody ? *response.mutable_request_body() : *response.mutable_response_body();
   auto& piece = *answer.mutable_response()->mutable_body_mutation()->mutable_streamed_response();
   piece.set_body(body.data(), body.size());
   piece.set_end_of_stream(end);
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -249,7 +249,7 @@
     e.size = t.size;
     if (e.state == HostState::kReady) {
       hosts_.add(id, t.endpoint, e.started_at);
-      if (processor_) processor_->processor().add(id, to_text(t.endpoint));
+      if (processor_) processor_->processor().add_host(id, to_text(t.endpoint));
     }
     all.push_back(e);
   }
@@ -305,7 +305,7 @@
 void Gateway::arm_timer() {
   auto due = engine_.next_timer();
   if (processor_) {
-    const auto fetch = processor_->processor().next_due();
+    const auto fetch = processor_->processor().next_timer();
     if (fetch && (!due || *fetch < *due)) due = fetch;
   }
   if (!due || (timer_at_ > 0 && timer_at_ <= *due)) return;
@@ -569,7 +569,7 @@
   if (engine_.unanswered_count() > 0 && now >= settle_at) engine_.fail_all(now);
   const std::size_t proxies = processor_ ? processor_->listener().connections() : 0;
   if (clients_.connections() + proxies == 0 || now >= settle_at + kLastBytes) {
-    if (processor_) log_line("external processor", extproc::to_text(processor_->processor().totals()));
+    if (processor_) log_line("external processor", extproc::to_text(processor_->processor().metrics()));
     return on_stopped_();
   }
   stop_timer_.expires_after(kLookAgain);
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -82,7 +82,7 @@
 int check_config(const Options& options) {
   try {
     const Config config = with_own_settings(read_config_file(options.check), options);
-    if (config.own.processor_at) extproc::check(config.own.processor, processor_names(config));
+    if (config.own.processor_at) extproc::validate(config.own.processor, processor_names(config));
     std::printf("%s: good: %zu classes, %zu plans, %zu hosts known\n", options.check.c_str(),
                 config.class_names.size(), config.plan_names.size(), config.known.targets.size());
     return 0;
@@ -96,7 +96,7 @@
   try {
     OwnSettings own;
     if (!options.settings.empty()) own = read_own_settings(options.settings);
-    std::printf("%s", extproc::outcome_table(own.processor.not_run).c_str());
+    std::printf("%s", extproc::outcome_table(own.processor.not_executed_statuses).c_str());
     return 0;
   } catch (const std::exception& bad) {
     std::fprintf(stderr, "%s\n", bad.what());
--- a/src/net/own_settings.cpp
+++ b/src/net/own_settings.cpp
@@ -107,23 +107,23 @@
   };
 }
 
-Take repeats(extproc::Repeats& into) {
+Take repeats(extproc::ProxyRetries& into) {
   return [&into](const toml::node& node) -> std::string {
     const auto value = node.value<std::string>().value_or("");
     if (value != "never" && value != "marked") {
       return "\"never\" (the proxy calls once for a request) or \"marked\" (it calls for each try, with an "
              "attempt count)";
     }
-    into = value == "never" ? extproc::Repeats::kNever : extproc::Repeats::kMarked;
+    into = value == "never" ? extproc::ProxyRetries::kNever : extproc::ProxyRetries::kMarked;
     return kTaken;
   };
 }
 
-Take destination(extproc::Destination& into) {
+Take destination(extproc::DestinationFormat& into) {
   return [&into](const toml::node& node) -> std::string {
     const char* right = "a list of at least one of \"header\", \"metadata\" and \"original-dst\"";
     if (!node.is_array() || node.as_array()->empty()) return right;
-    extproc::Destination chosen{false, false, false};
+    extproc::DestinationFormat chosen{false, false, false};
     for (const auto& element : *node.as_array()) {
       const auto way = element.value<std::string>().value_or("");
       if (way != "header" && way != "metadata" && way != "original-dst") return right;
@@ -246,29 +246,29 @@
       {"class", classes(path, w.entries)}};
 }
 
-Take rules(const std::string& path, std::vector<extproc::Rule>& into,
+Take rules(const std::string& path, std::vector<extproc::RouteRule>& into,
            std::vector<limits::LimitEntry>& limited) {
   return [&path, &into, &limited](const toml::node& node) -> std::string {
     if (!node.is_array() || node.as_array()->size() > 1000) return "at most 1000 tables: [[extproc.rule]]";
-    std::vector<extproc::Rule> all;
+    std::vector<extproc::RouteRule> all;
     for (const auto& element : *node.as_array()) {
-      extproc::Rule rule;
+      extproc::RouteRule rule;
       double units = 0;
       limits::LimitEntry limit;
       Known known{{"method", method(rule.method)},
                   {"path", path_pattern(rule.path)},
-                  {"class", text(rule.cls, 1)},
-                  {"plan", text(rule.plan, 1)},
+                  {"class", text(rule.class_name, 1)},
+                  {"plan", text(rule.plan_name, 1)},
                   {"units", number(units, 1e-6, 1e9, "a number above 0")}};
       known.merge(attempt_limits(limit));
-      if (const auto right = inner(path, "[extproc.rule]", known, &rule.at)(element); !right.empty()) {
+      if (const auto right = inner(path, "[extproc.rule]", known, &rule.source)(element); !right.empty()) {
         complain(path, element.source(), "extproc.rule must be " + right);
       }
       if (units > 0) rule.units = units;
       if (limit.has_limits()) {
-        if (rule.cls.empty())
+        if (rule.class_name.empty())
           complain(path, element.source(), "a rule that limits attempts must name its class");
-        limit.class_name = rule.cls;
+        limit.class_name = rule.class_name;
         limit.route = (rule.method.empty() ? "" : rule.method + " ") + (rule.path.empty() ? "*" : rule.path);
         limit.rule_index = all.size();
         limit.line = static_cast<int>(element.source().begin.line);
@@ -293,36 +293,37 @@
         into, [](std::string& one) { return text(one, 1); },
         "a list of figures' names, such as [\"named_metrics.queue\", \"cpu_utilization\"]");
   };
-  const Known request{{"class_header", header(m.class_header)},
-                      {"plan_header", header(m.plan_header)},
-                      {"customer_header", header(m.customer_header)},
-                      {"units_header", header(m.units_header)},
-                      {"gateways_header", header(m.spread_header)},
-                      {"key_header", header(m.key_header)},
-                      {"id_header", header(m.id_header)},
-                      {"attempt_header", header(m.attempt_header)},
-                      {"deadline_headers", headers(m.deadline_headers)},
-                      {"default_class", text(m.default_class)},
-                      {"default_plan", text(m.default_plan)},
-                      {"default_customer", text(m.default_customer)},
-                      {"default_units", number(m.default_units, 1e-6, 1e9, "a number above 0")},
-                      {"default_gateways", number(m.default_spread, 0, 1e6, "a number from 0 (all) upward")}};
+  const Known request{
+      {"class_header", header(m.class_header)},
+      {"plan_header", header(m.plan_header)},
+      {"customer_header", header(m.customer_header)},
+      {"units_header", header(m.units_header)},
+      {"gateways_header", header(m.gateway_count_header)},
+      {"key_header", header(m.key_header)},
+      {"id_header", header(m.id_header)},
+      {"attempt_header", header(m.attempt_header)},
+      {"deadline_headers", headers(m.deadline_headers)},
+      {"default_class", text(m.default_class)},
+      {"default_plan", text(m.default_plan)},
+      {"default_customer", text(m.default_customer)},
+      {"default_units", number(m.default_units, 1e-6, 1e9, "a number above 0")},
+      {"default_gateways", number(m.default_gateway_count, 0, 1e6, "a number from 0 (all) upward")}};
   const Known load{{"header", header(p.load.header)},
-                   {"queue", figures(p.load.queue)},
+                   {"queue", figures(p.load.queue_length)},
                    {"in_flight", figures(p.load.in_flight)},
-                   {"busy", figures(p.load.busy)}};
+                   {"busy", figures(p.load.utilization)}};
   const char* bytes = "a whole number of bytes from 1024 to 67108864";
   const char* ms = "a number of milliseconds from 1 to 3600000";
   return {
       {"listen", endpoint(s.processor_at)},
       {"destination", destination(p.destination)},
-      {"repeats", repeats(p.repeats)},
-      {"repeat_wait_ms", number(p.repeat_wait_ms, 1, 60'000, "a number of milliseconds from 1 to 60000")},
-      {"remembered", number(p.remembered, 0, 1e6, "a whole number from 0 to 1000000")},
-      {"margin_ms", number(p.margin_ms, 0, 10'000, "a number of milliseconds from 0 to 10000")},
+      {"repeats", repeats(p.proxy_retries)},
+      {"repeat_wait_ms", number(p.retry_wait_ms, 1, 60'000, "a number of milliseconds from 1 to 60000")},
+      {"remembered", number(p.max_remembered_decisions, 0, 1e6, "a whole number from 0 to 1000000")},
+      {"margin_ms", number(p.deadline_margin_ms, 0, 10'000, "a number of milliseconds from 0 to 10000")},
       {"mode_override", flag(p.mode_override)},
       {"not_run", list<int>(
-                      p.not_run, [](int& one) { return number(one, 400, 599, "a status"); },
+                      p.not_executed_statuses, [](int& one) { return number(one, 400, 599, "a status"); },
                       "a list of statuses from 400 to 599")},
       {"connections", number(s.grpc.connections, 1, 10'000, "a whole number from 1 to 10000")},
       {"streams", number(http2.streams, 1, 100'000, "a whole number from 1 to 100000")},
@@ -335,7 +336,7 @@
       {"first_message_ms", number(s.grpc.calls.first_message, 1, 3.6e6, ms)},
       {"silent_ms", number(s.grpc.silent_ms, 1, 3.6e6, ms)},
       {"answer_ms", number(s.grpc.answer_ms, 1, 3.6e6, ms)},
-      {"request", inner(path, "extproc.request", request, &m.at)},
+      {"request", inner(path, "extproc.request", request, &m.source)},
       {"rule", rules(path, m.rules, s.limits.entries)},
       {"load", inner(path, "extproc.load", load)},
   };
@@ -410,7 +411,7 @@
 
 OwnSettings read_own_settings(const std::string& path) {
   OwnSettings s;
-  s.processor.mapping.at = s.limits.file = path;
+  s.processor.mapping.source = s.limits.file = path;
   const Known hosts{
       {"rest_ms", number(s.rest_ms, 0, 10'000, "a number of milliseconds from 0 to 10000")},
       {"idle_per_host", number(s.idle_per_host, 0, 65'536, "a whole number from 0 to 65536")},
--- a/src/net/own_settings.h
+++ b/src/net/own_settings.h
@@ -34,7 +34,7 @@
 
   // [extproc]: the external processor; without an address there is none.
   std::optional<boost::asio::ip::tcp::endpoint> processor_at;
-  extproc::Settings processor;
+  extproc::ProcessorSettings processor;
   GrpcLimits grpc;
 
   // [peers]: the other gateways; without an address there are none.
--- a/src/net/processor_server.cpp
+++ b/src/net/processor_server.cpp
@@ -7,7 +7,7 @@
 
 namespace cometfold::net {
 
-extproc::Names processor_names(const Config& config) {
+extproc::NamedSettings processor_names(const Config& config) {
   return {config.class_names, config.plan_names, config.settings, bounds_of(config, config.class_names)};
 }
 
@@ -25,7 +25,7 @@
   log_line("external processor", at.address().to_string() + ":" + std::to_string(at.port()));
 }
 
-void ProcessorServer::reload(const Config& config, extproc::Names names) {
+void ProcessorServer::reload(const Config& config, extproc::NamedSettings names) {
   if (config.own.processor_at != at_) log_line("another address for the external processor needs a restart");
   processor_.reload(config.own.processor, std::move(names));
 }
--- a/src/net/processor_server.h
+++ b/src/net/processor_server.h
@@ -14,7 +14,7 @@
 
 namespace cometfold::net {
 
-extproc::Names processor_names(const Config& config);
+extproc::NamedSettings processor_names(const Config& config);
 
 class ProcessorServer : private http2::grpc::Methods {
  public:
@@ -26,8 +26,8 @@
   GrpcListener& listener() { return listener_; }
   extproc::Processor& processor() { return processor_; }
   // Throws extproc::SettingsError and keeps what it has.
-  void reload(const Config& config, extproc::Names names);
-  void run_due(Ms now) { processor_.run_due(now); }
+  void reload(const Config& config, extproc::NamedSettings names);
+  void run_due(Ms now) { processor_.run_timers(now); }
 
  private:
   http2::grpc::Service* find(std::string_view path) override {
--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -120,8 +120,8 @@
   std::optional<Status> status;
 };
 
-inline Names names() {
-  Names n{{"lookup", "hold", "zoned", "pay"}, {"team", "tiny"}, {}};
+inline NamedSettings names() {
+  NamedSettings n{{"lookup", "hold", "zoned", "pay"}, {"team", "tiny"}, {}};
   auto& s = n.settings;
   s.classes = {{20'000, 30'000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
                {20'000, 30'000, 1, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 60'000},
@@ -157,7 +157,7 @@
 
 class Bench {
  public:
-  explicit Bench(Settings settings = {}, int hosts = 2, engine::EngineLimits limits = {})
+  explicit Bench(ProcessorSettings settings = {}, int hosts = 2, engine::EngineLimits limits = {})
       : engine(module, none, limits, [](std::string_view, std::string_view) {}),
         processor(engine, names(), std::move(settings), 77) {
     engine.add_upstream(processor);
@@ -166,7 +166,7 @@
   }
   static std::string endpoint(HostId h) { return "127.0.0.1:" + std::to_string(9000 + h); }
   void ready(HostId h, std::uint32_t zone = 0) {
-    processor.add(h, endpoint(h));
+    processor.add_host(h, endpoint(h));
     tell({.id = h, .state = HostState::kReady, .zone = zone});
   }
   void drain(HostId h) { tell({.id = h, .state = HostState::kDraining}); }
@@ -220,11 +220,11 @@
     const Ms until = now + ms;
     for (;;) {
       auto due = engine.next_timer();
-      if (const auto fetch = processor.next_due(); fetch && (!due || *fetch < *due)) due = fetch;
+      if (const auto fetch = processor.next_timer(); fetch && (!due || *fetch < *due)) due = fetch;
       if (!due || *due > until) break;
       now = std::max(now, *due);
       engine.run_timers(now);
-      processor.run_due(now);
+      processor.run_timers(now);
     }
     now = until;
   }
@@ -239,7 +239,7 @@
     EXPECT_EQ(engine.payload_bytes(), 0u);
     EXPECT_EQ(processor.open(), 0u);
   }
-  const Totals& totals() const { return processor.totals(); }
+  const ProcessorMetrics& totals() const { return processor.metrics(); }
 
   Ms now = 1'000'000;
   engine::ControllerPolicy module{names().settings, 5};
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -11,9 +11,9 @@
 namespace cometfold::extproc::testing {
 namespace {
 
-Settings marked() {
-  Settings s;
-  s.repeats = Repeats::kMarked;
+ProcessorSettings marked() {
+  ProcessorSettings s;
+  s.proxy_retries = ProxyRetries::kMarked;
   return s;
 }
 const HeaderList kSecond{{"x-envoy-attempt-count", "2"}};
@@ -46,7 +46,7 @@
 }
 
 TEST(Processor, AWayThatIsNotChosenIsRemovedFromWhatTheClientSent) {
-  Settings s;
+  ProcessorSettings s;
   s.destination = {false, true, false};
   Bench b(s);
   const auto d = b.ask().call.decision();
@@ -72,8 +72,8 @@
     EXPECT_GT(ms, 0);
   }
   EXPECT_GT(refused, 30);
-  EXPECT_EQ(b.totals().refused, static_cast<std::uint64_t>(refused));
-  EXPECT_EQ(b.totals().named + b.totals().refused, 40u);
+  EXPECT_EQ(b.totals().rejected, static_cast<std::uint64_t>(refused));
+  EXPECT_EQ(b.totals().routed + b.totals().rejected, 40u);
   const auto grpc =
       b.ask({{"x-cometfold-plan", "tiny"}, {"content-type", "application/grpc"}}).call.decision();
   EXPECT_EQ(grpc.grpc_status, 8);
@@ -120,25 +120,25 @@
   EXPECT_EQ(said({{"grpc-timeout", "5"}}), "grpc-timeout is none: '5'\n");
   EXPECT_EQ(said({{"x-envoy-attempt-count", "0"}}),
             "x-envoy-attempt-count must be a whole number from 1 to 1000, not '0'\n");
-  EXPECT_EQ(b.totals().rejected, 9u);
-  EXPECT_EQ(b.totals().asked, 0u);
+  EXPECT_EQ(b.totals().bad_requests, 9u);
+  EXPECT_EQ(b.totals().new_requests, 0u);
   b.expect_empty();
 }
 
 TEST(Mapping, RulesAndDefaultsGiveWhatNoHeaderSays) {
-  Mapping m;
+  HeaderMapping m;
   m.class_header.clear();
   m.default_plan = "team";
   m.default_customer = "everybody";
   m.rules = {{"GET", "/shop/*", "lookup", "", 0.5, ""}, {"", "/pay", "pay", "tiny", {}, ""}};
-  const Mapper mapper(m, names(), 1);
+  const RequestMapper mapper(m, names(), 1);
   const auto map = [&](std::vector<HeaderView> h) { return mapper.map(h); };
   auto got = map({{":method", "GET"}, {":path", "/shop/1?x=/pay"}});
   EXPECT_EQ(got.error, "");
   EXPECT_EQ(got.request.class_index, 0u);
   EXPECT_EQ(got.request.units, 0.5);
   EXPECT_EQ(got.request.gateway_count, 2);
-  EXPECT_EQ(got.wait, 30'000);
+  EXPECT_EQ(got.timeout_ms, 30'000);
   got = map({{":method", "POST"}, {":path", "/pay?a=b"}, {"x-cometfold-units", "3"}});
   EXPECT_EQ(got.request.class_index, 3u);
   EXPECT_EQ(got.request.plan_index, 1u);
@@ -149,28 +149,29 @@
              {":path", "/shop/"},
              {"x-envoy-expected-rq-timeout-ms", "7"},
              {"grpc-timeout", "2S"}});
-  EXPECT_EQ(got.wait, 2000) << "the first of the list, whatever comes first";
-  EXPECT_EQ(map({{":method", "GET"}, {":path", "/shop/"}, {"x-envoy-expected-rq-timeout-ms", "0"}}).wait,
-            30'000);
+  EXPECT_EQ(got.timeout_ms, 2000) << "the first of the list, whatever comes first";
+  EXPECT_EQ(
+      map({{":method", "GET"}, {":path", "/shop/"}, {"x-envoy-expected-rq-timeout-ms", "0"}}).timeout_ms,
+      30'000);
 }
 
 TEST(Mapping, CustomersAreNumbersOrNames) {
-  EXPECT_EQ(customer_number("000000000000000a", 9), 10u);
-  EXPECT_NE(customer_number("shop", 9), customer_number("shoq", 9));
-  EXPECT_NE(customer_number("shop", 9), customer_number("shop", 8));
-  EXPECT_GE(customer_number("ffffffffffffffff", 9), CustomerId{1} << 33);
+  EXPECT_EQ(customer_id_of("000000000000000a", 9), 10u);
+  EXPECT_NE(customer_id_of("shop", 9), customer_id_of("shoq", 9));
+  EXPECT_NE(customer_id_of("shop", 9), customer_id_of("shop", 8));
+  EXPECT_GE(customer_id_of("ffffffffffffffff", 9), CustomerId{1} << 33);
 }
 
 TEST(Settings, NamesThatTheConfigurationDoesNotHaveAreNamedWithTheirPlace) {
-  const auto said = [](const Settings& s) {
+  const auto said = [](const ProcessorSettings& s) {
     try {
-      check(s, names());
-    } catch (const SettingsError& error) {
+      validate(s, names());
+    } catch (const ProcessorSettingsError& error) {
       return std::string(error.what());
     }
     return std::string();
   };
-  Settings s;
+  ProcessorSettings s;
   EXPECT_EQ(said(s), "");
   s.mapping.rules = {{"", "", "nope", "", {}, "f:7"}};
   EXPECT_EQ(said(s), "f:7: no class 'nope'; there are lookup, hold, zoned, pay");
@@ -178,7 +179,7 @@
   EXPECT_EQ(said(s), "f:8: units must be at most 4.000000");
   s.mapping.rules.clear();
   s.mapping.default_plan = "gold";
-  s.mapping.at = "f:3";
+  s.mapping.source = "f:3";
   EXPECT_EQ(said(s), "f:3: no plan 'gold'; there are team, tiny");
 }
 
@@ -190,10 +191,10 @@
   const std::string unknown = std::string("\x42\x03zzz", 5) + std::string("\xa0\x06\x07", 3) +
                               std::string("\xa9\x06") + std::string(8, 'x') + std::string("\xb5\x06") +
                               "1234";
-  Message read;
+  ProcessingRequest read;
   const std::string between = unknown + known + unknown;  // the views go no further than the bytes
-  ASSERT_TRUE(read_message(between, read));
-  EXPECT_EQ(read.part, Message::kRequestHeaders);
+  ASSERT_TRUE(parse_processing_request(between, read));
+  EXPECT_EQ(read.part, ProcessingRequest::kRequestHeaders);
   ASSERT_EQ(read.headers.size(), 2u);
   EXPECT_EQ(read.headers[0].name, "a");
   EXPECT_EQ(read.headers[0].value, "1");
@@ -202,8 +203,8 @@
   m.Clear();
   m.mutable_response_body()->set_body("xyz");
   const std::string two = known + m.SerializeAsString();
-  ASSERT_TRUE(read_message(two, read));
-  EXPECT_EQ(read.part, Message::kResponseBody);
+  ASSERT_TRUE(parse_processing_request(two, read));
+  EXPECT_EQ(read.part, ProcessingRequest::kResponseBody);
   EXPECT_EQ(read.body, "xyz");
   EXPECT_FALSE(read.end_of_stream);
   // A value as text, as older proxies send it, and a field of another type than it should have.
@@ -212,23 +213,23 @@
   h->set_key("k");
   h->set_value("text");
   const std::string old = m.SerializeAsString();
-  ASSERT_TRUE(read_message(old, read));
+  ASSERT_TRUE(parse_processing_request(old, read));
   EXPECT_EQ(read.headers.at(0).value, "text");
   const std::string number("\x10\x05", 2);
-  ASSERT_TRUE(read_message(number, read));  // field 2 as a number
+  ASSERT_TRUE(parse_processing_request(number, read));  // field 2 as a number
   EXPECT_EQ(read.headers.size(), 0u);
 }
 
 TEST(Messages, WhatIsCutAnywhereIsNoMessageOrAShorterOne) {
   const std::string whole = response_headers({{":status", "200"}, {"x", std::string(300, 'v')}},
                                              {{"response.code_details", "via_upstream"}});
-  Message read;
-  ASSERT_TRUE(read_message(whole, read));
+  ProcessingRequest read;
+  ASSERT_TRUE(parse_processing_request(whole, read));
   EXPECT_EQ(read.code_details, "via_upstream");
   std::size_t good = 0;
   for (std::size_t n = 0; n < whole.size(); ++n) {
     const std::string cut = whole.substr(0, n);  // of its own, so that a read past its end shows
-    good += read_message(cut, read);
+    good += parse_processing_request(cut, read);
   }
   EXPECT_LE(good, 3u);  // between two fields at most
 }
@@ -263,29 +264,30 @@
 }
 
 TEST(Load, OrcaInItsThreeFormsAndThePlainHeader) {
-  const LoadMapping m;
-  const auto text = read_orca(m, "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.in_flight=4");
+  const LoadReportMapping m;
+  const auto text =
+      parse_orca_report(m, "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.in_flight=4");
   EXPECT_EQ(text.queue_length, 3);
   EXPECT_EQ(text.in_flight, 4);
   EXPECT_EQ(text.utilization, 0.5);
-  const auto json = read_orca(
+  const auto json = parse_orca_report(
       m, R"(JSON {"cpu_utilization":0.5,"application_utilization":0.25,"named_metrics":{"queue":7}})");
   EXPECT_EQ(json.queue_length, 7);
   EXPECT_EQ(json.utilization, 0.25);
   EXPECT_FALSE(json.in_flight);
   // cpu_utilization 0.5 and named_metrics {"queue": 2}, encoded by hand.
-  const auto binary = read_orca(m, "BIN CQAAAAAAAOA/QhAKBXF1ZXVlEQAAAAAAAABA");
+  const auto binary = parse_orca_report(m, "BIN CQAAAAAAAOA/QhAKBXF1ZXVlEQAAAAAAAABA");
   EXPECT_EQ(binary.queue_length, 2);
   EXPECT_EQ(binary.utilization, 0.5);
-  EXPECT_EQ(read_orca_binary(m, "CQAAAAAAAOA/").utilization, 0.5);
-  const auto plain = read_plain("queue=1, in_flight=2 ,busy=0.1");
+  EXPECT_EQ(parse_orca_binary_report(m, "CQAAAAAAAOA/").utilization, 0.5);
+  const auto plain = parse_plain_report("queue=1, in_flight=2 ,busy=0.1");
   EXPECT_EQ(plain.queue_length, 1);
   EXPECT_EQ(plain.in_flight, 2);
   EXPECT_EQ(plain.utilization, 0.1);
   for (const char* bad :
        {"", "TEXT", "JSON {", "JSON []", "BIN !!", "BIN AAAA", "XML <a/>", "TEXT named_metrics.queue=-1",
         "TEXT named_metrics.queue=1e9", "JSON {\"named_metrics\":3}"}) {
-    const auto none = read_orca(m, bad);
+    const auto none = parse_orca_report(m, bad);
     EXPECT_FALSE(none.queue_length || none.in_flight) << bad;
   }
 }
@@ -310,13 +312,13 @@
   Bench b;
   auto& c = b.ask({}, "hold", "id-1");
   b.report(c, 200, "", {{"x-gateway-destination-endpoint-served", "127.0.0.1:1"}});
-  EXPECT_EQ(b.totals().elsewhere, 1u);
+  EXPECT_EQ(b.totals().sent_to_other_host, 1u);
   EXPECT_EQ(b.engine.open_count(), 0u);
   // It has run somewhere: nothing that its class does not cover may be sent again.
   EXPECT_EQ(b.ask(kSecond, "hold", "id-1").call.decision().details, "cometfold_already_done");
   auto& same = b.ask();
   b.report(same, 200, "", {{"x-gateway-destination-endpoint-served", same.call.decision().endpoint}});
-  EXPECT_EQ(b.totals().elsewhere, 1u);
+  EXPECT_EQ(b.totals().sent_to_other_host, 1u);
   b.expect_empty();
 }
 
@@ -378,7 +380,7 @@
   b.report(c, 200);
   EXPECT_TRUE(c.call.got.empty());
   EXPECT_EQ(b.totals().observed, 1u);
-  EXPECT_EQ(b.totals().asked, 0u);
+  EXPECT_EQ(b.totals().new_requests, 0u);
   b.expect_empty();
 }
 
@@ -398,7 +400,7 @@
       b.pass(300);
       EXPECT_EQ(b.engine.open_count(), 0u) << point << held;
       EXPECT_EQ(b.processor.open(), 0u) << point << held;
-      EXPECT_EQ(b.totals().asked, point > 0 ? 1u : 0u);
+      EXPECT_EQ(b.totals().new_requests, point > 0 ? 1u : 0u);
       b.expect_empty();
     }
   }
@@ -415,7 +417,7 @@
     ASSERT_TRUE(c.call.status) << point;
     EXPECT_EQ(c.call.status->code, Code::kOk);
     EXPECT_EQ(b.engine.open_count(), 0u) << point;
-    EXPECT_EQ(b.totals().unknown, point == 2 ? 1u : 0u);
+    EXPECT_EQ(b.totals().unreported, point == 2 ? 1u : 0u);
     // A decision that never left costs nothing and may be asked for again.
     const auto again = b.ask(kSecond, "pay", "id").call.decision();
     EXPECT_EQ(again.endpoint.empty(), point == 0 || point > 1) << point;
@@ -445,8 +447,8 @@
   }
   b.pass(1000);
   EXPECT_EQ(b.engine.open_count(), 0u);
-  EXPECT_GT(b.totals().silent, 20u);
-  EXPECT_EQ(b.totals().silent, b.totals().named);
+  EXPECT_GT(b.totals().report_timeouts, 20u);
+  EXPECT_EQ(b.totals().report_timeouts, b.totals().routed);
   std::map<std::string, int> to;
   for (int i = 0; i < 30; ++i) {
     auto& c = b.ask();
@@ -464,7 +466,7 @@
   b.pass(1000);
   b.report(c, 200);
   EXPECT_EQ(c.call.got.size(), 2u);
-  EXPECT_EQ(b.totals().ended, 0u);
+  EXPECT_EQ(b.totals().reported, 0u);
   b.expect_empty();
 }
 
@@ -480,9 +482,9 @@
   EXPECT_EQ(c.call.got.size(), 1u);
   EXPECT_EQ(c.call.decision().endpoint, Bench::endpoint(3 - host));
   EXPECT_EQ(b.totals().withdrawn, 1u);
-  EXPECT_EQ(b.totals().named, 1u);
+  EXPECT_EQ(b.totals().routed, 1u);
   b.report(c, 200);
-  EXPECT_EQ(b.totals().ended, 1u);
+  EXPECT_EQ(b.totals().reported, 1u);
   b.expect_empty();
 }
 
@@ -493,7 +495,7 @@
   c.call.flush();
   EXPECT_EQ(c.call.got.size(), 1u);
   EXPECT_EQ(c.call.decision().status, 429);
-  EXPECT_EQ(b.totals().named, 0u);
+  EXPECT_EQ(b.totals().routed, 0u);
   b.expect_empty();
 }
 
@@ -508,7 +510,7 @@
     b.report(other, 200);
   }
   b.report(c, 200);
-  EXPECT_EQ(b.totals().ended, 21u);
+  EXPECT_EQ(b.totals().reported, 21u);
   b.expect_empty();
 }
 
@@ -540,17 +542,17 @@
   EXPECT_FALSE(again.call.decision().endpoint.empty());
   EXPECT_NE(again.call.decision().endpoint, c.call.decision().endpoint);
   b.report(again, 200);
-  EXPECT_EQ(b.totals().asked, 1u);
-  EXPECT_EQ(b.totals().again, 1u);
-  EXPECT_EQ(b.totals().named, 2u);
+  EXPECT_EQ(b.totals().new_requests, 1u);
+  EXPECT_EQ(b.totals().retried_requests, 1u);
+  EXPECT_EQ(b.totals().routed, 2u);
   b.expect_empty();
 }
 
 TEST(Again, AnUnsafeRequestIsNeverGivenASecondHost) {
-  for (const auto repeats : {Repeats::kNever, Repeats::kMarked}) {
+  for (const auto repeats : {ProxyRetries::kNever, ProxyRetries::kMarked}) {
     for (int how = 0; how < 5; ++how) {
-      Settings s;
-      s.repeats = repeats;
+      ProcessorSettings s;
+      s.proxy_retries = repeats;
       Bench b(s);
       auto& c = b.ask({}, "pay", "id");
       EXPECT_EQ(c.call.decision().set.at("x-envoy-max-retries"), "0");
@@ -561,7 +563,7 @@
       const auto d = b.ask(kSecond, "pay", "id").call.decision();
       EXPECT_TRUE(d.endpoint.empty()) << how;
       EXPECT_EQ(d.status == 503 || d.status == 504, true) << d.status;
-      EXPECT_EQ(b.totals().named, 1u);
+      EXPECT_EQ(b.totals().routed, 1u);
       b.expect_empty();
     }
   }
@@ -573,9 +575,9 @@
   auto& again = b.ask(kSecond, "lookup", "id");
   EXPECT_FALSE(again.call.decision().endpoint.empty());
   b.report(c, 200);  // of an attempt that the proxy had given up
-  EXPECT_EQ(b.totals().ended, 0u);
+  EXPECT_EQ(b.totals().reported, 0u);
   b.report(again, 200);
-  EXPECT_EQ(b.totals().ended, 1u);
+  EXPECT_EQ(b.totals().reported, 1u);
   b.expect_empty();
 }
 
@@ -587,7 +589,7 @@
   EXPECT_EQ(again.call.decision().endpoint, first);
   EXPECT_TRUE(c.call.out.empty());
   EXPECT_EQ(c.call.status.value().code, Code::kAborted);
-  EXPECT_EQ(b.totals().named, 1u);
+  EXPECT_EQ(b.totals().routed, 1u);
   auto& gone = b.ask({}, "pay", "id2", true);
   b.gone(gone);
   EXPECT_FALSE(b.ask(kSecond, "pay", "id2").call.decision().endpoint.empty());
@@ -625,9 +627,9 @@
     const auto id = "r" + std::to_string(i);
     if (b.ask({{"x-cometfold-plan", "tiny"}}, "lookup", id).call.decision().status == 429) refused = id;
   }
-  const auto before = b.totals().asked;
+  const auto before = b.totals().new_requests;
   EXPECT_EQ(b.ask(kSecond, "lookup", refused).call.decision().status, 429);
-  EXPECT_EQ(b.totals().asked, before);
+  EXPECT_EQ(b.totals().new_requests, before);
   auto& done = b.ask({}, "hold", "done");
   b.report(done, 200);
   EXPECT_EQ(b.ask(kSecond, "hold", "done").call.decision().details, "cometfold_already_done");
@@ -640,7 +642,7 @@
   auto terms = names().settings;
   terms.classes[1].idempotency_key_ttl_ms = 1000;  // of the class "hold"
   auto settings = marked();
-  settings.repeat_wait_ms = 10'000;
+  settings.retry_wait_ms = 10'000;
   for (const bool late : {true, false}) {
     Bench b(settings);
     b.engine.set_rules(terms);
@@ -684,7 +686,7 @@
   b.report(one, 500);
   EXPECT_EQ(b.ask(kSecond, "lookup", "same").call.decision().details, "cometfold_id_not_unique");
   b.report(two, 200);
-  EXPECT_EQ(b.totals().asked, 2u);
+  EXPECT_EQ(b.totals().new_requests, 2u);
   b.expect_empty();
 }
 
@@ -719,13 +721,13 @@
 }
 
 TEST(Again, WhatIsRememberedIsBounded) {
-  Settings s = marked();
-  s.remembered = 50;
+  ProcessorSettings s = marked();
+  s.max_remembered_decisions = 50;
   Bench b(s);
   for (int i = 0; i < 500; ++i) {
     auto& c = b.ask({}, "pay", "id" + std::to_string(i));
     b.report(c, 200);
-    EXPECT_LE(b.processor.remembered(), 50u);
+    EXPECT_LE(b.processor.remembered_count(), 50u);
   }
   EXPECT_EQ(b.ask(kSecond, "pay", "id499").call.decision().details, "cometfold_already_done");
   EXPECT_EQ(b.ask(kSecond, "pay", "id1").call.decision().details, "cometfold_first_attempt_not_known");
@@ -782,7 +784,7 @@
   EXPECT_EQ(c.call.status.value().code, Code::kOk);
   b.report(c, 429);
   EXPECT_EQ(c.call.got.size(), 1u);
-  EXPECT_EQ(b.totals().ended, 0u);
+  EXPECT_EQ(b.totals().reported, 0u);
   b.expect_empty();
 }
 
@@ -791,7 +793,7 @@
   auto& out = b.ask({}, "pay");
   b.engine.begin_shutdown(b.now);
   b.report(out, 200);
-  EXPECT_EQ(b.totals().ended, 1u);
+  EXPECT_EQ(b.totals().reported, 1u);
   auto& late = b.ask({}, "pay");
   EXPECT_FALSE(late.call.decision().endpoint.empty());
   b.engine.fail_all(b.now);
@@ -806,7 +808,7 @@
 TEST(Chaos, OneDecisionForEachCallAndNoUnsafeRequestTwice) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 random(seed);
-    Bench b(seed % 2 ? marked() : Settings{}, 4, {.max_open_requests = 60});
+    Bench b(seed % 2 ? marked() : ProcessorSettings{}, 4, {.max_open_requests = 60});
     struct Live {
       Bench::OpenCall* call;
       std::string id, cls;
@@ -858,11 +860,11 @@
     for (auto& l : live) account(l);
     for (const auto& [id, times] : left) EXPECT_LE(times, 1) << "seed " << seed << " " << id;
     const auto& t = b.totals();
-    EXPECT_EQ(t.asked + t.again, calls);
-    EXPECT_EQ(t.named + t.refused + t.failed + t.left, calls) << to_text(t);
-    EXPECT_LE(decided, t.named + t.refused + t.failed + t.left);
+    EXPECT_EQ(t.new_requests + t.retried_requests, calls);
+    EXPECT_EQ(t.routed + t.rejected + t.failed + t.disconnected, calls) << to_text(t);
+    EXPECT_LE(decided, t.routed + t.rejected + t.failed + t.disconnected);
     b.expect_empty();
-    EXPECT_EQ(t.named, t.ended + t.unknown + t.silent) << to_text(t);
+    EXPECT_EQ(t.routed, t.reported + t.unreported + t.report_timeouts) << to_text(t);
   }
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -7,7 +7,7 @@
 #include <random>
 #include <string>
 
-#include "extproc/mapper.h"
+#include "extproc/request_mapper.h"
 #include "limits/attempt_limits.h"
 #include "net/config.h"
 #include "net/own_settings.h"
@@ -263,14 +263,14 @@
 
 // A request has its route's bounds if it is of the route's class, else its own class's.
 TEST(Limits, RequestsOfTheExternalProcessorCarryThem) {
-  extproc::Mapping mapping;
+  extproc::HeaderMapping mapping;
   mapping.default_class = "lookup", mapping.default_plan = "team", mapping.default_customer = "c";
-  extproc::Rule rule;
-  rule.path = "/a", rule.cls = "lookup", rule.bounds = RequestBounds{.max_attempts = 2};
+  extproc::RouteRule rule;
+  rule.path = "/a", rule.class_name = "lookup", rule.bounds = RequestBounds{.max_attempts = 2};
   mapping.rules.push_back(rule);
-  extproc::Names names{{"lookup", "hold"}, {"team"}, plain_settings(2), {}};
+  extproc::NamedSettings names{{"lookup", "hold"}, {"team"}, plain_settings(2), {}};
   names.bounds = {{.max_attempts = 3}, {.max_attempts = 1}};
-  const extproc::Mapper mapper(mapping, names, 1);
+  const extproc::RequestMapper mapper(mapping, names, 1);
   const auto attempts = [&](std::string_view path, std::string_view cls) {
     std::vector<http2::HeaderView> headers{{":path", path}};
     if (!cls.empty()) headers.push_back({"x-cometfold-class", cls});
--- a/tests/own_settings_test.cpp
+++ b/tests/own_settings_test.cpp
@@ -95,16 +95,16 @@
   EXPECT_TRUE(s.processor_at->address().is_v6());
   EXPECT_FALSE(s.processor.destination.header);
   EXPECT_TRUE(s.processor.destination.metadata);
-  EXPECT_EQ(s.processor.repeats, extproc::Repeats::kMarked);
-  EXPECT_EQ(s.processor.not_run, std::vector{503});
+  EXPECT_EQ(s.processor.proxy_retries, extproc::ProxyRetries::kMarked);
+  EXPECT_EQ(s.processor.not_executed_statuses, std::vector{503});
   EXPECT_EQ(s.grpc.calls.http2.streams, 50u);
   EXPECT_EQ(s.processor.mapping.class_header, "");
   EXPECT_EQ(s.processor.mapping.default_class, "lookup");
   ASSERT_EQ(s.processor.mapping.rules.size(), 2u);
   EXPECT_EQ(s.processor.mapping.rules[0].path, "/pay*");
-  EXPECT_TRUE(s.processor.mapping.rules[0].at.ends_with(":12"));
+  EXPECT_TRUE(s.processor.mapping.rules[0].source.ends_with(":12"));
   EXPECT_EQ(s.processor.mapping.rules[1].units, 0.5);
-  EXPECT_EQ(s.processor.load.queue.size(), 2u);
+  EXPECT_EQ(s.processor.load.queue_length.size(), 2u);
 }
 
 TEST(OwnSettings, BadOnesOfTheExternalProcessorAreNamedToo) {
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -22,7 +22,7 @@
     "src/rules": {"engine"},
     "src/resp": {"engine"},
     "src/ops": {"engine"},
-    "src/extproc": {"engine", "http2", "resp"},
+    "src/extproc": {"engine", "http2"},
     "adapter": set(),
     "src/cli": {"json"},
     "src/explore": {"engine", "resp", "rules"},
