--- a/include/cometfold/admission_controller.h
+++ b/include/cometfold/admission_controller.h
@@ -251,8 +251,8 @@
   void on_health_check_end(Ms now, HostId host, Ms took_ms, bool ok, const LoadReport& load, ActionSink& out);
 
  private:
-  struct State;
-  std::unique_ptr<State> state_;
+  class Impl;
+  std::unique_ptr<Impl> impl_;
 };
 
 }  // namespace cometfold
--- /dev/null
+++ b/src/admission/request_table.cpp
@@ -0,0 +1,18 @@
+#include "admission/request_table.h"
+
+namespace cometfold::admission {
+
+PendingRequest* RequestTable::find(RequestId id) {
+  const auto it = requests_.find(id);
+  return it == requests_.end() ? nullptr : &it->second;
+}
+
+PendingRequest& RequestTable::insert(const Request& request, const ClassSettings& terms, Ms now) {
+  PendingRequest& pending = requests_[request.id];
+  pending.request = request;
+  pending.terms = terms;
+  pending.arrived_at = now;
+  return pending;
+}
+
+}  // namespace cometfold::admission
--- /dev/null
+++ b/src/admission/request_table.h
@@ -0,0 +1,29 @@
+// The pending requests of this gateway by their ids.
+#pragma once
+
+#include <map>
+
+#include "admission/pending_request.h"
+
+namespace cometfold::admission {
+
+// References hold until the request is erased.
+class RequestTable {
+ public:
+  using Map = std::map<RequestId, PendingRequest>;
+
+  // Null if no such request is pending.
+  PendingRequest* find(RequestId id);
+  PendingRequest& insert(const Request& request, const ClassSettings& terms, Ms now);
+  // The entry to erase; `end()` if no such request is pending.
+  Map::iterator locate(RequestId id) { return requests_.find(id); }
+  void erase(Map::iterator entry) { requests_.erase(entry); }
+
+  Map::iterator begin() { return requests_.begin(); }
+  Map::iterator end() { return requests_.end(); }
+
+ private:
+  Map requests_;
+};
+
+}  // namespace cometfold::admission
