--- a/src/admission/load_shedder.cpp
+++ b/src/admission/load_shedder.cpp
@@ -76,22 +76,25 @@
 
 bool LoadShedder::should_shed(double value_per_work, double work) {
   const double fraction = shed_fraction();
-  const double rank_of_request = rank(value_per_work);
+  const double tie_breaker = parts_.random.uniform();
+  const bool shed = fraction > 0 && rank(value_per_work, tie_breaker) < fraction;
   last_requests_.push_back({value_per_work, work});
   if (last_requests_.size() > kRankedRequests) last_requests_.pop_front();
-  return fraction > 0 && rank_of_request < fraction;
+  return shed;
 }
 
-// The part of the last requests' work that is of less value, with equal value split by chance; 1 before the
-// first.
-double LoadShedder::rank(double value_per_work) {
-  const double tie = parts_.random.uniform();
+// The part of the last requests' work that is of less value; 1 before the first request. Of work of equal
+// value the part `tie_breaker` counts.
+double LoadShedder::rank(double value_per_work, double tie_breaker) const {
   double below = 0;
   double total = 0;
   for (const auto& [value, work] : last_requests_) {
     total += work;
-    const double tied_work = value == value_per_work ? work * tie : 0;
-    below += value < value_per_work ? work : tied_work;
+    if (value < value_per_work) {
+      below += work;
+    } else if (value == value_per_work) {
+      below += work * tie_breaker;
+    }
   }
   return total > 0 ? below / total : 1;
 }
--- a/src/admission/load_shedder.h
+++ b/src/admission/load_shedder.h
@@ -51,7 +51,7 @@
     double work;
   };
   double shed_fraction() const;
-  double rank(double value_per_work);
+  double rank(double value_per_work, double tie_breaker) const;
 
   Parts parts_;
   std::vector<double> class_units_;          // mean units of a request, by class
