--- a/include/cometfold/attempt_rules.h
+++ b/include/cometfold/attempt_rules.h
@@ -1,6 +1,7 @@
-// What the rules allow for a request's attempts and its refusal. The one place that says so: the module asks
-// it when it decides, and the engine once more at the moment in which the first byte would go out, as a
-// connection may have come up late. Pure.
+// What the rules allow for a request's attempts and its rejection: pure functions.
+//
+// The decision module applies them when it decides, and the engine once more when the first byte of an
+// attempt would be written, as its connection may have come up late.
 #pragma once
 
 #include <algorithm>
@@ -14,23 +15,24 @@
 
 namespace cometfold {
 
-// A process may be held up for so long between reading its clock and writing.
+// Longest pause of a process between reading its clock and writing that the rules allow for.
 inline constexpr Ms kProcessPauseAllowanceMs = 150;
-// Of a key's lifetime that repeats may use; the rest is for the way to the host.
+// Of an idempotency key's lifetime, within which retries are sent; the rest is for their way to the host.
 inline constexpr double kKeyLifetimeFraction = 0.8;
+// At least so much of the lifetime is kept for that way.
 inline constexpr Ms kKeyLifetimeMarginMs = kProcessPauseAllowanceMs + 50;
 
-// Which group of hosts one belongs to. What is not known belongs to none.
+// Where a host is. A zone or cell that is not known is shared with no other host.
 struct HostLocation {
   std::optional<std::uint32_t> zone, cell;
   bool operator==(const HostLocation&) const = default;
 };
 inline HostLocation location_of(const HostEntry& entry) { return {entry.zone, entry.cell}; }
 
-// Whether hosts at both places discard each other's repeats.
-inline bool in_same_scope(IdempotencyScope group, const HostLocation& a, const HostLocation& b) {
+// Whether hosts at both locations know each other's idempotency keys.
+inline bool in_same_scope(IdempotencyScope scope, const HostLocation& a, const HostLocation& b) {
   const bool same_zone = a.zone && a.zone == b.zone;
-  switch (group) {
+  switch (scope) {
     case IdempotencyScope::kAll:
       return true;
     case IdempotencyScope::kZone:
@@ -43,83 +45,90 @@
   return false;
 }
 
-// For how long after its first attempt a keyed request may be sent again, in milliseconds.
+// Time after its first attempt within which a request with an idempotency key may be retried, in
+// milliseconds.
 inline Ms retry_window_ms(const ClassSettings& terms) {
   return std::max(std::min(kKeyLifetimeFraction * terms.idempotency_key_ttl_ms,
                            terms.idempotency_key_ttl_ms - kKeyLifetimeMarginMs),
                   0.0);
 }
 
-// Whether an attempt that ended so may have had its effect.
+// Whether an attempt with this outcome may have been executed.
 inline bool may_have_executed(Outcome outcome) {
   return outcome != Outcome::kOverloaded && outcome != Outcome::kConnectFailed &&
          outcome != Outcome::kNotSent;
 }
 
+// Whether an attempt may be sent, and else why not.
 enum class AttemptVerdict : std::uint8_t {
   kAllowed,
-  kAnswered,            // the request has its final answer, or its client has gone
-  kClientDisconnected,  // its client has closed its connection, and the engine has not been told yet
+  kAnswered,            // the request has its final answer, or its client has disconnected
+  kClientDisconnected,  // its client has disconnected, which the engine has not been notified of yet
   kDeadlineExceeded,    // of the request or of the attempt
-  kTooManyAttempts,     // attempts of one request
-  kAttemptInFlight,     // another attempt is out, and no further copy may be
-  kMayHaveExecuted,     // an attempt may have run, and the class is not safe to repeat
-  kKeyExpired,          // ... and its key's lifetime is over
-  kOutOfScope,          // ... and this host would not discard the repeat
-  kNotListed,           // the host drains or is gone
-  kHostRestarted,       // the host has started anew since the decision
+  kTooManyAttempts,
+  kAttemptInFlight,  // another attempt is in flight, and the request may not be hedged (any further)
+  kMayHaveExecuted,  // an attempt may have been executed, and the request is not idempotent
+  kKeyExpired,       // likewise, and its idempotency key's lifetime is over
+  kOutOfScope,       // likewise, and this host does not know the key
+  kNotListed,        // the host drains or was removed
+  kHostRestarted,    // the host has restarted since the decision
 };
 inline constexpr std::string_view kAttemptVerdictNames[] = {
     "allowed",      "answered",      "client_left", "time_up",    "too_many",     "still_out",
     "may_have_run", "key_forgotten", "other_group", "not_listed", "other_process"};
 inline constexpr std::size_t kAttemptVerdictCount = std::size(kAttemptVerdictNames);
 
-// What a request's other attempts leave for one more. An attempt has `host`, `sequence`, `sent`, `out` and
-// `may_have_executed`; one that is out may have run.
+// What a request's earlier attempts leave for one more. `Attempt` has the members `host`, `place` (its
+// location when the attempt was sent), `sent` (time), `out` (in flight) and `may_have_run`; one in flight may
+// have been executed. Holds a pointer into the attempts, so it is used before they change.
 template <class Attempt>
 struct RetryConstraint {
   AttemptVerdict verdict = AttemptVerdict::kAllowed;
-  const Attempt* bound = nullptr;  // if allowed: only to hosts of this attempt's group
+  const Attempt* key_holder = nullptr;  // if set: only hosts that know this attempt's idempotency key
 
-  bool allows(const ClassSettings& terms, HostId host, const HostLocation& place) const {
-    if (!bound) return true;
-    return (bound->host == host && bound->place == place) ||
-           in_same_scope(terms.idempotency_scope, bound->place, place);
+  // Whether the host at this location may get the attempt; `verdict` is kAllowed.
+  bool allows(const ClassSettings& terms, HostId host, const HostLocation& location) const {
+    if (key_holder == nullptr) return true;
+    const bool same_host = key_holder->host == host && key_holder->place == location;
+    return same_host || in_same_scope(terms.idempotency_scope, key_holder->place, location);
   }
 };
 
+// The constraint of the request's earlier attempts, oldest first, on one that is sent now.
 template <class Attempts>
-auto retry_constraint(const ClassSettings& terms, const Attempts& others, Ms now) {
-  RetryConstraint<typename Attempts::value_type> limits;
-  if (terms.idempotency == Idempotency::kIdempotent) return limits;
-  for (const auto& a : others) {
-    if (!a.out && !a.may_have_run) continue;
-    if (terms.idempotency == Idempotency::kNonIdempotent ||
-        terms.idempotency_scope == IdempotencyScope::kNone) {
-      limits.verdict = AttemptVerdict::kMayHaveExecuted;
-      return limits;
+auto retry_constraint(const ClassSettings& terms, const Attempts& attempts, Ms now) {
+  RetryConstraint<typename Attempts::value_type> constraint;
+  if (terms.idempotency == Idempotency::kIdempotent) return constraint;
+  const bool has_key =
+      terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope != IdempotencyScope::kNone;
+  for (const auto& attempt : attempts) {
+    if (!attempt.out && !attempt.may_have_run) continue;
+    if (!has_key) {
+      constraint.verdict = AttemptVerdict::kMayHaveExecuted;
+      return constraint;
     }
-    if (now > a.sent + retry_window_ms(terms)) limits.verdict = AttemptVerdict::kKeyExpired;
-    if (!limits.bound) limits.bound = &a;
+    if (now > attempt.sent + retry_window_ms(terms)) constraint.verdict = AttemptVerdict::kKeyExpired;
+    if (constraint.key_holder == nullptr) constraint.key_holder = &attempt;
   }
-  return limits;
+  return constraint;
 }
 
-// Whether one more may go out beside those that are out.
+// Whether one more attempt may be sent beside those in flight.
 template <class Attempts>
-bool may_hedge(const Attempts& others, bool second_copies) {
-  const auto out = std::count_if(others.begin(), others.end(), [](const auto& a) { return a.out; });
-  return out == 0 || (second_copies && out == 1);
+bool may_hedge(const Attempts& attempts, bool hedging_allowed) {
+  const auto in_flight =
+      std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) { return attempt.out; });
+  return in_flight == 0 || (hedging_allowed && in_flight == 1);
 }
 
-// A refusal tells the client that a repeat is harmless.
+// Whether the request may be rejected, which lets its client know that a retry is harmless.
 template <class Attempts>
 bool may_reject(const ClassSettings& terms, const Attempts& attempts) {
   if (terms.idempotency == Idempotency::kIdempotent) return true;
   if (terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope == IdempotencyScope::kAll)
     return true;
   return std::none_of(attempts.begin(), attempts.end(),
-                      [](const auto& a) { return a.out || a.may_have_run; });
+                      [](const auto& attempt) { return attempt.out || attempt.may_have_run; });
 }
 
 }  // namespace cometfold
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -4,32 +4,32 @@
 #include <cstdio>
 #include <vector>
 
-struct Printer : cometfold::Actions {
-  int sent = 0;
-  void send(cometfold::RequestId, cometfold::HostId, cometfold::Ms) override { ++sent; }
+struct CountingSink : cometfold::ActionSink {
+  int sends = 0;
+  void send(cometfold::RequestId, cometfold::HostId, cometfold::Ms) override { ++sends; }
   void cancel(cometfold::RequestId, std::uint32_t) override {}
-  void refuse(cometfold::RequestId, cometfold::Ms, cometfold::Cause) override {}
-  void fail(cometfold::RequestId, cometfold::Cause) override {}
-  void wake(cometfold::Ms, std::uint64_t) override {}
-  void probe(cometfold::HostId) override {}
-  void follow_list() override {}
-  void fetch_list() override {}
-  void note(std::string_view text) override {
+  void reject(cometfold::RequestId, cometfold::Ms, cometfold::RejectionReason) override {}
+  void fail(cometfold::RequestId, cometfold::RejectionReason) override {}
+  void schedule_timer(cometfold::Ms, std::uint64_t) override {}
+  void send_health_check(cometfold::HostId) override {}
+  void watch_hosts() override {}
+  void poll_hosts() override {}
+  void log(std::string_view text) override {
     std::printf("%.*s\n", static_cast<int>(text.size()), text.data());
   }
 };
 
 int main() {
-  cometfold::Settings settings;
-  settings.classes.push_back({800, 2000, 1, 0, cometfold::Repeat::kSafe, cometfold::KeyGroup::kNone, 0});
-  settings.plans.push_back({});
-  settings.plans[0].quota_rate = 10;
-  settings.plans[0].burst = 20;
-  Printer actions;
-  cometfold::Control control(settings, 42);
-  control.start(0, actions);
-  const std::vector<cometfold::HostEntry> hosts(1, {1, cometfold::HostState::kReady, 0, 0, 0, 0, 1});
-  control.on_list(0, cometfold::ListKind::kWhole, hosts, actions);
-  control.on_request(1, {7, 0, 0, 1001, 2001, 1, 1}, actions);
-  return actions.sent == 1 ? 0 : 1;
+  cometfold::AdmissionSettings settings;
+  settings.classes.push_back({.latency_objective_ms = 800,
+                              .deadline_ms = 2000,
+                              .idempotency = cometfold::Idempotency::kIdempotent});
+  settings.plans.push_back({.quota_rate = 10, .quota_burst = 20});
+  CountingSink sink;
+  cometfold::AdmissionController controller(settings, 42);
+  controller.start(0, sink);
+  const std::vector<cometfold::HostEntry> hosts(1, {.id = 1, .zone = 0, .cell = 0});
+  controller.on_host_list(0, cometfold::HostListUpdate::kSnapshot, hosts, sink);
+  controller.on_request(1, {.id = 7, .customer = 1001, .expires_at = 2001}, sink);
+  return sink.sends == 1 ? 0 : 1;
 }
