--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,36 +1,57 @@
-// Reads batches from standard input and writes one reply for each to standard output.
+// Reads batches of events from standard input and writes one reply for each to standard output.
 #include <cstdint>
 #include <cstdio>
 #include <cstring>
 #include <exception>
+#include <optional>
 #include <vector>
 
-#include "adapter/codec.h"
+#include "adapter/gateway_instances.h"
+
+namespace {
+
+using cometfold::wire::kBatchHeaderSize;
+using cometfold::wire::WireError;
+
+// The next batch with its header; nothing at the end of the input.
+std::optional<std::vector<unsigned char>> read_frame(std::FILE* input) {
+  std::vector<unsigned char> frame(kBatchHeaderSize);
+  const std::size_t header_size = std::fread(frame.data(), 1, kBatchHeaderSize, input);
+  if (header_size == 0) return {};
+  if (header_size < kBatchHeaderSize) {
+    throw WireError("batch header", "input ends inside it", "send whole batches");
+  }
+  std::uint32_t size = 0;
+  std::memcpy(&size, frame.data(), sizeof size);
+  if (size < kBatchHeaderSize) {
+    throw WireError("batch header", "length below the header's own",
+                    "set the length to that of the whole batch");
+  }
+  frame.resize(size);
+  const std::size_t body_size = size - kBatchHeaderSize;
+  if (std::fread(frame.data() + kBatchHeaderSize, 1, body_size, input) < body_size) {
+    throw WireError("batch", "input ends inside it", "send whole batches");
+  }
+  return frame;
+}
+
+void write_reply(const std::string& reply, std::FILE* output) {
+  if (std::fwrite(reply.data(), 1, reply.size(), output) < reply.size() || std::fflush(output) != 0) {
+    throw WireError("reply", "output closed", "read replies until the input ends");
+  }
+}
+
+}  // namespace
 
 int main() {
-  using namespace cometfold::wire;
-  Gateways gateways;
-  std::vector<unsigned char> frame;
   try {
-    for (;;) {
-      frame.resize(kBatchHeader);
-      const std::size_t got = std::fread(frame.data(), 1, kBatchHeader, stdin);
-      if (got == 0) return 0;
-      if (got < kBatchHeader) throw WireError("batch header: input ends inside it");
-      std::uint32_t size = 0;
-      std::memcpy(&size, frame.data(), sizeof size);
-      if (size < kBatchHeader) throw WireError("batch header: length below the header's own");
-      frame.resize(size);
-      if (std::fread(frame.data() + kBatchHeader, 1, size - kBatchHeader, stdin) < size - kBatchHeader) {
-        throw WireError("batch: input ends inside it");
-      }
-      const auto reply = gateways.play(frame);
-      if (std::fwrite(reply.data(), 1, reply.size(), stdout) < reply.size() || std::fflush(stdout) != 0) {
-        throw WireError("reply: output closed");
-      }
-    }
+    cometfold::wire::GatewayInstances instances;
+    while (const auto frame = read_frame(stdin)) write_reply(instances.handle_batch(*frame), stdout);
+    return 0;
+  } catch (const WireError& error) {
+    std::fprintf(stderr, "simulator_adapter: %s (%s)\n", error.what(), error.remedy().c_str());
   } catch (const std::exception& error) {
     std::fprintf(stderr, "simulator_adapter: %s\n", error.what());
-    return 1;
   }
+  return 1;
 }
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -4,115 +4,180 @@
 #include <charconv>
 #include <cmath>
 #include <cstdint>
+#include <iterator>
 
 namespace cometfold::wire {
 namespace {
 
-double number(std::string_view key, std::string_view value) {
-  double v = 0;
-  const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), v);
-  if (error != std::errc{} || end != value.data() + value.size() || !std::isfinite(v)) {
-    throw WireError("settings: " + std::string(key) + " is not a number: '" + std::string(value) + "'");
+constexpr double kMaxIndex = 65536;  // classes, plans and zones have 16 bits on the wire
+
+// The words of the settings and what they mean to the module. Numbers are read in this order.
+template <class Value>
+struct Word {
+  std::string_view word;
+  Value value;
+};
+
+constexpr Word<Idempotency> kIdempotencyWords[] = {
+    {"safe", Idempotency::kIdempotent},
+    {"keyed", Idempotency::kIdempotencyKey},
+};
+constexpr Word<IdempotencyScope> kScopeWords[] = {
+    {"all", IdempotencyScope::kAll},
+    {"zone", IdempotencyScope::kZone},
+    {"cell", IdempotencyScope::kCell},
+};
+constexpr Word<LoadField> kLoadFieldWords[] = {
+    {"depth", LoadField::kQueueLength},
+    {"concurrent", LoadField::kInFlight},
+    {"load_share", LoadField::kUtilization},
+};
+constexpr Word<double ClassSettings::*> kClassNumbers[] = {
+    {"slo_ms", &ClassSettings::latency_objective_ms},
+    {"deadline_ms", &ClassSettings::deadline_ms},
+    {"worth", &ClassSettings::priority_weight},
+    {"late_share", &ClassSettings::late_value_fraction},
+    {"key_ttl_ms", &ClassSettings::idempotency_key_ttl_ms},
+};
+constexpr Word<double PlanSettings::*> kPlanNumbers[] = {
+    {"quota_rate", &PlanSettings::quota_rate},
+    {"burst", &PlanSettings::quota_burst},
+    {"pays", &PlanSettings::plan_weight},
+    {"overrun_cost", &PlanSettings::over_quota_cost},
+    {"beyond_earns", &PlanSettings::over_quota_value},
+    {"hard_rate", &PlanSettings::ceiling_rate},
+    {"hard_burst", &PlanSettings::ceiling_burst},
+    {"ceiling_slack", &PlanSettings::ceiling_slack},
+    {"concurrency", &PlanSettings::max_concurrent_attempts},
+};
+constexpr std::string_view kGatewayCountWord = "siblings";
+constexpr std::string_view kLocalZoneWord = "az";
+constexpr Word<double AdmissionSettings::*> kNumbers[] = {
+    {"family_info.units_top", &AdmissionSettings::max_request_units},
+    {"ceilings.max_attempts", &AdmissionSettings::max_attempts},
+    {"ceilings.max_retry_after_ms", &AdmissionSettings::max_retry_after_ms},
+    {"granularity_ms", &AdmissionSettings::min_event_interval_ms},
+    {"ceilings.conn_idle_ms", &AdmissionSettings::connection_idle_timeout_ms},
+    {"rules.cold_from", &AdmissionSettings::slow_start_initial_weight},
+    {"rules.warm_after_ms", &AdmissionSettings::slow_start_duration_ms},
+    {"rules.overload_factor", &AdmissionSettings::overload_factor},
+    {"rules.fall_ms", &AdmissionSettings::overload_window_ms},
+};
+constexpr Word<bool AdmissionSettings::*> kFlags[] = {
+    {"family_info.trued_up", &AdmissionSettings::actual_units_reported},
+    {"ceilings.second_copies", &AdmissionSettings::hedging_allowed},
+    {"ceilings.cancel", &AdmissionSettings::cancellation_allowed},
+    {"ceilings.may_probe", &AdmissionSettings::health_checks_allowed},
+    {"ceilings.retry_after", &AdmissionSettings::retry_after_allowed},
+};
+
+template <class Value, std::size_t kCount>
+Value value_of(const Word<Value> (&words)[kCount], std::string_view word, Value fallback) {
+  const auto* found =
+      std::find_if(std::begin(words), std::end(words), [&](const auto& entry) { return entry.word == word; });
+  return found == std::end(words) ? fallback : found->value;
+}
+
+double parse_number(const std::string& key, const std::string& text) {
+  double number = 0;
+  const char* text_end = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), text_end, number);
+  if (error != std::errc{} || end != text_end || !std::isfinite(number)) {
+    throw WireError("settings", key + " is not a number: '" + text + "'",
+                    "set " + key + " to a finite number");
   }
-  return v;
+  return number;
 }
 
-}  // namespace
+class SettingsReader {
+ public:
+  explicit SettingsReader(const Pairs& values) : values_(values) {}
 
-LoadField load_field(std::string_view name) {
-  return name == "depth"        ? LoadField::kQueueLength
-         : name == "concurrent" ? LoadField::kInFlight
-         : name == "load_share" ? LoadField::kUtilization
-                                : LoadField::kOther;
+  std::string_view text(std::string_view key) const {
+    const auto it = values_.find(key);
+    return it == values_.end() ? std::string_view{} : std::string_view(it->second);
+  }
+  bool flag(std::string_view key) const { return text(key) == "true"; }
+  double number(std::string_view key, double fallback) const {
+    const auto it = values_.find(key);
+    return it == values_.end() ? fallback : parse_number(it->first, it->second);
+  }
+  std::uint32_t index(std::string_view key) const {
+    const double value = number(key, 0);
+    if (value < 0 || value > kMaxIndex) {
+      throw WireError("settings", std::string(key) + " is out of range",
+                      "set it to a number from 0 to 65536");
+    }
+    return static_cast<std::uint32_t>(value);
+  }
+  // Reads the numbers of one object, whose keys begin with `prefix`.
+  template <class Settings, std::size_t kCount>
+  void read_numbers(const Word<double Settings::*> (&words)[kCount], const std::string& prefix,
+                    Settings& settings) const {
+    for (const auto& [word, member] : words) {
+      settings.*member = number(prefix + std::string(word), settings.*member);
+    }
+  }
+
+ private:
+  const Pairs& values_;
+};
+
+ClassSettings read_class(const SettingsReader& reader, const std::string& prefix) {
+  ClassSettings terms;
+  reader.read_numbers(kClassNumbers, prefix, terms);
+  terms.idempotency =
+      value_of(kIdempotencyWords, reader.text(prefix + "semantics"), Idempotency::kNonIdempotent);
+  terms.idempotency_scope = value_of(kScopeWords, reader.text(prefix + "group"), IdempotencyScope::kNone);
+  return terms;
+}
+
+std::vector<LoadField> read_load_fields(std::string_view words) {
+  std::vector<LoadField> fields;
+  while (!words.empty()) {
+    const auto word = words.substr(0, words.find(','));
+    words.remove_prefix(std::min(word.size() + 1, words.size()));
+    fields.push_back(load_field(word));
+  }
+  return fields;
 }
 
+}  // namespace
+
+LoadField load_field(std::string_view word) { return value_of(kLoadFieldWords, word, LoadField::kOther); }
+
 AdmissionSettings read_settings(std::string_view text) {
-  Pairs conf;
+  Pairs values;
   while (!text.empty()) {
     const auto line = text.substr(0, text.find('\n'));
     text.remove_prefix(std::min(line.size() + 1, text.size()));
-    const auto eq = line.find('=');
-    if (eq != std::string_view::npos) conf[std::string(line.substr(0, eq))] = line.substr(eq + 1);
+    const auto separator = line.find('=');
+    if (separator == std::string_view::npos) continue;
+    values[std::string(line.substr(0, separator))] = line.substr(separator + 1);
   }
-  return read_settings(conf);
+  return read_settings(values);
 }
 
-AdmissionSettings read_settings(const Pairs& conf) {
-  const auto num = [&](const std::string& key, double otherwise) {
-    const auto it = conf.find(key);
-    return it == conf.end() ? otherwise : number(it->first, it->second);
-  };
-  const auto index = [&](const std::string& key, double most) {
-    const double v = num(key, 0);
-    if (v < 0 || v > most) throw WireError("settings: " + key + " is out of range");
-    return static_cast<std::uint32_t>(v);
-  };
-  const auto word = [&](const std::string& key) {
-    const auto it = conf.find(key);
-    return it == conf.end() ? std::string_view{} : std::string_view(it->second);
-  };
-  const auto yes = [&](const std::string& key) { return word(key) == "true"; };
-  constexpr double kMostItems = 65536;  // a class or plan is a u16 or less on the wire
-
-  AdmissionSettings s;
-  s.classes.resize(index("lanes.count", kMostItems));
-  for (std::size_t i = 0; i < s.classes.size(); ++i) {
-    const std::string at = "lanes." + std::to_string(i) + ".";
-    auto& c = s.classes[i];
-    c.latency_objective_ms = num(at + "slo_ms", c.latency_objective_ms);
-    c.deadline_ms = num(at + "deadline_ms", c.deadline_ms);
-    c.priority_weight = num(at + "worth", c.priority_weight);
-    c.late_value_fraction = num(at + "late_share", c.late_value_fraction);
-    c.idempotency_key_ttl_ms = num(at + "key_ttl_ms", c.idempotency_key_ttl_ms);
-    const auto kind = word(at + "semantics");
-    c.idempotency = kind == "safe"    ? Idempotency::kIdempotent
-                    : kind == "keyed" ? Idempotency::kIdempotencyKey
-                                      : Idempotency::kNonIdempotent;
-    const auto group = word(at + "group");
-    c.idempotency_scope = group == "all"    ? IdempotencyScope::kAll
-                          : group == "zone" ? IdempotencyScope::kZone
-                          : group == "cell" ? IdempotencyScope::kCell
-                                            : IdempotencyScope::kNone;
-  }
-  s.plans.resize(index("packages.count", kMostItems));
-  for (std::size_t i = 0; i < s.plans.size(); ++i) {
-    const std::string at = "packages." + std::to_string(i) + ".";
-    auto& p = s.plans[i];
-    p.quota_rate = num(at + "quota_rate", p.quota_rate);
-    p.quota_burst = num(at + "burst", p.quota_burst);
-    p.plan_weight = num(at + "pays", p.plan_weight);
-    p.over_quota_cost = num(at + "overrun_cost", p.over_quota_cost);
-    p.over_quota_value = num(at + "beyond_earns", p.over_quota_value);
-    p.ceiling_rate = num(at + "hard_rate", p.ceiling_rate);
-    p.ceiling_burst = num(at + "hard_burst", p.ceiling_burst);
-    p.ceiling_slack = num(at + "ceiling_slack", p.ceiling_slack);
-    p.max_concurrent_attempts = num(at + "concurrency", p.max_concurrent_attempts);
+AdmissionSettings read_settings(const Pairs& values) {
+  const SettingsReader reader(values);
+  AdmissionSettings settings;
+  settings.classes.resize(reader.index("lanes.count"));
+  for (std::size_t i = 0; i < settings.classes.size(); ++i) {
+    settings.classes[i] = read_class(reader, "lanes." + std::to_string(i) + ".");
   }
-  s.gateway_count = num("siblings", s.gateway_count);
-  s.local_zone = index("az", kMostItems);
-  s.max_request_units = num("family_info.units_top", s.max_request_units);
-  s.actual_units_reported = yes("family_info.trued_up");
-  s.hedging_allowed = yes("ceilings.second_copies");
-  s.cancellation_allowed = yes("ceilings.cancel");
-  s.health_checks_allowed = yes("ceilings.may_probe");
-  s.retry_after_allowed = yes("ceilings.retry_after");
-  s.host_watch_required = word("discovery") == "subscribe";
-  s.host_sizes_known = !word("weight_kind").empty() && word("weight_kind") != "off";
-  s.max_attempts = num("ceilings.max_attempts", s.max_attempts);
-  s.max_retry_after_ms = num("ceilings.max_retry_after_ms", s.max_retry_after_ms);
-  s.min_event_interval_ms = num("granularity_ms", s.min_event_interval_ms);
-  s.connection_idle_timeout_ms = num("ceilings.conn_idle_ms", s.connection_idle_timeout_ms);
-  s.slow_start_initial_weight = num("rules.cold_from", s.slow_start_initial_weight);
-  s.slow_start_duration_ms = num("rules.warm_after_ms", s.slow_start_duration_ms);
-  s.overload_factor = num("rules.overload_factor", s.overload_factor);
-  s.overload_window_ms = num("rules.fall_ms", s.overload_window_ms);
-  auto fields = word("load_report.fields");
-  while (!fields.empty()) {
-    const auto field = fields.substr(0, fields.find(','));
-    fields.remove_prefix(std::min(field.size() + 1, fields.size()));
-    s.load_report_fields.push_back(load_field(field));
+  settings.plans.resize(reader.index("packages.count"));
+  for (std::size_t i = 0; i < settings.plans.size(); ++i) {
+    reader.read_numbers(kPlanNumbers, "packages." + std::to_string(i) + ".", settings.plans[i]);
   }
-  return s;
+  settings.gateway_count = reader.number(kGatewayCountWord, settings.gateway_count);
+  settings.local_zone = reader.index(kLocalZoneWord);
+  reader.read_numbers(kNumbers, "", settings);
+  for (const auto& [word, member] : kFlags) settings.*member = reader.flag(word);
+  settings.host_watch_required = reader.text("discovery") == "subscribe";
+  const auto size_kind = reader.text("weight_kind");
+  settings.host_sizes_known = !size_kind.empty() && size_kind != "off";
+  settings.load_report_fields = read_load_fields(reader.text("load_report.fields"));
+  return settings;
 }
 
 }  // namespace cometfold::wire
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -1,25 +1,25 @@
-// The settings by the names that the operators give them: on the simulator's wire as lines, in a gateway's
-// configuration as JSON. Both come here as pairs of a dotted path and a text.
+// Reads the platform's settings of the decision module: from lines on the simulator's wire, or from a
+// gateway's configuration in JSON, both as pairs of a dotted path and a text. Unknown keys are ignored.
 #pragma once
 
 #include <map>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
+#include "adapter/wire_error.h"
 #include "cometfold/admission_controller.h"
 
 namespace cometfold::wire {
 
-struct WireError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
-// Lists of objects stand as `path.count` and `path.0.key`; lists of plain values joined by commas.
+// Values by path. Lists of objects are at `path.count` and `path.0.key`; lists of plain values are joined by
+// commas.
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-AdmissionSettings read_settings(const Pairs& conf);
-AdmissionSettings read_settings(std::string_view text);  // one `path=value` a line
-LoadField load_field(std::string_view name);
+// Settings without a value keep their default. Throws WireError if a value is not a number, or out of range.
+AdmissionSettings read_settings(const Pairs& values);
+// The same from one `path=value` a line; other lines are ignored.
+AdmissionSettings read_settings(std::string_view text);
+// kOther if the module does not know the field.
+LoadField load_field(std::string_view word);
 
 }  // namespace cometfold::wire
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,5 +1,5 @@
 // The codec against the framing page's example bytes, and malformed input.
-#include "adapter/codec.h"
+#include "adapter/gateway_instances.h"
 
 #include <gtest/gtest.h>
 
@@ -60,13 +60,13 @@
     "packages.count=1\npackages.0.quota_rate=0.0\nsiblings=3\n";
 
 TEST(Codec, AnEmptyBatchHasAnEmptyReply) {
-  Gateways g;
-  const auto reply = g.play(hex("10000000 00000000 00000000206ec040"));
+  GatewayInstances instances;
+  const auto reply = instances.handle_batch(hex("10000000 00000000 00000000206ec040"));
   EXPECT_EQ(Raw(reply.begin(), reply.end()), hex("08000000 00000000"));
 }
 
 TEST(Codec, ExampleBatchOfTheWirePageIsAnsweredForTheInstanceThatAsked) {
-  Gateways g;
+  GatewayInstances instances;
   const Raw list =
       hex("0000000000000000 074a1203 0000 0000 01 0000803f 0000"
           "0000000000d4b740 f211902c 0000 0100 01 0000c03f 0000");
@@ -77,12 +77,12 @@
   list_record.resize(48);
   const auto conf_size = static_cast<std::uint32_t>(tail.size());
   tail.insert(tail.end(), list.begin(), list.end());
-  g.play(frame({kSwitch, attach(0, conf_size), list_record, hex("02 00 2900000000000000 0000", 48)}, tail));
+  instances.handle_batch(frame({kSwitch, attach(0, conf_size), list_record, hex("02 00 2900000000000000 0000", 48)}, tail));
 
   const Raw job =
       hex("01 c4913a5d02cb0100 0000 00000000 640ad2557c3bf091 0000000020e6c040 00000040 00004040 0000803f 01",
           48);
-  const auto reply = g.play(frame({kSwitch, job}, {}, 8412));
+  const auto reply = instances.handle_batch(frame({kSwitch, job}, {}, 8412));
   ASSERT_GE(reply.size(), 8u + 2 * 24);
   const Raw got(reply.begin(), reply.end());
   EXPECT_EQ(Raw(got.begin() + 8, got.begin() + 32), hex("4d 03000000", 24));
@@ -93,7 +93,7 @@
 }
 
 TEST(Codec, EntriesAreReadField_by_field) {
-  const auto e = read_entries(hex("0000000000d4b740 f211902c 0200 0100 02 0000c03f 0500"));
+  const auto e = read_host_entries(hex("0000000000d4b740 f211902c 0200 0100 02 0000c03f 0500"));
   ASSERT_EQ(e.size(), 1u);
   EXPECT_EQ(e[0].started_at, 6100.0);
   EXPECT_EQ(e[0].id, 0x2c9011f2u);
@@ -105,13 +105,13 @@
 }
 
 TEST(Codec, ActionsHaveTheWiresBytes) {
-  Reply reply;
-  Reply::Sink out(reply, 3);
+  ActionEncoder encoder;
+  ActionEncoder::Sink out(encoder, 3);
   out.send(0x0001cb025d3a91c4, 0x03124a07, 80);
   out.schedule_timer(500, 0x4d);
-  Reply::Sink other(reply, 5);
+  ActionEncoder::Sink other(encoder, 5);
   other.log("two servers known");
-  const auto text = reply.finish();
+  const auto text = encoder.finish();
   const Raw got(text.begin(), text.end());
   Raw want = hex("91000000 05000000");
   for (const auto& r : {hex("4d 03000000", 24), hex("40 c4913a5d02cb0100 074a1203 0000000000005440", 24),
@@ -123,26 +123,27 @@
 }
 
 TEST(Codec, UnknownEventCodesAreSkipped) {
-  Gateways g;
-  EXPECT_EQ(g.play(frame({kSwitch, hex("f7", 48)})).size(), 8u);
+  GatewayInstances instances;
+  EXPECT_EQ(instances.handle_batch(frame({kSwitch, hex("f7", 48)})).size(), 8u);
 }
 
 TEST(Codec, InstancesShareNothing) {
   const auto conf = static_cast<std::uint32_t>(kConf.size());
-  Gateways both, one;
+  GatewayInstances both;
+  GatewayInstances one;
   const Raw other = hex("08 09000000", 48);
   const Raw job =
       hex("01 0100000000000000 0000 00000000 0100000000000000 0000000020e6c040 0000803f 00004040", 48);
-  both.play(frame({kSwitch, attach(0, conf), other, attach(0, conf)}, bytes_of(kConf)));
-  one.play(frame({kSwitch, attach(0, conf)}, bytes_of(kConf)));
-  both.play(frame({other, job}));
-  EXPECT_EQ(both.play(frame({kSwitch, job})), one.play(frame({kSwitch, job})));
+  both.handle_batch(frame({kSwitch, attach(0, conf), other, attach(0, conf)}, bytes_of(kConf)));
+  one.handle_batch(frame({kSwitch, attach(0, conf)}, bytes_of(kConf)));
+  both.handle_batch(frame({other, job}));
+  EXPECT_EQ(both.handle_batch(frame({kSwitch, job})), one.handle_batch(frame({kSwitch, job})));
 }
 
 std::string error_of(const Raw& raw) {
-  Gateways g;
+  GatewayInstances instances;
   try {
-    g.play(raw);
+    instances.handle_batch(raw);
   } catch (const WireError& e) {
     return e.what();
   }
