--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -3,6 +3,7 @@
 
 #include <memory>
 
+#include "engine/controller_policy.h"
 #include "engine/engine.h"
 
 namespace {
--- /dev/null
+++ b/src/engine/admission_policy.h
@@ -0,0 +1,29 @@
+// The interface through which the engine gets its decisions. `ControllerPolicy` implements it for the
+// service; the model checker also implements one that decides anything the interface can express.
+#pragma once
+
+#include <cstdint>
+#include <span>
+
+#include "cometfold/admission_controller.h"
+
+namespace cometfold::engine {
+
+// Each event is passed in order of time, `now` in milliseconds. The policy issues its actions through `out`
+// before the call returns. Any call may throw: the engine then continues without that decision.
+class AdmissionPolicy {
+ public:
+  virtual ~AdmissionPolicy() = default;
+  virtual void start(Ms now, ActionSink& out) = 0;
+  virtual void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries,
+                            ActionSink& out) = 0;
+  virtual void on_request(Ms now, const Request& request, ActionSink& out) = 0;
+  virtual void on_attempt_end(Ms now, const AttemptResult& result, ActionSink& out) = 0;
+  // The value of an attempt begins to arrive in chunks; `on_attempt_end` follows when it is complete or
+  // broken off. Optional.
+  virtual void on_stream_started(Ms, RequestId, std::uint32_t, ActionSink&) {}
+  virtual void on_client_disconnected(Ms now, RequestId request, ActionSink& out) = 0;
+  virtual void on_timer(Ms now, std::uint64_t token, ActionSink& out) = 0;
+};
+
+}  // namespace cometfold::engine
--- a/src/engine/digest.h
+++ b/src/engine/digest.h
@@ -1,5 +1,5 @@
-// A fingerprint of a state, for tools that must tell whether they have been in it before. Two states with
-// equal prints are the same but for a chance of about n^2 / 2^65 among n states.
+// A fingerprint of a state, by which the model checker recognises states that it has visited. Two states with
+// equal fingerprints are equal but for a chance of about n^2 / 2^65 among n states.
 #pragma once
 
 #include <bit>
@@ -20,7 +20,7 @@
   void add(double number) { add(std::bit_cast<std::uint64_t>(number)); }
   void add(std::string_view text) {
     add(std::uint64_t{text.size()});
-    for (const char c : text) add(std::uint64_t{static_cast<unsigned char>(c)});
+    for (const char byte : text) add(std::uint64_t{static_cast<unsigned char>(byte)});
   }
   std::uint64_t value() const { return value_; }
 
--- /dev/null
+++ b/src/engine/request.h
@@ -0,0 +1,54 @@
+// A request on its way into the engine, and what the front end that read it must know about it.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+
+#include "cometfold/admission_controller.h"
+
+namespace cometfold::engine {
+
+class UpstreamTransport;
+
+using AttemptId = std::uint64_t;
+
+// Where a front end must deliver a reply. Opaque to the engine, which passes it back unchanged.
+struct ResponseHandle {
+  std::uint64_t connection = 0;
+  std::uint64_t sequence = 0;
+};
+
+// What the front end and the transport know of a request and the engine does not. Kept until the request's
+// last attempt has ended.
+class Payload {
+ public:
+  virtual ~Payload() = default;
+  virtual std::size_t bytes() const = 0;  // counted against EngineLimits::max_payload_bytes
+};
+
+// A request as a front end has parsed it. The engine sets `request.id` and `request.expires_at`.
+struct IncomingRequest {
+  Request request;
+  Ms timeout_ms = 0;           // how long its client waits in all, from now
+  std::uint64_t identity = 0;  // its id on the hosts' wire; two open requests never share one
+  std::unique_ptr<Payload> payload;
+  UpstreamTransport* upstream = nullptr;  // carries out its attempts; null: the engine's default transport
+};
+
+enum class AcceptResult : std::uint8_t {
+  kAccepted,            // a reply follows or has been delivered
+  kDuplicateIdentity,   // another open request has this identity: nothing done
+  kNoCapacity,          // beyond EngineLimits: nothing done
+  kClientDisconnected,  // its client has closed its connection: nothing done, and no reply follows
+};
+
+// Why an accepted request has failed.
+enum class FailureReason : std::uint8_t {
+  kPolicy,        // the policy's decision
+  kTimedOut,      // its deadline has passed
+  kShuttingDown,  // the gateway ends before a reply was available
+  kInternal,      // the policy threw, and no attempt is in flight that could still be answered
+};
+
+}  // namespace cometfold::engine
--- /dev/null
+++ b/src/engine/request_event.h
@@ -0,0 +1,40 @@
+// Steps of one request, for a log of them.
+#pragma once
+
+#include <cstdint>
+#include <functional>
+#include <optional>
+
+#include "cometfold/attempt_rules.h"
+#include "engine/request.h"
+
+namespace cometfold::engine {
+
+struct RequestEvent {
+  enum Kind : std::uint8_t {
+    kAccepted,
+    kSent,
+    kFirstByte,
+    kWritten,
+    kEnded,
+    kServed,
+    kRejected,
+    kFailed,
+    kClientDisconnected
+  };
+  Kind kind = kAccepted;
+  Ms at = 0;
+  RequestId request = 0;
+  std::uint64_t identity = 0;                         // its id on the clients' and hosts' wire
+  ResponseHandle ticket = {};                         // kAccepted
+  Ms remaining_ms = 0;                                // kAccepted, kSent, kFirstByte: until the deadline
+  AttemptId attempt = 0;                              // kSent to kEnded
+  HostId host = 0;                                    // kSent to kEnded: the attempt's host
+  Outcome outcome = Outcome::kOk;                     // kEnded
+  std::optional<RejectionReason> reason = {};         // kRejected, kFailed: if the policy decided so
+  AttemptVerdict verdict = AttemptVerdict::kAllowed;  // kFirstByte: why the rules prevented it
+};
+
+using RequestEventListener = std::function<void(const RequestEvent&)>;
+
+}  // namespace cometfold::engine
--- /dev/null
+++ b/src/engine/request_table.cpp
@@ -0,0 +1,76 @@
+#include "engine/request_table.h"
+
+#include <algorithm>
+
+#include "engine/faults.h"
+
+namespace cometfold::engine {
+
+std::pair<RequestId, PendingRequest&> RequestTable::add(PendingRequest request) {
+  const RequestId id = ++last_request_id_;
+  payload_bytes_ += request.payload->bytes();
+  ++unanswered_count_;
+  open_identities_.insert(request.identity);
+  PendingRequest& added = requests_[id];
+  added = std::move(request);
+  return {id, added};
+}
+
+PendingRequest* RequestTable::find(RequestId id) {
+  const auto found = requests_.find(id);
+  return found == requests_.end() ? nullptr : &found->second;
+}
+
+std::optional<RequestTable::AttemptRef> RequestTable::find_attempt(AttemptId attempt) const {
+  const auto found = attempts_.find(attempt);
+  if (found == attempts_.end()) return {};
+  return found->second;
+}
+
+void RequestTable::mark_answered(PendingRequest& request) {
+  if (!mutant(Mutant::kKeepsIdentity)) open_identities_.erase(request.identity);
+  mark_answered_keeping_identity(request);
+}
+
+void RequestTable::mark_answered_keeping_identity(PendingRequest& request) {
+  request.answered = true;
+  --unanswered_count_;
+}
+
+void RequestTable::erase_if_done(RequestId id) {
+  const auto found = requests_.find(id);
+  if (found == requests_.end()) return;
+  const PendingRequest& request = found->second;
+  if (!request.answered || request.in_flight_count > 0 || request.unreported_end_count > 0) return;
+  if (mutant(Mutant::kServesLateAnswer)) return;  // its abandoned attempts still refer to the request
+  payload_bytes_ -= request.payload->bytes();
+  requests_.erase(found);
+}
+
+std::vector<RequestId> RequestTable::unanswered_ids() const {
+  std::vector<RequestId> ids;
+  for (const auto& [id, request] : requests_) {
+    if (!request.answered) ids.push_back(id);
+  }
+  std::sort(ids.begin(), ids.end());
+  return ids;
+}
+
+void RequestTable::digest(Digest& into) const {
+  std::vector<RequestId> ids;
+  for (const auto& [id, request] : requests_) ids.push_back(id);
+  std::sort(ids.begin(), ids.end());
+  for (const auto id : ids) {
+    const PendingRequest& request = requests_.at(id);
+    into.add(id);
+    into.add(request.expires_at);
+    into.add(std::uint64_t{request.answered} | request.unreported_end_count << 1);
+    for (const auto& attempt : request.attempts) {
+      into.add(attempt.in_flight ? attempt.id : 0);
+      into.add(std::uint64_t{attempt.host} << 1 | std::uint64_t{attempt.in_flight});
+      into.add(attempt.in_flight ? attempt.expires_at : 0);
+    }
+  }
+}
+
+}  // namespace cometfold::engine
--- /dev/null
+++ b/src/engine/request_table.h
@@ -0,0 +1,98 @@
+// The requests that the engine has accepted and not yet forgotten, with their attempts.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <unordered_map>
+#include <unordered_set>
+#include <utility>
+#include <vector>
+
+#include "cometfold/attempt_rules.h"
+#include "engine/digest.h"
+#include "engine/downstream_handler.h"
+#include "engine/request.h"
+#include "engine/upstream_transport.h"
+
+namespace cometfold::engine {
+
+struct Attempt {
+  AttemptId id = 0;
+  HostId host = 0;
+  Ms sent_at = 0;
+  Ms expires_at = 0;  // when it is abandoned
+  bool in_flight = true;
+  HostLocation location = {};  // of the host at the time of the decision
+  Ms host_started_at = 0;      // start of the host process that the decision was made for
+  bool may_have_executed = true;
+  bool awaits_first_byte = false;
+  Outcome outcome = Outcome::kOk;  // valid when no longer in flight
+};
+
+struct PendingRequest {
+  DownstreamHandler* handler = nullptr;
+  UpstreamTransport* upstream = nullptr;
+  ResponseHandle response;
+  std::unique_ptr<Payload> payload;
+  Ms expires_at = 0;
+  std::uint64_t identity = 0;
+  std::uint32_t class_index = 0;
+  std::optional<ClassSettings> class_settings;     // as at its acceptance; none: no rules apply
+  bool answered = false;                           // has its final reply, or its client has disconnected
+  std::optional<std::uint32_t> streaming_attempt;  // whose value is being streamed to the client
+  std::vector<Attempt> attempts;
+  std::size_t in_flight_count = 0;
+  std::size_t unreported_end_count = 0;  // ends of attempts that the policy has not been notified of
+
+  // Whether the client has closed its connection before it had its reply.
+  bool client_disconnected() const { return !answered && handler->client_disconnected(response); }
+};
+
+// Entries stay at their address until they are erased.
+class RequestTable {
+ public:
+  struct AttemptRef {
+    RequestId request = 0;
+    std::uint32_t index = 0;  // among the request's attempts
+  };
+
+  // Adds the request under the next id and reserves its identity.
+  std::pair<RequestId, PendingRequest&> add(PendingRequest request);
+  PendingRequest* find(RequestId id);
+  bool contains(RequestId id) const { return requests_.contains(id); }
+  bool identity_in_use(std::uint64_t identity) const { return open_identities_.contains(identity); }
+  // Whether `token` is the id of a request that is done and forgotten.
+  bool is_forgotten(std::uint64_t token) const { return token <= last_request_id_ && !contains(token); }
+
+  AttemptId next_attempt_id() { return ++last_attempt_id_; }
+  void add_attempt_ref(AttemptId attempt, AttemptRef ref) { attempts_.emplace(attempt, ref); }
+  std::optional<AttemptRef> find_attempt(AttemptId attempt) const;
+  void erase_attempt_ref(AttemptId attempt) { attempts_.erase(attempt); }
+
+  // The request has its final reply: its identity is free.
+  void mark_answered(PendingRequest& request);
+  void mark_answered_keeping_identity(PendingRequest& request);
+  // Forgets the request if it is answered, none of its attempts is in flight and the policy knows of all
+  // ends.
+  void erase_if_done(RequestId id);
+
+  std::vector<RequestId> unanswered_ids() const;  // in ascending order
+  std::size_t size() const { return requests_.size(); }
+  std::size_t unanswered_count() const { return unanswered_count_; }
+  std::size_t payload_bytes() const { return payload_bytes_; }
+  void digest(Digest& into) const;
+  void digest_last_ids(Digest& into) const { into.add(last_request_id_ << 32 | last_attempt_id_); }
+
+ private:
+  std::unordered_map<RequestId, PendingRequest> requests_;
+  std::unordered_set<std::uint64_t> open_identities_;
+  std::unordered_map<AttemptId, AttemptRef> attempts_;
+  RequestId last_request_id_ = 0;
+  AttemptId last_attempt_id_ = 0;
+  std::size_t payload_bytes_ = 0;
+  std::size_t unanswered_count_ = 0;
+};
+
+}  // namespace cometfold::engine
--- a/src/explore/world_parts.h
+++ b/src/explore/world_parts.h
@@ -11,6 +11,7 @@
 #include <string>
 #include <utility>
 
+#include "engine/controller_policy.h"
 #include "explore/world.h"
 #include "resp/resp.h"
 
--- a/src/net/decision_log.h
+++ b/src/net/decision_log.h
@@ -5,7 +5,7 @@
 #include <functional>
 #include <string>
 
-#include "engine/module.h"
+#include "engine/admission_policy.h"
 
 namespace cometfold::net {
 
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "engine/engine.h"
-#include "engine/module.h"
+#include "engine/controller_policy.h"
 #include "net/admin_server.h"
 #include "net/clients.h"
 #include "net/clock.h"
--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -10,7 +10,7 @@
 #include <vector>
 
 #include "engine/engine.h"
-#include "engine/module.h"
+#include "engine/controller_policy.h"
 #include "extproc/processor.h"
 #include "http2/grpc_server.h"
 
