--- a/emulators/cluster/check.cpp
+++ b/emulators/cluster/check.cpp
@@ -6,7 +6,7 @@
 
 #include "emulators/cluster/history.h"
 #include "net/config.h"
-#include "rules/rules.h"
+#include "rules/rule_monitors.h"
 
 namespace cometfold::emulators::cluster {
 namespace json = boost::json;
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -18,7 +18,7 @@
 #include "emulators/proxy/http_host.h"
 #include "emulators/proxy/proxy_emulator.h"
 #include "emulators/words.h"
-#include "rules/rules.h"
+#include "rules/at_most_once_monitor.h"
 
 namespace {
 
--- a/src/explore/explorer.h
+++ b/src/explore/explorer.h
@@ -13,7 +13,7 @@
 #include "engine/faults.h"
 #include "explore/chooser.h"
 #include "explore/scenario.h"
-#include "rules/rules.h"
+#include "rules/rule_monitors.h"
 
 namespace cometfold::explore {
 
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -16,7 +16,7 @@
 #include "resp/client_link.h"
 #include "resp/front.h"
 #include "resp/host_pool.h"
-#include "rules/rules.h"
+#include "rules/rule_monitors.h"
 
 namespace cometfold::explore {
 
--- /dev/null
+++ b/src/rules/single_reply_monitor.h
@@ -0,0 +1,38 @@
+// Rule "no request lost": each request has one final reply in time, a served one carries the value that a
+// host produced for it, and nothing is sent for it afterwards.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <optional>
+#include <string>
+#include <vector>
+
+#include "rules/monitor.h"
+
+namespace cometfold::rules {
+
+class SingleReplyMonitor : public Monitor {
+ public:
+  // `slack`: milliseconds beyond the deadline that a reply may take.
+  explicit SingleReplyMonitor(Ms slack) : slack_(slack) {}
+  std::optional<Violation> observe(const Event& event) override;
+  std::optional<Violation> check_deadlines(Ms now) override;
+  void digest(engine::Digest& into) const override;
+
+ private:
+  struct Request {
+    GatewayId gateway = 0;
+    Ms expires_at = 0;
+    bool answered = false;
+    bool client_disconnected = false;
+    std::vector<std::string> produced_values;  // one for each attempt that was executed
+  };
+  std::optional<Violation> check_write(const Event& event, const Request& request) const;
+  std::optional<Violation> check_reply(const Event& event, Request& request) const;
+
+  Ms slack_;
+  std::map<std::uint64_t, Request> requests_;
+};
+
+}  // namespace cometfold::rules
--- a/tests/monitors_test.cpp
+++ b/tests/monitors_test.cpp
@@ -1,7 +1,7 @@
 // The monitors against histories written by hand: each bad one is called, and the nearest good one is not.
 #include <gtest/gtest.h>
 
-#include "rules/rules.h"
+#include "rules/rule_monitors.h"
 #include "support.h"
 
 namespace cometfold::rules {
