--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -23,10 +23,10 @@
 
 // A deliberate fault that skips an earlier guard must get past this one too, or it would never show.
 bool mutant_sends_after_answer() {
-  return mutant(Mutant::kSendsAfterAnswer) || mutant(Mutant::kServesLateAnswer);
+  return mutant(Mutant::kSendsAfterReply) || mutant(Mutant::kServesAbandonedAttempt);
 }
 bool mutant_sends_to_drained_host() {
-  return mutant(Mutant::kForgetsWaitingDrain) || mutant(Mutant::kSkipsRetireOnThrow);
+  return mutant(Mutant::kForgetsWaitingDrain) || mutant(Mutant::kNoRetirementOnPolicyException);
 }
 
 }  // namespace
--- a/src/engine/attempt_runner.cpp
+++ b/src/engine/attempt_runner.cpp
@@ -18,7 +18,7 @@
 }
 
 bool AttemptRunner::may_start(Ms now, const PendingRequest& request, std::uint32_t attempt) {
-  if (request.answered && !mutant(Mutant::kSendsAfterAnswer)) return false;
+  if (request.answered && !mutant(Mutant::kSendsAfterReply)) return false;
   if (attempt > 0 && request.client_disconnected()) {
     metrics_.count_prevented_first_byte(AttemptVerdict::kClientDisconnected);
     return false;
@@ -61,7 +61,7 @@
 void AttemptRunner::cancel(Ms now, RequestId id, std::uint32_t attempt) {
   const PendingRequest* const request = requests_.find(id);
   if (!request || attempt >= request->attempts.size() || !request->attempts[attempt].in_flight) return;
-  if (!mutant(Mutant::kServesLateAnswer)) request->upstream->abandon(now, request->attempts[attempt].id);
+  if (!mutant(Mutant::kServesAbandonedAttempt)) request->upstream->abandon(now, request->attempts[attempt].id);
   end(now, id, attempt, Outcome::kCancelled, {});
 }
 
@@ -76,9 +76,9 @@
   tracer_.record_attempt(now, RequestEvent::kEnded, id, *request, ended);
   ++metrics_.attempts.by_outcome[static_cast<std::size_t>(outcome)];
   --request->in_flight_count;
-  if (!mutant(Mutant::kServesLateAnswer)) requests_.erase_attempt_ref(ended.id);
+  if (!mutant(Mutant::kServesAbandonedAttempt)) requests_.erase_attempt_ref(ended.id);
   // Queued, as most ends happen while the policy is being called.
-  const int reports = mutant(Mutant::kReportsEndTwice) ? 2 : 1;
+  const int reports = mutant(Mutant::kReportsAttemptEndTwice) ? 2 : 1;
   for (int i = 0; i < reports; ++i) {
     ++request->unreported_end_count;
     unreported_ends_.push_back({id, attempt, outcome, load});
@@ -87,7 +87,7 @@
 
 void AttemptRunner::withdraw_waiting(Ms now, RequestId id) {
   const PendingRequest* const request = requests_.find(id);
-  if (!request || mutant(Mutant::kSendsAfterAnswer)) return;
+  if (!request || mutant(Mutant::kSendsAfterReply)) return;
   for (std::uint32_t i = 0; i < request->attempts.size(); ++i) {
     const Attempt& attempt = request->attempts[i];
     if (attempt.in_flight && request->upstream->withdraw(now, attempt.id)) {
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -31,7 +31,7 @@
   const bool returned = policy_.call(PolicyCaller::kNoRequest, [&](AdmissionPolicy& policy) {
     policy.on_host_list(now, kind, entries, *this);
   });
-  const bool skip_retirement = !returned && mutant(Mutant::kSkipsRetireOnThrow);
+  const bool skip_retirement = !returned && mutant(Mutant::kNoRetirementOnPolicyException);
   for (const auto& entry : entries) {
     if (entry.state == HostState::kReady || skip_retirement) continue;
     for (UpstreamTransport* upstream : upstreams_) upstream->retire_host(now, entry.id);
@@ -46,7 +46,7 @@
   now_ = now;
   request_id = 0;
   // Hosts could not tell two requests of one identity apart, and one's reply could be taken for the other's.
-  if (requests_.identity_in_use(incoming.identity) && !mutant(Mutant::kSharesIdentity)) {
+  if (requests_.identity_in_use(incoming.identity) && !mutant(Mutant::kAllowsDuplicateIdentity)) {
     return AcceptResult::kDuplicateIdentity;
   }
   if (handler.client_disconnected(response)) {
@@ -63,7 +63,7 @@
   incoming.request.id = id;
   incoming.request.expires_at = pending.expires_at;
   tracer_.record(now, RequestEvent::kAccepted, id, pending);
-  if (!mutant(Mutant::kForgetsDeadline)) timers_.push({pending.expires_at, Timer::kDeadline, id});
+  if (!mutant(Mutant::kNoDeadlineTimer)) timers_.push({pending.expires_at, Timer::kDeadline, id});
   policy_.call(id, [&](AdmissionPolicy& policy) { policy.on_request(now, incoming.request, *this); });
   process_pending();
   const PendingRequest* const still_pending = requests_.find(id);
@@ -90,7 +90,7 @@
 void Engine::on_client_disconnected(Ms now, RequestId request_id) {
   now_ = now;
   const PendingRequest* const request = requests_.find(request_id);
-  if (!request || request->answered || mutant(Mutant::kLosesGoneClient)) return;
+  if (!request || request->answered || mutant(Mutant::kIgnoresClientDisconnect)) return;
   tracer_.record(now, RequestEvent::kClientDisconnected, request_id, *request);
   replies_.finish_disconnected(now, request_id);
   // The rest of a streamed value is discarded, and must not wait for a client to read it.
@@ -215,7 +215,7 @@
 void Engine::fail_if_stranded(RequestId id) {
   PendingRequest* const request = requests_.find(id);
   if (!request || request->answered || request->in_flight_count > 0) return;
-  if (mutant(Mutant::kLosesThrownRequest)) {
+  if (mutant(Mutant::kDropsRequestOnPolicyException)) {
     requests_.mark_answered_keeping_identity(*request);
     return requests_.erase_if_done(id);
   }
@@ -259,7 +259,7 @@
 
 void Engine::fail_all(Ms now) {
   now_ = now;
-  if (mutant(Mutant::kStopsWithoutSettling)) return;
+  if (mutant(Mutant::kShutdownWithoutReplies)) return;
   for (const auto id : requests_.unanswered_ids()) {
     replies_.fail(now, id, FailureReason::kShuttingDown);
     policy_.call(PolicyCaller::kNoRequest,
--- a/src/engine/faults.h
+++ b/src/engine/faults.h
@@ -1,32 +1,33 @@
-// Deliberate faults, to show that the explorer and the monitors find them. Built in only with
-// COMETFOLD_MUTANTS, for tools and tests; elsewhere `mutant` is a constant false and costs nothing.
+// Deliberate faults, to show that the model checker and the monitors find them. Built in only with
+// COMETFOLD_MUTANTS, for tools and tests; elsewhere `mutant` is a constant false and costs nothing. The names
+// by which the model checker's options and trace files call them are in explore/mutant_names.cpp.
 #pragma once
 
 namespace cometfold::engine {
 
 enum class Mutant : unsigned char {
   kNone,
-  kAnswersTwice,          // a second final answer reaches the front end
-  kResendsAfterReset,     // a break after the last byte is told as 'could not connect'
-  kForgetsWaitingDrain,   // a drained host's attempts that wait for their connection go on
-  kSendsAfterAnswer,      // what still waits when the answer is out is not withdrawn
-  kServesLateAnswer,      // an attempt that was given up is still heard
-  kIgnoresNoise,          // what comes behind a good answer is taken for the next one
-  kLosesGoneClient,       // a client that went is not told to the engine
-  kForgetsDeadline,       // no timer for a request's time
-  kLosesThrownRequest,    // a request whose module call threw is dropped unanswered
-  kServesSpoilt,          // a spoilt answer is passed on as a value
-  kSkipsRetireOnThrow,    // a module that throws on a list keeps drained hosts in use
-  kSharesIdentity,        // two open requests may have one identity
-  kAnswersOutOfOrder,     // answers on one client connection go out as they come
-  kStopsWithoutSettling,  // the stop leaves open requests unanswered
-  kKeepsIdentity,         // an id stays taken after its request's answer
-  kReadsOnAfterSpoilt,    // what comes behind a spoilt answer is taken for the answer
-  kFreesIdentityEarly,    // an id is free though its answer is not all out
-  kReportsEndTwice,       // the module is told of one end twice
+  kDuplicateReply,           // a second final reply reaches the front end
+  kResendsAfterReset,        // a connection lost after the last byte is reported as a failed connect
+  kForgetsWaitingDrain,      // a drained host's attempts that wait for their connection are kept
+  kSendsAfterReply,          // attempts that wait for their connection are not withdrawn after the reply
+  kServesAbandonedAttempt,   // the reply of an attempt that was abandoned is still used
+  kIgnoresNoise,             // bytes behind a complete reply are taken for the next one
+  kIgnoresClientDisconnect,  // the engine ignores that a client has disconnected
+  kNoDeadlineTimer,          // no timer for a request's deadline
+  kDropsRequestOnPolicyException,  // a request on which the policy threw is forgotten without a reply
+  kServesSpoilt,                   // a malformed reply is passed on as a value
+  kNoRetirementOnPolicyException,  // hosts are not retired if the policy throws on the host list
+  kAllowsDuplicateIdentity,        // two open requests may have one identity
+  kAnswersOutOfOrder,              // replies on one client connection are written as they arrive
+  kShutdownWithoutReplies,         // the shutdown leaves open requests without a reply
+  kLeaksIdentity,                  // an identity stays reserved after its request's reply
+  kReadsOnAfterSpoilt,             // what follows a malformed reply is taken for the reply
+  kFreesIdentityEarly,             // an identity is free before its reply is written completely
+  kReportsAttemptEndTwice,         // the policy is notified of one attempt end twice
 };
 
-constexpr int kMutants = 19;  // with kNone
+constexpr int kMutantCount = 19;  // with kNone
 
 #ifdef COMETFOLD_MUTANTS
 inline thread_local Mutant active_mutant = Mutant::kNone;
--- a/src/engine/reply_dispatcher.cpp
+++ b/src/engine/reply_dispatcher.cpp
@@ -10,7 +10,7 @@
   PendingRequest* const request = requests_.find(id);
   if (!request) return;
   if (request->answered) {
-    if (mutant(Mutant::kAnswersTwice)) deliver(*request->handler, request->response);
+    if (mutant(Mutant::kDuplicateReply)) deliver(*request->handler, request->response);
     return;
   }
   requests_.mark_answered(*request);
--- a/src/engine/request_table.cpp
+++ b/src/engine/request_table.cpp
@@ -28,7 +28,7 @@
 }
 
 void RequestTable::mark_answered(PendingRequest& request) {
-  if (!mutant(Mutant::kKeepsIdentity)) open_identities_.erase(request.identity);
+  if (!mutant(Mutant::kLeaksIdentity)) open_identities_.erase(request.identity);
   mark_answered_keeping_identity(request);
 }
 
@@ -42,7 +42,7 @@
   if (found == requests_.end()) return;
   const PendingRequest& request = found->second;
   if (!request.answered || request.in_flight_count > 0 || request.unreported_end_count > 0) return;
-  if (mutant(Mutant::kServesLateAnswer)) return;  // its abandoned attempts still refer to the request
+  if (mutant(Mutant::kServesAbandonedAttempt)) return;  // its abandoned attempts still refer to the request
   payload_bytes_ -= request.payload->bytes();
   requests_.erase(found);
 }
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -17,25 +17,25 @@
 
 namespace {
 
-constexpr std::array<const char*, engine::kMutants> kMutantNames = {"none",
-                                                                    "answers-twice",
-                                                                    "resends-after-reset",
-                                                                    "forgets-waiting-drain",
-                                                                    "sends-after-answer",
-                                                                    "serves-late-answer",
-                                                                    "ignores-noise",
-                                                                    "loses-gone-client",
-                                                                    "forgets-deadline",
-                                                                    "loses-thrown-request",
-                                                                    "serves-spoilt",
-                                                                    "skips-retire-on-throw",
-                                                                    "shares-identity",
-                                                                    "answers-out-of-order",
-                                                                    "stops-without-settling",
-                                                                    "keeps-identity",
-                                                                    "reads-on-after-spoilt",
-                                                                    "frees-identity-early",
-                                                                    "reports-end-twice"};
+constexpr std::array<const char*, engine::kMutantCount> kMutantNames = {"none",
+                                                                        "answers-twice",
+                                                                        "resends-after-reset",
+                                                                        "forgets-waiting-drain",
+                                                                        "sends-after-answer",
+                                                                        "serves-late-answer",
+                                                                        "ignores-noise",
+                                                                        "loses-gone-client",
+                                                                        "forgets-deadline",
+                                                                        "loses-thrown-request",
+                                                                        "serves-spoilt",
+                                                                        "skips-retire-on-throw",
+                                                                        "shares-identity",
+                                                                        "answers-out-of-order",
+                                                                        "stops-without-settling",
+                                                                        "keeps-identity",
+                                                                        "reads-on-after-spoilt",
+                                                                        "frees-identity-early",
+                                                                        "reports-end-twice"};
 
 // The fingerprints seen, in parts so that threads seldom wait for each other.
 class Seen {
@@ -61,49 +61,49 @@
 };
 
 struct Found {
-  Path path;
+  ChoicePath path;
   rules::Violation breach;
 };
 
 // What one thread adds up in one layer.
 struct Tally {
-  std::vector<Path> next;
+  std::vector<ChoicePath> next;
   std::size_t transitions = 0, ends = 0, cut_off = 0;
-  Sights sights = 0;
+  Coverage sights = 0;
   std::optional<Found> found;  // the least path
 };
 
 // All events that can follow `path`, with all choices made inside them.
-void expand(const Scenario& scenario, const Path& path, std::size_t events, Seen& seen, Tally& tally) {
-  std::vector<Path> todo{{}};
+void expand(const Scenario& scenario, const ChoicePath& path, std::size_t events, Seen& seen, Tally& tally) {
+  std::vector<ChoicePath> todo{{}};
   while (!todo.empty()) {
-    const Path more = std::move(todo.back());
+    const ChoicePath more = std::move(todo.back());
     todo.pop_back();
     Chooser chooser(path);
     World world(scenario, chooser);
     for (std::size_t i = 0; i < events; ++i) world.step();
     chooser.extend(more);
     const bool went = world.step();
-    if (!chooser.fault().empty()) throw std::logic_error(chooser.fault());
-    const Path& taken = chooser.taken();
+    if (!chooser.error().empty()) throw std::logic_error(chooser.error());
+    const ChoicePath& taken = chooser.path_taken();
     // The alternatives at the choices that this run made freely.
     const std::size_t fixed = path.size() + more.size();
     for (std::size_t i = fixed; i < taken.size(); ++i) {
-      for (std::uint8_t other = 1; other < chooser.free()[i - fixed]; ++other) {
-        Path alternative(taken.begin() + static_cast<std::ptrdiff_t>(path.size()),
-                         taken.begin() + static_cast<std::ptrdiff_t>(i));
+      for (std::uint8_t other = 1; other < chooser.free_option_counts()[i - fixed]; ++other) {
+        ChoicePath alternative(taken.begin() + static_cast<std::ptrdiff_t>(path.size()),
+                               taken.begin() + static_cast<std::ptrdiff_t>(i));
         alternative.push_back(other);
         todo.push_back(std::move(alternative));
       }
     }
-    if (world.breach()) {
-      if (!tally.found || taken < tally.found->path) tally.found = {taken, *world.breach()};
+    if (world.violation()) {
+      if (!tally.found || taken < tally.found->path) tally.found = {taken, *world.violation()};
     } else if (!went) {
-      ++(world.cut_off() ? tally.cut_off : tally.ends);
+      ++(world.truncated() ? tally.cut_off : tally.ends);
       continue;
     }
     ++tally.transitions;
-    tally.sights |= world.sights();
+    tally.sights |= world.coverage();
     if (went && seen.add(world.fingerprint())) tally.next.push_back(taken);
   }
 }
@@ -126,11 +126,11 @@
 #endif
 }
 
-Result explore(const Scenario& scenario, engine::Mutant mutant, const Effort& effort) {
+ExplorationResult explore(const Scenario& scenario, engine::Mutant mutant, const ExplorationLimits& effort) {
   const auto began = std::chrono::steady_clock::now();
-  Result result;
+  ExplorationResult result;
   Seen seen;
-  std::vector<Path> layer{{}};
+  std::vector<ChoicePath> layer{{}};
   std::optional<Found> found;
   for (std::size_t events = 0; !layer.empty() && !found; ++events) {
     std::vector<Tally> tallies(effort.threads);
@@ -150,15 +150,15 @@
     layer.clear();
     for (auto& tally : tallies) {
       result.transitions += tally.transitions;
-      result.ends += tally.ends;
-      result.sights |= tally.sights;
-      result.cut_off += tally.cut_off;
+      result.terminal_runs += tally.ends;
+      result.coverage |= tally.sights;
+      result.truncated_states += tally.cut_off;
       if (tally.found && (!found || tally.found->path < found->path)) found = tally.found;
       std::move(tally.next.begin(), tally.next.end(), std::back_inserter(layer));
     }
-    if (!layer.empty()) result.deepest = events + 1;
-    if (found) result.trace_events = events + 1;
-    if (seen.size() > effort.most_states) {
+    if (!layer.empty()) result.max_depth = events + 1;
+    if (found) result.counterexample_events = events + 1;
+    if (seen.size() > effort.max_states) {
       result.complete = false;
       break;
     }
@@ -166,12 +166,12 @@
   result.states = seen.size();
   result.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
   if (found) {
-    result.breach = found->breach;
+    result.violation = found->breach;
     set_mutant(mutant);
     Chooser chooser(found->path);
-    chooser.on_choice = [&](const std::string& label) { result.trace.push_back(label); };
+    chooser.on_choice = [&](const std::string& label) { result.counterexample.push_back(label); };
     World world(scenario, chooser);
-    while (!chooser.done() && world.step()) {
+    while (!chooser.at_end() && world.step()) {
     }
     set_mutant(engine::Mutant::kNone);
   }
@@ -180,20 +180,20 @@
 
 std::optional<rules::Violation> replay(const Scenario& scenario, engine::Mutant mutant,
                                        const std::vector<std::string>& trace,
-                                       const std::function<void(const std::string&)>& say, Fit fit) {
+                                       const std::function<void(const std::string&)>& say, TraceMatch fit) {
   set_mutant(mutant);
   Chooser chooser(trace);
   if (say) chooser.on_choice = say;
   World world(scenario, chooser, say);
-  while (!chooser.done() && chooser.fault().empty() && world.step()) {
+  while (!chooser.at_end() && chooser.error().empty() && world.step()) {
   }
-  const std::string fault = chooser.fault();
+  const std::string fault = chooser.error();
   // What a trace leaves open is played to its plain end, so that a breach by omission shows.
   while (world.step()) {
   }
   set_mutant(engine::Mutant::kNone);
-  if (fit == Fit::kStrict && !fault.empty()) throw std::runtime_error(fault);
-  return world.breach();
+  if (fit == TraceMatch::kStrict && !fault.empty()) throw std::runtime_error(fault);
+  return world.violation();
 }
 
 }  // namespace cometfold::explore
--- a/src/explore/explorer.h
+++ b/src/explore/explorer.h
@@ -17,38 +17,38 @@
 
 namespace cometfold::explore {
 
-struct Result {
-  std::size_t states = 0;       // told apart by their fingerprints
-  std::size_t transitions = 0;  // events played from them
-  std::size_t deepest = 0;      // events in the longest run without a state seen before
-  std::size_t ends = 0;         // runs after which nothing can happen
-  std::size_t cut_off = 0;      // states not followed further: as deep as the scenario allows
-  std::uint32_t sights = 0;     // see world.h: what some run has been through
-  bool complete = true;         // false: `most_states` was reached
+struct ExplorationResult {
+  std::size_t states = 0;            // told apart by their fingerprints
+  std::size_t transitions = 0;       // events played from them
+  std::size_t max_depth = 0;         // events in the longest run without a state seen before
+  std::size_t terminal_runs = 0;     // runs after which nothing can happen
+  std::size_t truncated_states = 0;  // states not followed further: as deep as the scenario allows
+  std::uint32_t coverage = 0;        // see world.h: what some run has been through
+  bool complete = true;              // false: `most_states` was reached
   double seconds = 0;
-  std::optional<rules::Violation> breach;
-  std::vector<std::string> trace;  // the choices that lead to it, by name
-  std::size_t trace_events = 0;
+  std::optional<rules::Violation> violation;
+  std::vector<std::string> counterexample;  // the choices that lead to it, by name
+  std::size_t counterexample_events = 0;
 };
 
-struct Effort {
+struct ExplorationLimits {
   unsigned threads = 2;
-  std::size_t most_states = 20'000'000;
+  std::size_t max_states = 20'000'000;
 };
 
 // Ends at the first layer with a breach.
-Result explore(const Scenario& scenario, engine::Mutant mutant, const Effort& effort);
+ExplorationResult explore(const Scenario& scenario, engine::Mutant mutant, const ExplorationLimits& effort);
 
 // Whether a trace must fit to its end. One found with a mutant need not fit the sound engine, which goes
 // another way from the fault on: what does not fit is played as the plain end then.
-enum class Fit : std::uint8_t { kStrict, kAsFarAsItGoes };
+enum class TraceMatch : std::uint8_t { kStrict, kPrefix };
 
 // Plays choices by name, then the plain end, and reports each event and action through `say`. Nothing is
 // returned if no rule is broken. Throws std::runtime_error if a strict trace does not fit the scenario.
 std::optional<rules::Violation> replay(const Scenario& scenario, engine::Mutant mutant,
                                        const std::vector<std::string>& trace,
                                        const std::function<void(const std::string&)>& say,
-                                       Fit fit = Fit::kStrict);
+                                       TraceMatch fit = TraceMatch::kStrict);
 
 // The mutants by name.
 std::string name_of(engine::Mutant mutant);
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -21,25 +21,27 @@
               "deepest", "ends", "cut off", "seconds", "verdict");
 }
 
-void print_result(const Scenario& s, Mutant mutant, const Result& r) {
-  std::string verdict = r.breach
-                            ? "BROKEN after " + std::to_string(r.trace_events) + " events: " + r.breach->rule
+void print_result(const Scenario& s, Mutant mutant, const ExplorationResult& r) {
+  std::string verdict = r.violation ? "BROKEN after " + std::to_string(r.counterexample_events) +
+                                          " events: " + r.violation->rule
                         : r.complete ? "all rules hold"
                                      : "no breach, not complete";
   std::printf("%-24s %-24s %10zu %12zu %8zu %9zu %9zu %8.1f  %s\n", s.name.c_str(), name_of(mutant).c_str(),
-              r.states, r.transitions, r.deepest, r.ends, r.cut_off, r.seconds, verdict.c_str());
+              r.states, r.transitions, r.max_depth, r.terminal_runs, r.truncated_states, r.seconds,
+              verdict.c_str());
   std::fflush(stdout);
 }
 
 // What the scenarios were through, with the first that was.
-void print_sights(const std::vector<std::pair<std::string, Sights>>& seen) {
+void print_sights(const std::vector<std::pair<std::string, Coverage>>& seen) {
   std::printf("\n%-60s %s\n", "been through", "in");
-  for (unsigned i = 0; i < static_cast<unsigned>(Sight::kCount); ++i) {
+  for (unsigned i = 0; i < static_cast<unsigned>(CoverageGoal::kCount); ++i) {
     std::string where;
     for (const auto& [name, sights] : seen) {
       if (sights >> i & 1) where += " " + name;
     }
-    std::printf("%-60s%s\n", name_of(static_cast<Sight>(i)), where.empty() ? " nowhere" : where.c_str());
+    std::printf("%-60s%s\n", name_of(static_cast<CoverageGoal>(i)),
+                where.empty() ? " nowhere" : where.c_str());
   }
 }
 
@@ -57,7 +59,7 @@
   CLI::App app{"Plays the real engine and connections through every interleaving of small configurations."};
   bool small = false, list = false, hunt = false;
   std::string only, file, mutant_name = "none", out;
-  Effort effort;
+  ExplorationLimits effort;
   int faults = -1;
   std::size_t hosts = 0, requests = 0, attempts = 0;
   app.add_flag("--small", small, "fewer troubles at once; ends within a minute");
@@ -67,7 +69,7 @@
                  "explore a deliberately broken engine (where mutants are built in)");
   app.add_flag("--hunt", hunt, "for each mutant, find the scenario and the shortest trace that shows it");
   app.add_option("--threads", effort.threads, "threads")->check(CLI::Range(1U, 64U));
-  app.add_option("--most-states", effort.most_states, "give up a scenario beyond so many states");
+  app.add_option("--most-states", effort.max_states, "give up a scenario beyond so many states");
   app.add_option("--faults", faults, "troubles in a run, instead of the scenario's")->check(CLI::Range(0, 6));
   app.add_option("--hosts", hosts, "hosts, instead of the scenario's")->check(CLI::Range(1, 4));
   app.add_option("--requests", requests, "requests, instead of the scenario's")->check(CLI::Range(1, 4));
@@ -81,8 +83,8 @@
     if (!file.empty()) return run_replay(file);
     auto all = scenarios(small);
     if (list) {
-      for (const auto& s : all) std::printf("%-24s %s\n", s.name.c_str(), s.about.c_str());
-      for (int m = 1; m < cometfold::engine::kMutants; ++m) {
+      for (const auto& s : all) std::printf("%-24s %s\n", s.name.c_str(), s.description.c_str());
+      for (int m = 1; m < cometfold::engine::kMutantCount; ++m) {
         std::printf("mutant %s\n", name_of(static_cast<Mutant>(m)).c_str());
       }
       return 0;
@@ -93,8 +95,8 @@
       all = {Scenario(*one)};
     }
     for (auto& s : all) {
-      if (faults >= 0) s.faults = faults;
-      if (hosts > 0) s.hosts = hosts;
+      if (faults >= 0) s.max_faults = faults;
+      if (hosts > 0) s.host_count = hosts;
       if (attempts > 0) s.max_attempts = static_cast<double>(attempts);
       if (requests > 0) s.requests.assign(requests, s.requests.front());
     }
@@ -103,21 +105,21 @@
     std::vector<Mutant> mutants{*mutant};
     if (hunt) {
       mutants.clear();
-      for (int m = 1; m < cometfold::engine::kMutants; ++m) mutants.push_back(static_cast<Mutant>(m));
+      for (int m = 1; m < cometfold::engine::kMutantCount; ++m) mutants.push_back(static_cast<Mutant>(m));
     }
     print_head();
     std::size_t missed = 0, broken = 0;
-    std::vector<std::pair<std::string, Sights>> seen;
+    std::vector<std::pair<std::string, Coverage>> seen;
     for (const auto m : mutants) {
       bool found = false;
       for (const auto& s : all) {
-        const Result r = explore(s, m, effort);
-        seen.emplace_back(s.name, r.sights);
-        if (!hunt || r.breach) print_result(s, m, r);
-        if (!r.breach) continue;
+        const ExplorationResult r = explore(s, m, effort);
+        seen.emplace_back(s.name, r.coverage);
+        if (!hunt || r.violation) print_result(s, m, r);
+        if (!r.violation) continue;
         found = true;
         ++broken;
-        const Trace trace{s, m, r.trace, *r.breach};
+        const Trace trace{s, m, r.counterexample, *r.violation};
         if (!out.empty()) write_trace(out + "/" + s.name + "--" + name_of(m) + ".jsonl", trace);
         if (!hunt) std::cout << to_text(trace);
         if (hunt) break;
--- a/src/explore/scenario.cpp
+++ b/src/explore/scenario.cpp
@@ -11,10 +11,11 @@
 }
 
 // What goes wrong with answers and connections, and what the list may say meanwhile.
-Menu trouble() {
-  Menu m;
-  m.spoilt = m.broken = m.error = m.busy = m.noise = m.refused = m.partial = m.client_gone = true;
-  m.drain = m.gone = m.replaced = m.restarted = m.relist = true;
+FaultSet trouble() {
+  FaultSet m;
+  m.malformed_reply = m.connection_loss = m.error_reply = m.busy_reply = m.extra_bytes = m.connect_refused =
+      m.partial_write = m.client_disconnect = true;
+  m.host_drain = m.host_removal = m.host_replacement = m.host_restart = m.list_reload = true;
   return m;
 }
 
@@ -30,68 +31,68 @@
        {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent}) {
     Scenario s;
     s.name = std::string("real-") + letter(repeat);
-    s.about = "the real module, two requests of one kind, any trouble";
+    s.description = "the real module, two requests of one kind, any trouble";
     s.requests = {repeat, repeat};
-    s.faults = faults;
-    s.menu = trouble();
+    s.max_faults = faults;
+    s.enabled_faults = trouble();
     add(s);
     // One request alone can be followed further: more troubles, second copies, stop and crash.
     s.name += "-deep";
-    s.about = "the real module, one request, more troubles, stop and crash";
+    s.description = "the real module, one request, more troubles, stop and crash";
     s.requests = {repeat};
-    s.faults = faults + 1;
-    s.menu.stop = s.menu.crash = true;
+    s.max_faults = faults + 1;
+    s.enabled_faults.shutdown = s.enabled_faults.gateway_crash = true;
     add(s);
   }
   {
     Scenario s;
     s.name = "real-mixed-pipelined";
-    s.about =
+    s.description =
         "the real module, a safe and an unsafe request on one connection; answers in order, ids used again";
     s.requests = {Idempotency::kNonIdempotent, Idempotency::kIdempotent};
-    s.one_connection = true;
-    s.faults = faults;
-    s.menu = trouble();
-    s.menu.same_id = s.menu.stop = true;
+    s.shared_connection = true;
+    s.max_faults = faults;
+    s.enabled_faults = trouble();
+    s.enabled_faults.identity_reuse = s.enabled_faults.shutdown = true;
     add(s);
     s.name = "real-no-cancel";
-    s.about = "the real module where it may neither cancel nor send second copies";
+    s.description = "the real module where it may neither cancel nor send second copies";
     s.requests = {Idempotency::kIdempotent};
-    s.one_connection = false;
-    s.second_copies = s.may_cancel = false;
-    s.faults = faults + 1;
+    s.shared_connection = false;
+    s.hedging_allowed = s.cancellation_allowed = false;
+    s.max_faults = faults + 1;
     add(s);
     s.name = "real-one-at-a-time";
-    s.about = "the real module where it may cancel and not send second copies";
-    s.may_cancel = true;
+    s.description = "the real module where it may cancel and not send second copies";
+    s.cancellation_allowed = true;
     add(s);
     s.name = "real-keyed-cell";
-    s.about = "the real module, a keyed class whose group is one host";
+    s.description = "the real module, a keyed class whose group is one host";
     s.requests = {Idempotency::kIdempotencyKey};
-    s.group = IdempotencyScope::kCell;
-    s.second_copies = true;
+    s.idempotency_scope = IdempotencyScope::kCell;
+    s.hedging_allowed = true;
     add(s);
   }
   // A module that decides anything: the engine must hold its own promises.
   {
     Scenario s;
-    s.real_module = false;
+    s.real_policy = false;
     s.name = "any-one";
-    s.about = "a module that decides anything, one request, any trouble, stop and crash";
+    s.description = "a module that decides anything, one request, any trouble, stop and crash";
     s.requests = {Idempotency::kIdempotent};
-    s.module_acts = 1;
-    s.faults = faults;
-    s.menu = trouble();
-    s.menu.stop = s.menu.crash = true;
+    s.max_policy_actions = 1;
+    s.max_faults = faults;
+    s.enabled_faults = trouble();
+    s.enabled_faults.shutdown = s.enabled_faults.gateway_crash = true;
     add(s);
     s.name = "any-two";
-    s.about = "a module that decides anything, two requests on one connection, ids used again";
+    s.description = "a module that decides anything, two requests on one connection, ids used again";
     s.requests = {Idempotency::kIdempotent, Idempotency::kNonIdempotent};
-    s.one_connection = true;
-    s.module_acts = small ? 0 : 1;
-    s.faults = 1;
-    s.menu.crash = false;
-    s.menu.same_id = true;
+    s.shared_connection = true;
+    s.max_policy_actions = small ? 0 : 1;
+    s.max_faults = 1;
+    s.enabled_faults.gateway_crash = false;
+    s.enabled_faults.identity_reuse = true;
     add(s);
   }
   return all;
--- a/src/explore/sights.cpp
+++ b/src/explore/sights.cpp
@@ -2,41 +2,41 @@
 
 namespace cometfold::explore {
 
-const char* name_of(Sight sight) {
+const char* name_of(CoverageGoal sight) {
   switch (sight) {
-    case Sight::kSecondCopyOut:
+    case CoverageGoal::kHedgedAttemptInFlight:
       return "a second copy out";
-    case Sight::kThirdAttempt:
+    case CoverageGoal::kThirdAttempt:
       return "a third attempt";
-    case Sight::kAnswerAfterRetry:
+    case CoverageGoal::kReplyAfterRetry:
       return "an earlier attempt answered after a retry";
-    case Sight::kLossBeforeRetry:
+    case CoverageGoal::kAttemptLost:
       return "an attempt lost after its last byte";
-    case Sight::kDrainWhileWaiting:
+    case CoverageGoal::kDrainWhileWaiting:
       return "a drain told while an attempt waits for its connection";
-    case Sight::kDrainDuringResend:
+    case CoverageGoal::kDrainDuringRetry:
       return "a drain told during a resend";
-    case Sight::kReplacedWhileWaiting:
+    case CoverageGoal::kReplacedWhileWaiting:
       return "a host replaced at its address while an attempt waits";
-    case Sight::kAnswerAtDeadline:
+    case CoverageGoal::kReplyAtDeadline:
       return "an answer at the deadline, before its timer";
-    case Sight::kDeadlineBeforeAnswer:
+    case CoverageGoal::kDeadlineBeforeReply:
       return "a deadline's timer with an attempt out";
-    case Sight::kGoneWithAttemptOut:
+    case CoverageGoal::kDisconnectWithAttemptInFlight:
       return "a client gone with an attempt out";
-    case Sight::kGoneAfterAnswerAtOnce:
+    case CoverageGoal::kDisconnectAtInstantOfReply:
       return "a client gone at the instant of its answer";
-    case Sight::kStopWithSecondCopy:
+    case CoverageGoal::kShutdownWithHedgedAttempt:
       return "a stop with a second copy out";
-    case Sight::kCrashWithAttemptOut:
+    case CoverageGoal::kCrashWithAttemptInFlight:
       return "a crash with an attempt out";
-    case Sight::kIdUsedAgain:
+    case CoverageGoal::kIdentityReused:
       return "an id used again after its answer";
-    case Sight::kModuleThrew:
+    case CoverageGoal::kPolicyThrew:
       return "the module threw";
-    case Sight::kSentAfterEnd:
+    case CoverageGoal::kPolicyActedAfterReply:
       return "the module sent or answered after the end";
-    case Sight::kCount:
+    case CoverageGoal::kCount:
       break;
   }
   return "";
--- a/src/explore/trace.cpp
+++ b/src/explore/trace.cpp
@@ -13,15 +13,16 @@
   const Scenario& s = trace.scenario;
   json::array requests;
   for (const auto r : s.requests) requests.push_back(static_cast<int>(r));
-  const json::object head{{"scenario", s.name},         {"faults", s.faults},
-                          {"hosts", s.hosts},           {"requests", requests},
-                          {"depth", s.depth},           {"module_acts", s.module_acts},
+  const json::object head{{"scenario", s.name},         {"faults", s.max_faults},
+                          {"hosts", s.host_count},      {"requests", requests},
+                          {"depth", s.max_events},      {"module_acts", s.max_policy_actions},
                           {"attempts", s.max_attempts}, {"mutant", name_of(trace.mutant)}};
   std::string text = json::serialize(head) + "\n";
   for (const auto& choice : trace.choices) text += json::serialize(json::object{{"choice", choice}}) + "\n";
-  if (!trace.breach.rule.empty()) {
+  if (!trace.violation.rule.empty()) {
     text +=
-        json::serialize(json::object{{"rule", trace.breach.rule}, {"why", trace.breach.description}}) + "\n";
+        json::serialize(json::object{{"rule", trace.violation.rule}, {"why", trace.violation.description}}) +
+        "\n";
   }
   return text;
 }
@@ -42,10 +43,10 @@
   if (!found) throw std::runtime_error("no such scenario; cometfold-explore --list names them");
   trace.scenario = *found;
   Scenario& s = trace.scenario;
-  s.faults = o.at("faults").to_number<int>();
-  s.hosts = o.at("hosts").to_number<std::size_t>();
-  s.depth = o.at("depth").to_number<std::size_t>();
-  s.module_acts = o.at("module_acts").to_number<int>();
+  s.max_faults = o.at("faults").to_number<int>();
+  s.host_count = o.at("hosts").to_number<std::size_t>();
+  s.max_events = o.at("depth").to_number<std::size_t>();
+  s.max_policy_actions = o.at("module_acts").to_number<int>();
   if (o.contains("attempts")) s.max_attempts = o.at("attempts").to_number<double>();
   s.requests.clear();
   for (const auto& r : o.at("requests").as_array())
@@ -71,7 +72,7 @@
       } else if (o.contains("choice")) {
         trace.choices.push_back(text_at(o, "choice"));
       } else {
-        trace.breach = {text_at(o, "rule"), text_at(o, "why")};
+        trace.violation = {text_at(o, "rule"), text_at(o, "why")};
       }
     } catch (const std::exception& error) {
       throw std::runtime_error(
--- a/src/explore/trace.h
+++ b/src/explore/trace.h
@@ -15,7 +15,7 @@
   Scenario scenario;
   engine::Mutant mutant = engine::Mutant::kNone;
   std::vector<std::string> choices;
-  rules::Violation breach;  // empty texts if none
+  rules::Violation violation;  // empty texts if none
 };
 
 std::string to_text(const Trace& trace);
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -21,27 +21,27 @@
 namespace cometfold::explore {
 
 // What a run has been through, to tell whether a scenario reaches what it is for.
-enum class Sight : std::uint8_t {
-  kSecondCopyOut,
+enum class CoverageGoal : std::uint8_t {
+  kHedgedAttemptInFlight,
   kThirdAttempt,
-  kAnswerAfterRetry,
-  kLossBeforeRetry,
+  kReplyAfterRetry,
+  kAttemptLost,
   kDrainWhileWaiting,
-  kDrainDuringResend,
+  kDrainDuringRetry,
   kReplacedWhileWaiting,
-  kAnswerAtDeadline,
-  kDeadlineBeforeAnswer,
-  kGoneWithAttemptOut,
-  kGoneAfterAnswerAtOnce,
-  kStopWithSecondCopy,
-  kCrashWithAttemptOut,
-  kIdUsedAgain,
-  kModuleThrew,
-  kSentAfterEnd,
+  kReplyAtDeadline,
+  kDeadlineBeforeReply,
+  kDisconnectWithAttemptInFlight,
+  kDisconnectAtInstantOfReply,
+  kShutdownWithHedgedAttempt,
+  kCrashWithAttemptInFlight,
+  kIdentityReused,
+  kPolicyThrew,
+  kPolicyActedAfterReply,
   kCount
 };
-const char* name_of(Sight sight);
-using Sights = std::uint32_t;
+const char* name_of(CoverageGoal sight);
+using Coverage = std::uint32_t;
 
 class World : private resp::Dialer,
               private resp::HostPoolCallbacks,
@@ -56,29 +56,29 @@
   // One event, chosen. False if nothing can happen any more, or the depth is reached.
   bool step();
   // The first rule broken so far, or a promise of the engine's own; empty if none.
-  const std::optional<rules::Violation>& breach() const { return breach_; }
-  bool cut_off() const { return cut_off_; }  // the depth ended it, not the world
+  const std::optional<rules::Violation>& violation() const { return violation_; }
+  bool truncated() const { return truncated_; }  // the depth ended it, not the world
   std::uint64_t fingerprint() const;
-  Sights sights() const { return sights_; }
+  Coverage coverage() const { return coverage_; }
 
  private:
-  class SimStream;
-  class AnyModule;
-  class TapModule;
-  struct Conn;
+  class SimulatedStream;
+  class ArbitraryPolicy;
+  class RecordingPolicy;
+  struct Connection;
   struct Client;
-  struct Node;  // the gateway: all that a crash takes with it
-  enum Reply : std::size_t;
-  enum Change : std::size_t;
+  struct Gateway;  // the gateway: all that a crash takes with it
+  enum ReplyKind : std::size_t;
+  enum HostChange : std::size_t;
   // Something that can happen next. `text` names it, with {c} for the connection, {r} for its request, {h}
   // for its host and {n} for `n`.
-  struct Option {
-    const char* text;
-    bool fault;
-    void (World::*act)(const Option&);
-    Conn* conn = nullptr;
-    std::size_t n = 0;
-    std::size_t k = 0;
+  struct Step {
+    const char* label;
+    bool is_fault;
+    void (World::*apply)(const Step&);
+    Connection* connection = nullptr;
+    std::size_t number = 0;
+    std::size_t client = 0;
   };
 
   // resp::Dialer
@@ -100,84 +100,84 @@
   void send_error(Ms now, resp::ResponseHandle ticket, std::string_view why) override;
   // The hosts here give short values only.
   void start_value(Ms, resp::ResponseHandle, std::size_t) override {
-    complain("the explorer", "a long value");
+    report_violation("the explorer", "a long value");
   }
   bool append_value(Ms, resp::ResponseHandle, std::string_view) override { return true; }
   void finish_value(Ms, resp::ResponseHandle) override {}
 
-  void begin();
-  void list(HostListUpdate kind, std::vector<HostEntry> entries);
-  void options(std::vector<Option>& all);
-  void client_options(std::vector<Option>& all);
-  void host_options(std::vector<Option>& all);
-  void answer_options(std::vector<Option>& all, Conn* conn);
-  void list_options(std::vector<Option>& all);
-  void time_options(std::vector<Option>& all);
-  std::string label(const Option& option) const;
+  void start_gateway();
+  void update_hosts(HostListUpdate kind, std::vector<HostEntry> entries);
+  void collect_steps(std::vector<Step>& all);
+  void collect_client_steps(std::vector<Step>& all);
+  void collect_connection_steps(std::vector<Step>& all);
+  void collect_reply_steps(std::vector<Step>& all, Connection* conn);
+  void collect_host_list_steps(std::vector<Step>& all);
+  void collect_timer_steps(std::vector<Step>& all);
+  std::string label(const Step& option) const;
 
   // What options do.
-  void client_sends(const Option& o);
-  void client_closes(const Option& o);
-  void loop_comes_back(const Option& o);
-  void room_to_write(const Option& o);
-  void comes_up(const Option& o);
-  void never_up(const Option& o);
-  void stalls(const Option& o);
-  void loop_reads(const Option& o);
-  void noise_arrives(const Option& o);
-  void host_closes(const Option& o);
-  void host_answers(const Option& o);
-  void list_changes(const Option& o);
-  void reloads(const Option& o);
-  void crashes(const Option& o);
-  void stop_begins(const Option& o);
-  void stop_winds_down(const Option& o);
-  void stop_settles(const Option& o);
-  void timers_run(const Option& o);
-  void time_passes(const Option& o);
+  void send_request(const Step& o);
+  void close_client(const Step& o);
+  void run_posted(const Step& o);
+  void make_writable(const Step& o);
+  void complete_connect(const Step& o);
+  void fail_connect(const Step& o);
+  void stall_peer(const Step& o);
+  void read_connection(const Step& o);
+  void send_extra_bytes(const Step& o);
+  void close_by_host(const Step& o);
+  void reply_by_host(const Step& o);
+  void change_host(const Step& o);
+  void reload_list(const Step& o);
+  void crash_gateway(const Step& o);
+  void begin_shutdown(const Step& o);
+  void drain_clients(const Step& o);
+  void fail_remaining(const Step& o);
+  void run_timers(const Step& o);
+  void advance_time(const Step& o);
 
   void connect_client(std::size_t i);
-  void deliver(Conn& conn, const std::string& bytes);
-  void end_stream(Conn& conn);
-  void host_reads(Conn& conn);
-  void client_reads(Conn& conn);
-  void over(Conn& conn, bool never_ran);
-  bool anything_open() const;
-  bool anything_prompt() const;
+  void deliver(Connection& conn, const std::string& bytes);
+  void close_by_peer(Connection& conn);
+  void receive_at_host(Connection& conn);
+  void receive_at_client(Connection& conn);
+  void end_attempt(Connection& conn, bool never_ran);
+  bool has_open_requests() const;
+  bool has_immediate_event() const;
   std::optional<Ms> next_time() const;
-  void final_checks();
+  void check_end_state();
   void report(rules::Event event);
-  void saw(Sight sight, bool when = true);
-  std::size_t sends_of(std::uint64_t request) const;
-  bool copies_out() const;
-  void complain(const std::string& rule, const std::string& why);
-  void say(const std::string& text);
+  void cover(CoverageGoal sight, bool when = true);
+  std::size_t attempts_of(std::uint64_t request) const;
+  bool hedged_attempt_in_flight() const;
+  void report_violation(const std::string& rule, const std::string& why);
+  void log(const std::string& text);
 
   Scenario scenario_;
   AdmissionSettings settings_;
   Chooser& chooser_;
   Log log_;
   Ms now_ = 14'400'000;
-  std::vector<Option> options_;
-  std::size_t steps_ = 0;
+  std::vector<Step> next_steps_;
+  std::size_t step_count_ = 0;
   int faults_left_ = 0;
-  bool cut_off_ = false;
-  Sights sights_ = 0;
-  std::map<std::uint64_t, std::size_t> sends_;  // whole, of each request
-  std::map<std::uint64_t, Ms> expires_;
+  bool truncated_ = false;
+  Coverage coverage_ = 0;
+  std::map<std::uint64_t, std::size_t> attempts_written_;  // whole, of each request
+  std::map<std::uint64_t, Ms> deadlines_;
   std::map<std::uint64_t, Ms> answered_at_;  // requests, by their clients
-  rules::RuleMonitors rules_;
-  std::size_t breaches_seen_ = 0;
-  std::optional<rules::Violation> breach_;
-  engine::Digest told_;  // all that the module has been told
-  std::vector<HostEntry> listed_;
-  std::vector<std::shared_ptr<Conn>> conns_;
+  rules::RuleMonitors monitors_;
+  std::size_t violations_read_ = 0;
+  std::optional<rules::Violation> violation_;
+  engine::Digest policy_input_;  // all that the module has been told
+  std::vector<HostEntry> hosts_;
+  std::vector<std::shared_ptr<Connection>> connections_;
   std::vector<Client> clients_;
-  std::unique_ptr<Node> node_;
-  std::uint64_t last_conn_ = 0;
-  std::uint32_t life_ = 0;  // of the gateway
-  bool winding_down_ = false;
-  std::set<std::pair<std::uint64_t, std::uint64_t>> answered_;  // places at the front end
+  std::unique_ptr<Gateway> gateway_;
+  std::uint64_t last_connection_id_ = 0;
+  std::uint32_t incarnation_ = 0;  // of the gateway
+  bool draining_clients_ = false;
+  std::set<std::pair<std::uint64_t, std::uint64_t>> replied_;  // places at the front end
 };
 
 }  // namespace cometfold::explore
--- a/src/rules/at_most_once_monitor.cpp
+++ b/src/rules/at_most_once_monitor.cpp
@@ -76,7 +76,7 @@
 }
 
 std::optional<Violation> AtMostOnceMonitor::check_attempt(const Event& event, Request& request) const {
-  const auto violation = check_retry(event, request);
+  auto violation = check_retry(event, request);
   const auto in_flight = std::count_if(request.attempts.begin(), request.attempts.end(),
                                        [](const auto& each) { return each.in_flight; });
   request.attempts.push_back({event.connection, event.host, event.at, true, true});
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -133,7 +133,7 @@
 }
 
 TEST(Engine, DiscardsTheReplyOfACancelledAttempt) {
-  expect_guarded(Mutant::kServesLateAnswer, [](Fixture& f) {
+  expect_guarded(Mutant::kServesAbandonedAttempt, [](Fixture& f) {
     f.policy.timer_action = [](ActionSink& out) {
       out.cancel(1, 0);
       out.send(1, 2, 0);
@@ -152,7 +152,7 @@
 }
 
 TEST(Engine, WithdrawsWaitingAttemptsAfterTheReply) {
-  expect_guarded(Mutant::kSendsAfterAnswer, [](Fixture& f) {
+  expect_guarded(Mutant::kSendsAfterReply, [](Fixture& f) {
     f.policy.request_action = [](ActionSink& out) {
       out.send(1, 1, 0);
       out.send(1, 2, 0);
@@ -165,7 +165,7 @@
 }
 
 TEST(Engine, ShutdownFailsARequestWithAHedgedAttemptInFlight) {
-  expect_guarded(Mutant::kStopsWithoutSettling, [](Fixture& f) {
+  expect_guarded(Mutant::kShutdownWithoutReplies, [](Fixture& f) {
     f.policy.request_action = [](ActionSink& out) {
       out.send(1, 1, 0);
       out.send(1, 2, 0);
@@ -184,7 +184,7 @@
 
 TEST(Engine, RepliesOnceWhenDeadlineAndAttemptEndCoincide) {
   for (const bool answer_first : {true, false}) {
-    expect_guarded(Mutant::kAnswersTwice, [&](Fixture& f) {
+    expect_guarded(Mutant::kDuplicateReply, [&](Fixture& f) {
       f.policy.request_action = send_to(1);
       // A policy that replies again to each event.
       f.policy.attempt_end_action = [](const AttemptResult&, ActionSink& out) {
@@ -202,7 +202,7 @@
 }
 
 TEST(Engine, FailsARequestAtItsDeadlineWithoutADecision) {
-  expect_guarded(Mutant::kForgetsDeadline, [](Fixture& f) {
+  expect_guarded(Mutant::kNoDeadlineTimer, [](Fixture& f) {
     f.accept(0);
     f.engine.run_timers(f.engine.next_timer().value_or(100));
     return f.handler.replies == Fixture::Replies{"failed 1"} && f.engine.open_count() == 0;
@@ -214,7 +214,7 @@
     return f.engine.unanswered_count() + f.engine.open_count() + f.engine.payload_bytes() == 0 &&
            f.policy.attempt_ends.size() == 1 && f.policy.attempt_ends[0].request_finished;
   };
-  expect_guarded(Mutant::kLosesGoneClient, [&](Fixture& f) {
+  expect_guarded(Mutant::kIgnoresClientDisconnect, [&](Fixture& f) {
     f.policy.request_action = send_to(1);
     f.accept(0);
     f.transport.written.insert(1);
@@ -234,7 +234,7 @@
 }
 
 TEST(Engine, ReleasesAnIdentityWithTheReply) {
-  expect_guarded(Mutant::kKeepsIdentity, [](Fixture& f) {
+  expect_guarded(Mutant::kLeaksIdentity, [](Fixture& f) {
     f.policy.request_action = send_to(1);
     f.accept(0);
     const bool same = f.accept(0) == AcceptResult::kDuplicateIdentity;
@@ -242,7 +242,7 @@
     f.policy.request_action = send_to(1, 2);
     return same && f.accept(5) == AcceptResult::kAccepted;
   });
-  expect_guarded(Mutant::kSharesIdentity, [](Fixture& f) {
+  expect_guarded(Mutant::kAllowsDuplicateIdentity, [](Fixture& f) {
     f.policy.request_action = send_to(1);
     f.accept(0);
     return f.accept(0) == AcceptResult::kDuplicateIdentity;
@@ -250,7 +250,7 @@
 }
 
 TEST(Engine, FailsARequestAtOnceIfThePolicyThrows) {
-  expect_guarded(Mutant::kLosesThrownRequest, [](Fixture& f) {
+  expect_guarded(Mutant::kDropsRequestOnPolicyException, [](Fixture& f) {
     f.policy.request_action = [](ActionSink&) { throw std::runtime_error("x"); };
     f.accept(0);
     return f.handler.replies == Fixture::Replies{"failed 3"} && f.engine.open_count() == 0;
@@ -295,7 +295,7 @@
     EXPECT_EQ(f.engine.open_count(), 0u);
     EXPECT_EQ(f.log_lines.size(), 3u);
   }
-  expect_guarded(Mutant::kSkipsRetireOnThrow, [&](Fixture& f) {
+  expect_guarded(Mutant::kNoRetirementOnPolicyException, [&](Fixture& f) {
     f.policy.host_list_action = throw_error;
     f.policy.request_action = send_to(1);
     const HostEntry draining{1, HostState::kDraining, 0, 0, 0, 0, 1};
@@ -333,7 +333,7 @@
 }
 
 TEST(Engine, ReportsEachAttemptEndOnceAndLocalShortageAsNotSent) {
-  expect_guarded(Mutant::kReportsEndTwice, [](Fixture& f) {
+  expect_guarded(Mutant::kReportsAttemptEndTwice, [](Fixture& f) {
     f.policy.request_action = send_to(1);
     f.accept(0);
     f.end_attempt(5, 1, Outcome::kOk, "v");
--- a/tests/explore_test.cpp
+++ b/tests/explore_test.cpp
@@ -14,30 +14,32 @@
 namespace {
 
 TEST(Explore, EveryScenarioHoldsWithOneTrouble) {
-  Sights all = 0;
+  Coverage all = 0;
   for (auto s : scenarios(true)) {
-    s.faults = 1;
+    s.max_faults = 1;
     const auto r = explore(s, engine::Mutant::kNone, {.threads = 2});
-    EXPECT_FALSE(r.breach) << s.name << ": " << r.breach->rule << ": " << r.breach->description;
+    EXPECT_FALSE(r.violation) << s.name << ": " << r.violation->rule << ": " << r.violation->description;
     EXPECT_TRUE(r.complete) << s.name;
-    EXPECT_GT(r.ends, 10u) << s.name;
-    all |= r.sights;
+    EXPECT_GT(r.terminal_runs, 10u) << s.name;
+    all |= r.coverage;
   }
   // A scenario that never gets where it should proves nothing.
-  for (const auto sight : {Sight::kDrainWhileWaiting, Sight::kReplacedWhileWaiting,
-                           Sight::kGoneWithAttemptOut, Sight::kCrashWithAttemptOut, Sight::kIdUsedAgain,
-                           Sight::kModuleThrew, Sight::kSentAfterEnd, Sight::kSecondCopyOut}) {
+  for (const auto sight :
+       {CoverageGoal::kDrainWhileWaiting, CoverageGoal::kReplacedWhileWaiting,
+        CoverageGoal::kDisconnectWithAttemptInFlight, CoverageGoal::kCrashWithAttemptInFlight,
+        CoverageGoal::kIdentityReused, CoverageGoal::kPolicyThrew, CoverageGoal::kPolicyActedAfterReply,
+        CoverageGoal::kHedgedAttemptInFlight}) {
     EXPECT_TRUE(all >> static_cast<unsigned>(sight) & 1) << name_of(sight);
   }
 }
 
 TEST(Explore, CountsTheSameWhateverTheThreads) {
   auto s = scenarios(true).front();
-  s.faults = 1;
+  s.max_faults = 1;
   const auto one = explore(s, engine::Mutant::kNone, {.threads = 1});
   const auto three = explore(s, engine::Mutant::kNone, {.threads = 3});
   EXPECT_EQ(one.states, three.states);
-  EXPECT_EQ(one.deepest, three.deepest);
+  EXPECT_EQ(one.max_depth, three.max_depth);
 }
 
 std::vector<std::filesystem::path> traces() {
@@ -54,14 +56,14 @@
     ASSERT_NE(trace.mutant, engine::Mutant::kNone) << file;
     const auto with = replay(trace.scenario, trace.mutant, trace.choices, {});
     ASSERT_TRUE(with) << file;
-    EXPECT_EQ(with->rule, trace.breach.rule) << file;
-    EXPECT_EQ(with->description, trace.breach.description) << file;
+    EXPECT_EQ(with->rule, trace.violation.rule) << file;
+    EXPECT_EQ(with->description, trace.violation.description) << file;
     const auto without =
-        replay(trace.scenario, engine::Mutant::kNone, trace.choices, {}, Fit::kAsFarAsItGoes);
+        replay(trace.scenario, engine::Mutant::kNone, trace.choices, {}, TraceMatch::kPrefix);
     EXPECT_FALSE(without) << file << ": " << without->description;
     shown.insert(name_of(trace.mutant));
   }
-  EXPECT_EQ(shown.size(), static_cast<std::size_t>(engine::kMutants - 1));
+  EXPECT_EQ(shown.size(), static_cast<std::size_t>(engine::kMutantCount - 1));
 }
 
 TEST(Traces, ABadFileIsNamedWithItsLine) {
