--- a/src/explore/trace.h
+++ b/src/explore/trace.h
@@ -7,7 +7,7 @@
 
 #include "engine/faults.h"
 #include "explore/scenario.h"
-#include "rules/rules.h"
+#include "rules/rule_monitors.h"
 
 namespace cometfold::explore {
 
@@ -15,7 +15,7 @@
   Scenario scenario;
   engine::Mutant mutant = engine::Mutant::kNone;
   std::vector<std::string> choices;
-  rules::Violation breach;  // empty texts if none
+  rules::Violation violation;  // empty texts if none
 };
 
 std::string to_text(const Trace& trace);
