--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -42,6 +42,89 @@
   EXPECT_EQ(got->bucket_digests, sent.bucket_digests);
 }
 
+// A datagram as processes already in use send it: field numbers, byte order and rounding stay.
+constexpr std::string_view kGoldenDatagram =
+    "43464d01bb06702367a764f30a04626c756510061a1f0a026731120e3132372e302e302e313a373030301805"
+    "214d00000000000000210c0000000000000029efbefecacefaedfe30ac02388780808010422e0a026732120e"
+    "3132372e302e302e323a373030301809214e00000000000000280130d2093a026731a206036e657742230a02"
+    "6734120a5b3a3a315d3a37303034180a215000000000000000280230013a0267344a1a0a0267331004194f00"
+    "000000000000220267312805300238dd0b4a170a026735100619510000000000000022026731280530035280"
+    "0200000000000000000100000000000000020000000000000003000000000000000400000000000000050000"
+    "000000000006000000000000000700000000000000080000000000000009000000000000000a000000000000"
+    "000b000000000000000c000000000000000d000000000000000e000000000000000f00000000000000100000"
+    "0000000000110000000000000012000000000000001300000000000000140000000000000015000000000000"
+    "0016000000000000001700000000000000180000000000000019000000000000001a000000000000001b0000"
+    "00000000001c000000000000001d000000000000001e000000000000001f00000000000000";
+
+Message golden_message() {
+  Message m;
+  m.type = Message::kCorrection;
+  m.sender = {"g1", "127.0.0.1:7000", 5, 77, MemberStatus::kAlive, 0, "", ""};
+  m.sequence = 12;
+  m.digest = 0xfeedfacecafebeef;
+  m.incarnation_floor = 300;
+  m.displaced_by = 0x100000007;
+  m.records = {{"g2", "127.0.0.2:7000", 9, 78, MemberStatus::kFailed, 1234, "g1", "\xa2\x06\x03new"},
+               {"g4", "[::1]:7004", 10, 80, MemberStatus::kLeft, 0.6, "g4", ""}};
+  m.suspicions = {{"g3", 4, 79, "g1", 5, 2, 1500.2}, {"g5", 6, 81, "g1", 5, 3, 0}};
+  for (std::size_t i = 0; i < kDigestBuckets; ++i) m.bucket_digests.push_back(i);
+  return m;
+}
+
+std::string to_hex(std::string_view bytes) {
+  constexpr std::string_view kDigits = "0123456789abcdef";
+  std::string hex;
+  for (const char byte : bytes) {
+    hex += kDigits[static_cast<unsigned char>(byte) >> 4];
+    hex += kDigits[static_cast<unsigned char>(byte) & 15];
+  }
+  return hex;
+}
+
+std::string from_hex(std::string_view hex) {
+  std::string bytes;
+  for (std::size_t i = 0; i < hex.size(); i += 2) {
+    bytes += static_cast<char>(std::stoi(std::string(hex.substr(i, 2)), nullptr, 16));
+  }
+  return bytes;
+}
+
+TEST(MembershipWire, EncodesTheGoldenDatagram) {
+  EXPECT_EQ(to_hex(encode(golden_message(), "blue")), kGoldenDatagram);
+}
+
+TEST(MembershipWire, DecodesTheGoldenDatagram) {
+  const Message sent = golden_message();
+  DecodeError why;
+  const auto got = read(from_hex(kGoldenDatagram), why);
+  ASSERT_TRUE(got);
+  EXPECT_EQ(got->type, sent.type);
+  EXPECT_EQ(got->sequence, sent.sequence);
+  EXPECT_EQ(got->digest, sent.digest);
+  EXPECT_EQ(got->incarnation_floor, sent.incarnation_floor);
+  EXPECT_EQ(got->displaced_by, sent.displaced_by);
+  EXPECT_EQ(got->bucket_digests, sent.bucket_digests);
+  EXPECT_EQ(got->sender.name, "g1");
+  EXPECT_EQ(got->sender.process_nonce, 77U);
+  ASSERT_EQ(got->records.size(), 2U);
+  EXPECT_EQ(precedence_of(got->records[0]), precedence_of(sent.records[0]));
+  EXPECT_EQ(got->records[0].address, "127.0.0.2:7000");
+  EXPECT_EQ(got->records[0].age_ms, 1234);
+  EXPECT_EQ(got->records[0].reported_by, "g1");
+  EXPECT_EQ(got->records[0].unknown_fields, sent.records[0].unknown_fields);
+  EXPECT_EQ(precedence_of(got->records[1]), precedence_of(sent.records[1]));
+  EXPECT_EQ(got->records[1].age_ms, 1);
+  ASSERT_EQ(got->suspicions.size(), 2U);
+  EXPECT_EQ(got->suspicions[0].name, "g3");
+  EXPECT_EQ(got->suspicions[0].incarnation, 4U);
+  EXPECT_EQ(got->suspicions[0].process_nonce, 79U);
+  EXPECT_EQ(got->suspicions[0].suspector, "g1");
+  EXPECT_EQ(got->suspicions[0].suspector_incarnation, 5U);
+  EXPECT_EQ(got->suspicions[0].version, 2U);
+  EXPECT_EQ(got->suspicions[0].valid_for_ms, 1501);
+  EXPECT_EQ(got->suspicions[1].valid_for_ms, 0);
+}
+
 TEST(MembershipWire, AnyBitThatFlipsIsSeen) {
   const std::string good = encode(full_message(), "blue");
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
