--- a/bench/membership_report.cpp
+++ b/bench/membership_report.cpp
@@ -1,297 +1,218 @@
-// How members of a cluster come to know of each other's end, in the model, beside the two simplest ways:
-// heartbeats from all to all with a fixed time-out, and SWIM without Lifeguard (Das et al., 2002). One run,
-// same seeds, same links; each row says how long a crash takes to be known, how often one that runs is
-// failed, and what it costs.
+// How long members of a cluster take to detect a crash, in the model, against two simpler protocols (see
+// membership_baselines.h). All run with the same seeds over the same links; each row shows the time until a
+// crash is detected, how often a running member is declared failed, and the costs.
 #include <CLI/CLI.hpp>
+#include <algorithm>
 #include <chrono>
 #include <cstdio>
-#include <set>
+#include <map>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
 
 #include "emulators/membership_model.h"
 #include "membership/wire.h"
+#include "membership_baselines.h"
 
 namespace {
 
 using namespace cometfold;
-using namespace cometfold::emulators;
-using membership::MemberRecord;
-using membership::MemberStatus;
-using Draw = membership::Membership::Draw;
+using emulators::MembershipEvent;
+using emulators::MembershipModel;
+using emulators::MembershipProtocol;
+using emulators::MemberState;
+using emulators::Message;
 
-// Each tells each that it is there; silence for a fixed time is a failure.
-class Heartbeats : public Protocol {
+constexpr Ms kStartSpanMs = 10'000;      // until all members know each other
+constexpr Ms kSettleSpanMs = 5000;       // after links and members have been disturbed
+constexpr Ms kCountSpanMs = 5000;        // in which datagrams are counted
+constexpr Ms kDetectionSpanMs = 25'000;  // within which a crash has to be detected
+constexpr Ms kSlowMemberLatenessMs = 300;
+constexpr std::size_t kUdpIpHeaderBytes = 28;
+constexpr std::size_t kSeeds = 3;  // the first members, which do not crash
+
+double percentile(std::vector<double> values, double fraction) {
+  if (values.empty()) return -1;
+  std::sort(values.begin(), values.end());
+  const auto index = static_cast<std::size_t>(fraction * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, index)];
+}
+
+struct Scenario {
+  std::string protocol;  // this, swim, heartbeats
+  std::size_t members = 0;
+  double loss = 0;           // fraction of datagrams
+  double slow_fraction = 0;  // of members that handle everything late
+  Ms span = 0;               // in which failures are false
+  int crashes = 0;
+  std::uint64_t seed = 0;
+};
+
+struct Result {
+  std::vector<double> first_detection_ms, detection_ms;  // of each crash; of each crash at each member
+  std::size_t undetected = 0, false_failures = 0;
+  double datagrams_per_second = 0, bytes_per_second = 0, memory_bytes = 0;  // of a member
+  double cpu_us_per_second = 0;                                             // of a member
+};
+
+// One scenario in the model.
+class Measurement {
  public:
-  static constexpr Ms kPeriod = 1000, kSilence = 3000;
-  Heartbeats(MemberRecord self, std::vector<std::string> addresses, const Draw& draw)
-      : self_(std::move(self)), addresses_(std::move(addresses)), due_(static_cast<Ms>(draw(1000))) {}
-  void start(Ms now) override { due_ += now; }
-  void receive(Ms now, const Message& m) override {
-    auto& heard = heard_[m.sender.name];
-    if (heard.second)
-      changes_.push_back({MembershipEvent::kMemberChanged, m.sender.name, 0, MemberState::kAlive, ""});
-    heard = {now, false};
-  }
-  void tick(Ms now) override {
-    due_ = now + kPeriod;
-    for (const auto& to : addresses_) {
-      if (to == self_.address) continue;
-      Message m;
-      m.sender = self_;
-      out_.push_back({to, std::move(m)});
-    }
-    for (auto& [name, heard] : heard_) {
-      if (heard.second || now - heard.first < kSilence) continue;
-      heard.second = true;
-      changes_.push_back({MembershipEvent::kMemberChanged, name, 0, MemberState::kFailed, ""});
-    }
-  }
-  Ms next_due() const override { return due_; }
-  void leave(Ms) override {}
-  std::vector<OutgoingMessage> take_messages() override { return std::exchange(out_, {}); }
-  std::vector<MembershipEvent> take_changes() override { return std::exchange(changes_, {}); }
-  std::vector<MemberView> members(Ms) const override { return {}; }
-  std::uint64_t own_start() const override { return 0; }
-  std::size_t bytes() const override { return heard_.size() * 100; }
+  explicit Measurement(const Scenario& scenario);
+  Result run();
 
  private:
-  MemberRecord self_;
+  struct Crash {
+    Ms at = 0;
+    std::vector<double> detection_ms;
+  };
+
+  std::unique_ptr<MembershipProtocol> make_protocol(membership::MemberRecord self,
+                                                    std::vector<std::string> seeds, membership::Draw draw);
+  void observe(const MembershipEvent& event);
+  void disturb();
+  void measure_false_failures();
+  void measure_traffic();
+  void measure_crash(std::size_t index, std::size_t earlier_crashes);
+  std::pair<std::uint64_t, std::uint64_t> total_traffic();
+
+  Scenario scenario_;
+  std::vector<std::pair<std::string, std::string>> members_;  // names and addresses
   std::vector<std::string> addresses_;
-  Ms due_;
-  std::map<std::string, std::pair<Ms, bool>> heard_;  // when last, and whether it counts as failed
-  std::vector<OutgoingMessage> out_;
-  std::vector<MembershipEvent> changes_;
+  MembershipModel model_;
+  std::map<std::string, Crash> crashes_;  // by name
+  bool counts_bytes_ = false;
+  Result result_;
 };
 
-// SWIM: a ping each period to the next of a shuffled list, three indirect ones after a time-out, suspicion
-// with a fixed time, refutation, news on pings and acks. All know all from the start. Message::number is the
-// ping's; `incarnation_floor` 1 asks for an indirect ping, whose target is the first record's name.
-class Swim : public Protocol {
- public:
-  static constexpr Ms kPeriod = 1000, kTimeout = 500;
-  Swim(MemberRecord self, const std::vector<std::pair<std::string, std::string>>& all, Draw draw)
-      : self_(std::move(self)), draw_(std::move(draw)) {
-    self_.incarnation = 1;
-    for (const auto& [name, address] : all) {
-      if (name == self_.name) continue;
-      others_[name].address = address;
-      order_.push_back(name);
-    }
-    spread_ = 3 * static_cast<int>(std::ceil(std::log10(static_cast<double>(all.size()) + 1)));
-    suspicion_ = 5 * std::max(1.0, std::log10(static_cast<double>(all.size()))) * kPeriod;
-    due_ = static_cast<Ms>(draw_(1000));
+Measurement::Measurement(const Scenario& scenario)
+    : scenario_(scenario),
+      model_(
+          [this](membership::MemberRecord self, std::vector<std::string> seeds, membership::Draw draw) {
+            return make_protocol(std::move(self), std::move(seeds), std::move(draw));
+          },
+          scenario.seed) {
+  for (std::size_t i = 0; i < scenario_.members; ++i) {
+    members_.emplace_back("g" + std::to_string(i), MembershipModel::home_address(i));
+    addresses_.push_back(members_.back().second);
   }
-  void start(Ms now) override { due_ += now, period_at_ = due_; }
-  Ms next_due() const override { return due_; }
-  void tick(Ms now) override {
-    if (asked_ && !acked_ && now >= period_at_ - kPeriod + kTimeout && !indirect_) {
-      indirect_ = true;
-      for (int i = 0; i < 3; ++i) {
-        const auto& via = others_[order_[draw_(order_.size())]];
-        Message m = message(Message::kPing, number_);
-        m.incarnation_floor = 1;
-        m.records.insert(m.records.begin(), record(target_));
-        out_.push_back({via.address, std::move(m)});
-      }
-    }
-    if (now >= period_at_) {
-      if (asked_ && !acked_) news(now, target_, others_[target_].start, 1);
-      next(now);
-      period_at_ = now + kPeriod;
-    }
-    for (auto& [name, o] : others_) {
-      if (o.state == 1 && now - o.since >= suspicion_) news(now, name, o.start, 2);
-    }
-    due_ =
-        !indirect_ && asked_ && !acked_ ? std::min(period_at_, period_at_ - kPeriod + kTimeout) : period_at_;
-    if (due_ <= now) due_ = period_at_;
+  model_.on_event = [this](std::size_t, const MembershipEvent& event) { observe(event); };
+  model_.message_size = [this](const Message& message) {
+    return counts_bytes_ ? membership::encode(message, "report").size() + kUdpIpHeaderBytes : std::size_t{0};
+  };
+}
+
+std::unique_ptr<MembershipProtocol> Measurement::make_protocol(membership::MemberRecord self,
+                                                               std::vector<std::string> seeds,
+                                                               membership::Draw draw) {
+  if (scenario_.protocol == "heartbeats") {
+    return std::make_unique<bench::Heartbeats>(std::move(self), addresses_, draw);
   }
-  void receive(Ms now, const Message& m) override {
-    news(now, m.sender.name, m.sender.incarnation, 0);
-    for (std::size_t i = m.incarnation_floor == 1 ? 1 : 0; i < m.records.size(); ++i) {
-      const auto& r = m.records[i];
-      news(now, r.name, r.incarnation, static_cast<int>(r.status));
-    }
-    if (m.type == Message::kAck) {
-      if (m.sequence == number_) acked_ = true;
-      const auto for_whom = relayed_.find(m.sequence);
-      if (for_whom == relayed_.end()) return;
-      Message back = message(Message::kAck, for_whom->second.second);
-      out_.push_back({for_whom->second.first, std::move(back)});
-      relayed_.erase(for_whom);
-      return;
-    }
-    if (m.incarnation_floor == 1) {
-      const auto relay = (std::uint64_t{1} << 40) + ++relays_;
-      if (relayed_.size() > 50) relayed_.clear();
-      relayed_[relay] = {m.sender.address, m.sequence};
-      out_.push_back({others_[m.records.at(0).name].address, message(Message::kPing, relay)});
-      return;
-    }
-    out_.push_back({m.sender.address, message(Message::kAck, m.sequence)});
+  if (scenario_.protocol == "swim") {
+    return std::make_unique<bench::Swim>(std::move(self), members_, std::move(draw));
   }
-  void leave(Ms) override {}
-  std::vector<OutgoingMessage> take_messages() override { return std::exchange(out_, {}); }
-  std::vector<MembershipEvent> take_changes() override { return std::exchange(changes_, {}); }
-  std::vector<MemberView> members(Ms) const override { return {}; }
-  std::uint64_t own_start() const override { return self_.incarnation; }
-  std::size_t bytes() const override { return others_.size() * 150; }
+  return std::make_unique<emulators::RealMember>(membership::MembershipSettings{}, std::move(self),
+                                                 std::move(seeds), std::move(draw));
+}
 
- private:
-  struct Other {
-    std::string address;
-    std::uint64_t start = 1;
-    int state = 0;  // alive, suspect, failed
-    Ms since = 0;
-    int sends = 0;
-  };
-  MemberRecord record(const std::string& name) {
-    const auto& o = others_[name];
-    return {name, o.address, o.start, 0, static_cast<MemberStatus>(o.state), 0, "", ""};
+void Measurement::observe(const MembershipEvent& event) {
+  if (event.kind != MembershipEvent::kMemberChanged || event.state != MemberState::kFailed) return;
+  const auto crash = crashes_.find(event.name);
+  if (crash == crashes_.end()) {
+    ++result_.false_failures;
+  } else {
+    crash->second.detection_ms.push_back(model_.now() - crash->second.at);
   }
-  Message message(Message::Type type, std::uint64_t number) {
-    Message m;
-    m.type = type;
-    m.sender = self_;
-    m.sequence = number;
-    if (self_sends_ > 0) --self_sends_, m.records.push_back(self_);
-    for (auto it = queue_.begin(); it != queue_.end() && m.records.size() < 10;) {
-      Other& o = others_[*it];
-      m.records.push_back(record(*it));
-      it = --o.sends <= 0 ? queue_.erase(it) : std::next(it);
-    }
-    return m;
+}
+
+Result Measurement::run() {
+  std::vector<std::string> seeds;
+  for (std::size_t i = 0; i < kSeeds; ++i) seeds.push_back(addresses_[i % addresses_.size()]);
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    model_.add(members_[i].first);
+    model_.start(i, seeds, 1e6);
   }
-  void news(Ms now, const std::string& name, std::uint64_t start, int state) {
-    if (name == self_.name) {
-      if (state > 0 && start >= self_.incarnation) self_.incarnation = start + 1, self_sends_ = spread_;
-      return;
-    }
-    Other& o = others_[name];
-    const bool newer = start > o.start || (start == o.start && state > o.state);
-    if (!newer || (o.state == 2 && start <= o.start)) return;
-    o.start = start;
-    o.since = now;
-    if (state != o.state && (state == 2 || o.state == 2)) {
-      changes_.push_back({MembershipEvent::kMemberChanged, name, start,
-                          state == 2 ? MemberState::kFailed : MemberState::kAlive, ""});
-    }
-    o.state = state;
-    o.sends = spread_;
-    queue_.insert(name);
+  model_.run_until(model_.now() + kStartSpanMs);
+  disturb();
+  measure_false_failures();
+  measure_traffic();
+  for (int crash = 0; crash < scenario_.crashes; ++crash) {
+    const std::size_t index = kSeeds + static_cast<std::size_t>(crash);
+    if (index >= members_.size()) break;
+    measure_crash(index, static_cast<std::size_t>(crash));
   }
-  void next(Ms) {
-    asked_ = acked_ = indirect_ = false;
-    for (std::size_t tries = 0; tries < order_.size(); ++tries) {
-      if (at_ == 0) {
-        for (std::size_t i = order_.size(); i > 1; --i) std::swap(order_[i - 1], order_[draw_(i)]);
-      }
-      target_ = order_[at_];
-      at_ = (at_ + 1) % order_.size();
-      if (others_[target_].state < 2) break;
-    }
-    asked_ = true;
-    out_.push_back({others_[target_].address, message(Message::kPing, ++number_)});
+  return result_;
+}
+
+void Measurement::disturb() {
+  model_.links.loss = scenario_.loss;
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    const bool slow =
+        scenario_.slow_fraction > 0 && i % static_cast<std::size_t>(1 / scenario_.slow_fraction) == 1;
+    if (slow) model_.member(i).mean_lateness = kSlowMemberLatenessMs;
   }
+  model_.run_until(model_.now() + kSettleSpanMs);
+}
 
-  MemberRecord self_;
-  Draw draw_;
-  std::map<std::string, Other> others_;
-  std::vector<std::string> order_;
-  std::set<std::string> queue_;
-  std::map<std::uint64_t, std::pair<std::string, std::uint64_t>> relayed_;
-  std::size_t at_ = 0;
-  std::string target_;
-  std::uint64_t number_ = 0, relays_ = 0;
-  bool asked_ = false, acked_ = false, indirect_ = false;
-  int spread_, self_sends_ = 0;
-  Ms suspicion_, due_, period_at_ = 0;
-  std::vector<OutgoingMessage> out_;
-  std::vector<MembershipEvent> changes_;
-};
+void Measurement::measure_false_failures() {
+  result_.false_failures = 0;
+  const auto began = std::chrono::steady_clock::now();
+  model_.run_until(model_.now() + scenario_.span);
+  const std::chrono::duration<double, std::micro> cpu = std::chrono::steady_clock::now() - began;
+  result_.cpu_us_per_second = cpu.count() / (scenario_.span / 1000) / static_cast<double>(scenario_.members);
+}
 
-double part(std::vector<double> all, double p) {
-  if (all.empty()) return -1;
-  std::sort(all.begin(), all.end());
-  return all[std::min(all.size() - 1, static_cast<std::size_t>(p * static_cast<double>(all.size())))];
+std::pair<std::uint64_t, std::uint64_t> Measurement::total_traffic() {
+  std::pair<std::uint64_t, std::uint64_t> total{0, 0};
+  for (std::size_t i = 0; i < members_.size(); ++i) {
+    total.first += model_.member(i).datagrams;
+    total.second += model_.member(i).bytes;
+  }
+  return total;
 }
 
-struct Row {
-  std::vector<double> first, all;  // ms from a crash until known at the first, at each member
-  std::size_t crashes = 0, unknown = 0, false_failures = 0;
-  double hours = 0, datagrams = 0, bytes = 0, memory = 0, cpu_us = 0;
-};
+void Measurement::measure_traffic() {
+  counts_bytes_ = true;
+  const auto before = total_traffic();
+  model_.run_until(model_.now() + kCountSpanMs);
+  const auto after = total_traffic();
+  counts_bytes_ = false;
+  const double member_seconds = kCountSpanMs / 1000 * static_cast<double>(scenario_.members);
+  result_.datagrams_per_second = static_cast<double>(after.first - before.first) / member_seconds;
+  result_.bytes_per_second = static_cast<double>(after.second - before.second) / member_seconds;
+  result_.memory_bytes = static_cast<double>(model_.member(0).protocol->memory_bytes());
+}
 
-Row measure(const std::string& protocol, std::size_t n, double loss, double slow, Ms span, int crashes,
-            std::uint64_t seed) {
-  std::vector<std::pair<std::string, std::string>> all;
-  std::vector<std::string> addresses;
-  for (std::size_t i = 0; i < n; ++i) {
-    all.emplace_back("g" + std::to_string(i), MembershipModel::home(i));
-    addresses.push_back(all.back().second);
-  }
-  MembershipModel model(
-      [&](MemberRecord self, std::vector<std::string> seeds, Draw draw) -> std::unique_ptr<Protocol> {
-        if (protocol == "heartbeats") return std::make_unique<Heartbeats>(std::move(self), addresses, draw);
-        if (protocol == "swim") return std::make_unique<Swim>(std::move(self), all, std::move(draw));
-        return std::make_unique<RealMember>(membership::MembershipSettings{}, std::move(self),
-                                            std::move(seeds), std::move(draw));
-      },
-      seed);
-  Row row;
-  std::map<std::string, std::pair<Ms, std::vector<double>>> down;
-  model.on_change = [&](std::size_t, const MembershipEvent& c) {
-    if (c.kind != MembershipEvent::kMemberChanged || c.state != MemberState::kFailed) return;
-    const auto it = down.find(c.name);
-    if (it == down.end()) {
-      ++row.false_failures;
-    } else {
-      it->second.second.push_back(model.now() - it->second.first);
-    }
-  };
-  bool counting = false;
-  model.size = [&counting](const Message& m) {
-    return counting ? membership::encode(m, "report").size() + 28 : std::size_t{0};
-  };
-  for (std::size_t i = 0; i < n; ++i) {
-    model.add(all[i].first);
-    model.start(i, {addresses[0], addresses[1 % n], addresses[2 % n]}, 1e6);
-  }
-  model.run_until(model.now() + 10'000);
-  model.links.loss = loss;
-  for (std::size_t i = 0; i < n; ++i) {
-    if (slow > 0 && i % static_cast<std::size_t>(1 / slow) == 1) model.member(i).slow = 300;
-  }
-  model.run_until(model.now() + 5000);
-  row.false_failures = 0;
-  const auto began = std::chrono::steady_clock::now();
-  model.run_until(model.now() + span);
-  row.cpu_us = std::chrono::duration<double, std::micro>(std::chrono::steady_clock::now() - began).count() /
-               (span / 1000) / static_cast<double>(n);
-  row.hours = span / 3.6e6;
-  counting = true;
-  std::uint64_t sent = 0, bytes = 0;
-  for (std::size_t i = 0; i < n; ++i) sent -= model.member(i).datagrams, bytes -= model.member(i).bytes;
-  model.run_until(model.now() + 5000);
-  for (std::size_t i = 0; i < n; ++i) sent += model.member(i).datagrams, bytes += model.member(i).bytes;
-  counting = false;
-  row.datagrams = static_cast<double>(sent) / 5 / static_cast<double>(n);
-  row.bytes = static_cast<double>(bytes) / 5 / static_cast<double>(n);
-  row.memory = static_cast<double>(model.member(0).protocol->bytes());
-  for (int k = 0; k < crashes; ++k) {
-    const std::size_t who = 3 + static_cast<std::size_t>(k);
-    if (who >= n) break;
-    model.kill(who);
-    down[all[who].first] = {model.now(), {}};
-    model.run_until(model.now() + 25'000 + 100 * model.draw());
-    const auto& known = down[all[who].first].second;
-    ++row.crashes;
-    row.unknown +=
-        n - 1 - static_cast<std::size_t>(k) - std::min(known.size(), n - 1 - static_cast<std::size_t>(k));
-    if (known.empty()) continue;
-    row.first.push_back(*std::min_element(known.begin(), known.end()));
-    row.all.insert(row.all.end(), known.begin(), known.end());
-  }
-  return row;
+void Measurement::measure_crash(std::size_t index, std::size_t earlier_crashes) {
+  model_.kill(index);
+  Crash& crash = crashes_[members_[index].first];
+  crash.at = model_.now();
+  model_.run_until(model_.now() + kDetectionSpanMs + 100 * model_.draw());
+  const auto& detections = crash.detection_ms;
+  const std::size_t survivors = members_.size() - 1 - earlier_crashes;
+  result_.undetected += survivors - std::min(detections.size(), survivors);
+  if (detections.empty()) return;
+  result_.first_detection_ms.push_back(*std::min_element(detections.begin(), detections.end()));
+  result_.detection_ms.insert(result_.detection_ms.end(), detections.begin(), detections.end());
+}
+
+void print_header() {
+  std::printf("%-11s %7s %5s %5s | %9s %9s %9s %9s %8s | %12s | %9s %9s %9s %9s\n", "protocol", "members",
+              "loss", "slow", "first p50", "all p50", "all p99", "most", "unknown", "false/mbr/h", "dgram/s",
+              "bytes/s", "memory", "cpu us/s");
+}
+
+void print_row(const Scenario& scenario, const Result& result) {
+  constexpr Ms kHourMs = 3.6e6;
+  const double member_hours = static_cast<double>(scenario.members) * (scenario.span / kHourMs);
+  std::printf("%-11s %7zu %5.2f %5.2f | %9.0f %9.0f %9.0f %9.0f %8zu | %12.4f | %9.1f %9.0f %9.0f %9.0f\n",
+              scenario.protocol.c_str(), scenario.members, scenario.loss, scenario.slow_fraction,
+              percentile(result.first_detection_ms, 0.5), percentile(result.detection_ms, 0.5),
+              percentile(result.detection_ms, 0.99), percentile(result.detection_ms, 1), result.undetected,
+              static_cast<double>(result.false_failures) / member_hours, result.datagrams_per_second,
+              result.bytes_per_second, result.memory_bytes, result.cpu_us_per_second);
+  std::fflush(stdout);
 }
 
 }  // namespace
@@ -313,22 +234,16 @@
                  "part of members that handle all late by 300 ms in the mean; a row of its own");
   app.add_option("--seed", seed, "of all that is drawn");
   CLI11_PARSE(app, argc, argv);
-  std::printf("%-11s %7s %5s %5s | %9s %9s %9s %9s %8s | %12s | %9s %9s %9s %9s\n", "protocol", "members",
-              "loss", "slow", "first p50", "all p50", "all p99", "most", "unknown", "false/mbr/h", "dgram/s",
-              "bytes/s", "memory", "cpu us/s");
-  const auto print = [&](const std::string& protocol, std::size_t n, double loss, double late) {
-    const Row r = measure(protocol, n, loss, late, minutes * 60'000, crashes, seed);
-    std::printf("%-11s %7zu %5.2f %5.2f | %9.0f %9.0f %9.0f %9.0f %8zu | %12.4f | %9.1f %9.0f %9.0f %9.0f\n",
-                protocol.c_str(), n, loss, late, part(r.first, 0.5), part(r.all, 0.5), part(r.all, 0.99),
-                part(r.all, 1), r.unknown,
-                static_cast<double>(r.false_failures) / static_cast<double>(n) / r.hours, r.datagrams,
-                r.bytes, r.memory, r.cpu_us);
-    std::fflush(stdout);
+  print_header();
+  const auto measure = [&](const std::string& protocol, std::size_t members, double loss,
+                           double slow_fraction) {
+    const Scenario scenario{protocol, members, loss, slow_fraction, minutes * 60'000, crashes, seed};
+    print_row(scenario, Measurement(scenario).run());
   };
-  for (const auto n : sizes) {
+  for (const auto members : sizes) {
     for (const auto& protocol : protocols) {
-      for (const double loss : losses) print(protocol, n, loss, 0);
-      if (slow > 0) print(protocol, n, 0, slow);
+      for (const double loss : losses) measure(protocol, members, loss, 0);
+      if (slow > 0) measure(protocol, members, 0, slow);
     }
   }
   return 0;
--- a/src/membership/faults.h
+++ b/src/membership/faults.h
@@ -1,22 +1,22 @@
-// Deliberate faults, to show that tests of membership find them. Built in only with COMETFOLD_MUTANTS, for
-// tests; elsewhere `mutant` is a constant false and costs nothing.
+// Deliberate faults, to show that the tests of membership find them. Built in only with COMETFOLD_MUTANTS,
+// for tests; elsewhere `mutant` is a constant false and costs nothing.
 #pragma once
 
 namespace cometfold::membership {
 
 enum class Mutant : unsigned char {
   kNone,
-  kJudgesCutOff,     // calls others failed although it hears less than half
-  kIgnoresStop,      // takes the time in which it did not run for the others' silence
-  kFailsByOne,       // one watcher's word makes a member failed
-  kMergesByArrival,  // the record that comes last holds
-  kBelievesHearsay,  // takes a name from one that does not hear it either
-  kKeepsTheLiving,   // was away for longer than the others remember, and keeps what it knew
-  kForgetsTooEarly,  // who is over is forgotten at once
-  kNeverYields,      // of two with one name neither gives way
-  kStaysFailed,      // does not take a new number when it was called failed
-  kNeverTakesBack,   // an accusation stands although the accused answers
-  kNoDigests,        // what the news missed is never found
+  kDeclaresFailuresWhilePartitioned,
+  kIgnoresPause,             // holds the time in which this process did not run against other members
+  kNoSuspicionQuorum,        // the suspicion of one observer makes a member failed
+  kLastRecordWins,           // the record that arrives last replaces a greater one
+  kTrustsSecondHandRecords,  // takes a name from a member that does not reach it itself
+  kKeepsMembersAfterPause,   // after a pause beyond the tombstones' retention, keeps the members it had
+  kForgetsTombstonesAtOnce,
+  kNeverYieldsName,           // of two processes with one name neither gives way
+  kIgnoresOwnFailure,         // keeps its incarnation although others declared it failed
+  kNeverWithdrawsSuspicions,  // a suspicion stands although its subject answers
+  kNoDigestComparison,        // what gossip missed is never found
 };
 
 constexpr int kMutants = 12;  // with kNone
--- /dev/null
+++ b/src/membership/local_identity.cpp
@@ -0,0 +1,125 @@
+#include "membership/local_identity.h"
+
+#include <cstddef>
+#include <string_view>
+
+#include "membership/faults.h"
+
+namespace cometfold::membership {
+
+namespace {
+
+constexpr std::size_t kMaxClaims = 64;
+
+// As the log shows it.
+constexpr std::string_view text_of(IncarnationReason reason) {
+  constexpr std::string_view kTexts[] = {"others called it failed",
+                                         "others say that it left",
+                                         "the other process of this name is over",
+                                         "a process before it had a higher number",
+                                         "another process has this name",
+                                         "this name was known with a higher number",
+                                         "the others have forgotten lower numbers",
+                                         "it was stopped for longer than the others remember"};
+  return kTexts[static_cast<std::size_t>(reason)];
+}
+
+}  // namespace
+
+LocalIdentity::LocalIdentity(MemberTable& table, GossipQueue& gossip, FailureDetector& detector,
+                             NameConflict& conflict, EventQueue& events, MembershipMetrics& metrics)
+    : table_(table),
+      gossip_(gossip),
+      detector_(detector),
+      conflict_(conflict),
+      events_(events),
+      metrics_(metrics) {}
+
+void LocalIdentity::merge(Ms now, const MemberRecord& record) {
+  if (left_ || precedence_of(record) <= precedence_of(table_.self())) return;
+  if (same_incarnation(record, table_.self())) {
+    if (mutant(Mutant::kIgnoresOwnFailure)) return;
+    ++metrics_.incarnations_raised;
+    const bool declared_left = record.status == MemberStatus::kLeft;
+    rejoin_above(now, record.incarnation,
+                 declared_left ? IncarnationReason::kDeclaredLeft : IncarnationReason::kDeclaredFailed);
+  } else if (record.status != MemberStatus::kAlive) {
+    rejoin_above(
+        now, record.incarnation,
+        conflict_.displaced() ? IncarnationReason::kOtherProcessOver : IncarnationReason::kPredecessorHigher);
+  } else {
+    merge_alive(now, record);
+  }
+}
+
+// The first time the record may be of this gateway's predecessor, which the others do not know to be over. A
+// process that has ended raises no incarnations: one that is above this gateway's new incarnation again runs.
+void LocalIdentity::merge_alive(Ms now, const MemberRecord& record) {
+  if (conflict_.displaced()) {
+    yield_to(now, record);
+    return;
+  }
+  if (claims_.size() >= kMaxClaims) claims_.clear();
+  const bool in_use = ++claims_[record.process_nonce] > 1;
+  if (!in_use) {
+    rejoin_above(now, record.incarnation, IncarnationReason::kNameKnownHigher);
+    return;
+  }
+  // The younger process keeps the name.
+  if (record.process_nonce > table_.self().process_nonce && !mutant(Mutant::kNeverYieldsName)) {
+    yield_to(now, record);
+    return;
+  }
+  observe_conflict(now, record);
+  rejoin_above(now, record.incarnation, IncarnationReason::kNameInUse);
+}
+
+// This process takes no part until the other one is over.
+void LocalIdentity::yield_to(Ms now, const MemberRecord& record) {
+  if (!conflict_.displaced()) detector_.clear_subjects();
+  conflict_.set_displaced(true);
+  observe_conflict(now, record);
+  table_.set_record(now, table_.local_member(), record);
+}
+
+void LocalIdentity::observe_conflict(Ms now, const MemberRecord& record) {
+  if (!conflict_.observe(now, record.address, record.incarnation)) return;
+  events_.push({MembershipEvent::kNameConflict, table_.self().name, record.incarnation, MemberState::kAlive,
+                record.address});
+}
+
+// What the other process says of itself may be an old message and proves nothing. That it knows this
+// process's present incarnation does.
+void LocalIdentity::receive_from_namesake(Ms now, const Message& message) {
+  const MemberRecord& self = table_.self();
+  if (message.displaced_by == self.incarnation && !conflict_.displaced()) {
+    observe_conflict(now, message.sender);
+  }
+  for (const auto& record : message.records) {
+    if (record.name == self.name) merge(now, record);
+  }
+}
+
+void LocalIdentity::rejoin_above(Ms now, std::uint64_t incarnation, IncarnationReason reason) {
+  if (left_) return;
+  table_.self().incarnation = incarnation + 1;
+  conflict_.set_displaced(false);
+  Member& member = table_.local_member();
+  table_.set_record(now, member, table_.self());
+  gossip_.enqueue_record(member);
+  events_.push({MembershipEvent::kNewIncarnation, table_.self().name, table_.self().incarnation,
+                MemberState::kAlive, std::string(text_of(reason))});
+}
+
+void LocalIdentity::apply_floor(Ms now, std::uint64_t floor) {
+  if (floor >= table_.self().incarnation) rejoin_above(now, floor, IncarnationReason::kForgottenByOthers);
+}
+
+void LocalIdentity::expire_conflict(Ms now) {
+  if (!conflict_.is_over(now)) return;
+  events_.push({MembershipEvent::kNameConflictResolved, table_.self().name, conflict_.incarnation(),
+                MemberState::kAlive, conflict_.address()});
+  conflict_.clear();
+}
+
+}  // namespace cometfold::membership
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -1,81 +1,79 @@
-// What is known of a member, and the order of what is known: merging two copies takes the greater one, so
-// that copies come to agree in whatever order they are merged, and however often. Pure.
+// What gateways of a cluster send each other: records of members, suspicions and messages. Records have an
+// order: merging two copies takes the greater one, so that all gateways come to agree in whatever order and
+// however often copies are merged. Pure.
 #pragma once
 
 #include <cstddef>
 #include <cstdint>
 #include <string>
-#include <string_view>
 #include <tuple>
 #include <vector>
 
 namespace cometfold::membership {
 
-// As others are told. Failed and left are for good for that start number.
+// Failed and left are final for an incarnation. The order is that of precedence.
 enum class MemberStatus : std::uint8_t { kAlive, kFailed, kLeft };
 
-// A member is a name. Each time that a process takes part under a name it does so with a start number, higher
-// than all before; `process_nonce` tells processes apart that chose the same one.
+// A member is identified by its name. Each time that a process joins under a name it takes a higher
+// incarnation than all before; `process_nonce` tells processes apart that took the same one.
 struct MemberRecord {
   std::string name;     // 1 to 64 bytes
-  std::string address;  // where others reach it: IP and port
+  std::string address;  // IP and port at which other members reach it
   std::uint64_t incarnation = 0;
-  std::uint64_t process_nonce = 0;  // drawn when the process begins; a later process's is likely greater
+  std::uint64_t process_nonce = 0;  // drawn when the process starts; a later process's is probably greater
   MemberStatus status = MemberStatus::kAlive;
-  // At the one that tells: since it failed or left; of an alive one, for how long it has not been heard. Not
-  // part of the order.
+  // At the sender, in ms: since the member failed or left, or for how long an alive member has been
+  // unreachable (0: it is reachable). Not part of the order.
   double age_ms = 0;
-  std::string reported_by;     // whose word made it failed or left; not part of the order
-  std::string unknown_fields;  // fields of later versions, encoded; passed on as they came
+  std::string reported_by;     // the member that declared the status; not part of the order
+  std::string unknown_fields;  // encoded fields of later versions, passed on unchanged
 };
 
-// Start number and life before all else; for one start number failed and left outweigh alive.
-inline std::tuple<std::uint64_t, std::uint64_t, MemberStatus> precedence_of(const MemberRecord& r) {
-  return {r.incarnation, r.process_nonce, r.status};
+// Incarnation and process come first; within one incarnation failed and left outweigh alive.
+inline std::tuple<std::uint64_t, std::uint64_t, MemberStatus> precedence_of(const MemberRecord& record) {
+  return {record.incarnation, record.process_nonce, record.status};
 }
-inline bool same_incarnation(const MemberRecord& a, const MemberRecord& b) {
-  return a.incarnation == b.incarnation && a.process_nonce == b.process_nonce;
+inline bool same_incarnation(const MemberRecord& one, const MemberRecord& other) {
+  return one.incarnation == other.incarnation && one.process_nonce == other.process_nonce;
 }
 
-// What a watcher says of one that does not answer it. Only the watcher writes it: the higher version holds.
+// An observer's suspicion of a member that does not answer it. Only that observer writes it: the higher
+// version replaces the lower.
 struct Suspicion {
-  std::string name;  // of the accused
+  std::string name;  // of the suspected member, which the next two belong to
   std::uint64_t incarnation = 0, process_nonce = 0;
-  std::string suspector;  // the watcher, and its start number
+  std::string suspector;  // the observer
   std::uint64_t suspector_incarnation = 0;
   std::uint64_t version = 0;
-  double valid_for_ms = 0;  // without another word; 0: withdrawn
+  double valid_for_ms = 0;  // unless renewed; 0: withdrawn
 };
 
-// What goes from one member to another, in one datagram.
+// What one member sends another in one datagram.
 struct Message {
   enum Type : std::uint8_t {
-    kPing = 1,  // wants an ack with the same `sequence`
+    kPing = 1,  // requests an ack with the same `sequence`
     kAck,
-    kSyncRequest,  // `bucket_digests`: digests of what the sender knows; wants what differs
-    kSyncReply,    // what differs, and own digests: wants the rest
+    kSyncRequest,  // `bucket_digests` of the sender; requests the records that differ
+    kSyncReply,    // those records, and the replier's `bucket_digests`, which request the rest
     kSyncFinal,    // the rest
-    kCorrection,  // answers what has `sequence`: `records` holds what the sender believes of the one told, or
-                  // `incarnation_floor` is above its start
+    // The receiver, or a record that it sent, is outdated: `records` holds the sender's view of it, or
+    // `incarnation_floor` is not below its incarnation.
+    kCorrection,
   };
   Type type = kPing;
   MemberRecord sender;
   std::uint64_t sequence = 0;
-  std::uint64_t digest = 0;             // of all that the sender knows
-  std::uint64_t incarnation_floor = 0;  // kTell: start numbers up to this one have been forgotten
-  std::uint64_t displaced_by = 0;       // the start number of another process that has the sender's name
+  std::uint64_t digest = 0;             // of all records of the sender
+  std::uint64_t incarnation_floor = 0;  // kCorrection: incarnations up to this one have been forgotten
+  std::uint64_t displaced_by = 0;       // the incarnation of another process that has the sender's name
   std::vector<MemberRecord> records;
   std::vector<Suspicion> suspicions;
-  std::vector<std::uint64_t> bucket_digests;
+  std::vector<std::uint64_t> bucket_digests;  // empty or kDigestBuckets long
 };
 
 inline constexpr std::size_t kDigestBuckets = 32;
 inline constexpr std::size_t kMaxNameBytes = 64;
 inline constexpr std::size_t kMaxUnknownFieldBytes = 128;  // longer ones are dropped
-inline constexpr std::size_t kMaxMessageBytes = 1150;      // bytes, as encoded; with its frame below 1,200
-
-// Upper bounds of what these take when encoded, in bytes.
-std::size_t encoded_size_bound(const MemberRecord& record);
-std::size_t encoded_size_bound(const Suspicion& accusation);
+inline constexpr std::size_t kMaxMessageBytes = 1150;      // as encoded, without its frame
 
 }  // namespace cometfold::membership
--- /dev/null
+++ b/src/membership/rejoiner.h
@@ -0,0 +1,45 @@
+// Finds the cluster, and finds back to it: contacts seeds, and members that are silent and may be back.
+#pragma once
+
+#include <cstdint>
+#include <string>
+#include <vector>
+
+#include "membership/anti_entropy.h"
+#include "membership/member_table.h"
+#include "membership/name_conflict.h"
+#include "membership/outbox.h"
+#include "membership/settings.h"
+
+namespace cometfold::membership {
+
+class Rejoiner {
+ public:
+  // All references outlive this. `seeds` are addresses.
+  Rejoiner(const Draw& draw, const MemberTable& table, const NameConflict& conflict,
+           AntiEntropy& anti_entropy, Outbox& outbox, std::vector<std::string> seeds);
+
+  void start(Ms now);
+  // To be called at each tick. `isolated`: this gateway reaches nobody.
+  void tick(Ms now, bool isolated);
+  // Contacts seeds at each tick for a while, where this gateway is isolated.
+  void hurry();
+  // An address that serves as a further seed.
+  void add_seed(const std::string& address);
+
+ private:
+  void ping_silent_member(Ms now);
+  void contact_unreached_seed(Ms now);
+  void check_conflict(Ms now);
+
+  const Draw& draw_;
+  const MemberTable& table_;
+  const NameConflict& conflict_;
+  AntiEntropy& anti_entropy_;
+  Outbox& outbox_;
+  std::vector<std::string> seeds_;
+  std::uint64_t ticks_ = 0;
+  int hurried_ticks_left_ = 0;
+};
+
+}  // namespace cometfold::membership
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -7,6 +7,7 @@
 #include <boost/endian/conversion.hpp>
 #include <cmath>
 #include <cstring>
+#include <utility>
 
 #include "peer_messages.pb.h"
 
@@ -17,124 +18,177 @@
 namespace pb = ::cometfold::peers;
 
 constexpr char kMagic[] = {'C', 'F', 'M'};
-constexpr char kVersion = 1;
-constexpr std::size_t kFrame = sizeof kMagic + 1 + sizeof(std::uint64_t);
-constexpr std::size_t kLargestAddress = 64;
-constexpr int kMostRecords = 64, kMostAccusations = 64;
-constexpr double kLongestAge = 1e12;
+constexpr char kFrameVersion = 1;
+constexpr std::size_t kVersionOffset = sizeof kMagic;
+constexpr std::size_t kChecksumOffset = kVersionOffset + 1;
+constexpr std::size_t kFrameBytes = kChecksumOffset + sizeof(std::uint64_t);
+constexpr std::size_t kMaxAddressBytes = 64;
+constexpr int kMaxRecords = 64;
+constexpr int kMaxSuspicions = 64;
+constexpr double kMaxAgeMs = 1e12;
 
 std::uint64_t whole_ms(double ms) {
-  return static_cast<std::uint64_t>(std::llround(std::clamp(ms, 0.0, kLongestAge)));
+  return static_cast<std::uint64_t>(std::llround(std::clamp(ms, 0.0, kMaxAgeMs)));
 }
 
-void put(pb::Record& to, const MemberRecord& r) {
-  if (!r.unknown_fields.empty())
-    to.MergeFromString(r.unknown_fields);  // first, so that what is known here holds
-  to.set_name(r.name);
-  to.set_address(r.address);
-  to.set_start(r.incarnation);
-  to.set_life(r.process_nonce);
-  to.set_kind(static_cast<std::uint32_t>(r.status));
-  to.set_age_ms(whole_ms(r.age_ms));
-  to.set_by(r.reported_by);
+void encode_record(const MemberRecord& record, pb::Record& to) {
+  // First, so that the fields that this version knows replace any of them.
+  if (!record.unknown_fields.empty()) to.MergeFromString(record.unknown_fields);
+  to.set_name(record.name);
+  to.set_address(record.address);
+  to.set_start(record.incarnation);
+  to.set_life(record.process_nonce);
+  to.set_kind(static_cast<std::uint32_t>(record.status));
+  to.set_age_ms(whole_ms(record.age_ms));
+  to.set_by(record.reported_by);
 }
 
-bool take(const pb::Record& from, MemberRecord& r) {
-  const bool good = !from.name().empty() && from.name().size() <= kMaxNameBytes && from.kind() <= 2 &&
-                    from.address().size() <= kLargestAddress && !from.address().empty() &&
-                    from.by().size() <= kMaxNameBytes;
-  if (!good) return false;
-  pb::Record rest = from;  // but for what is known here: the lite library shows unknown fields no other way
-  rest.clear_name(), rest.clear_address(), rest.clear_start(), rest.clear_life();
-  rest.clear_kind(), rest.clear_age_ms(), rest.clear_by();
-  r = {from.name(),
-       from.address(),
-       from.start(),
-       from.life(),
-       static_cast<MemberStatus>(from.kind()),
-       static_cast<double>(from.age_ms()),
-       from.by(),
-       rest.SerializeAsString()};
-  if (r.unknown_fields.size() > kMaxUnknownFieldBytes) r.unknown_fields.clear();
-  return true;
+void encode_suspicion(const Suspicion& suspicion, pb::Accusation& to) {
+  to.set_name(suspicion.name);
+  to.set_start(suspicion.incarnation);
+  to.set_life(suspicion.process_nonce);
+  to.set_by(suspicion.suspector);
+  to.set_by_start(suspicion.suspector_incarnation);
+  to.set_version(suspicion.version);
+  to.set_lasts_ms(static_cast<std::uint32_t>(whole_ms(std::ceil(suspicion.valid_for_ms))));
 }
 
-}  // namespace
+bool is_valid(const pb::Record& record) {
+  return !record.name().empty() && record.name().size() <= kMaxNameBytes &&
+         record.kind() <= static_cast<std::uint32_t>(MemberStatus::kLeft) && !record.address().empty() &&
+         record.address().size() <= kMaxAddressBytes && record.by().size() <= kMaxNameBytes;
+}
 
-std::string encode(const Message& m, std::string_view cluster) {
-  pb::Datagram d;
-  d.set_cluster(std::string(cluster));
-  d.set_type(m.type);
-  put(*d.mutable_sender(), m.sender);
-  d.set_number(m.sequence);
-  d.set_digest(m.digest);
-  d.set_floor(m.incarnation_floor);
-  d.set_displaced_by(m.displaced_by);
-  for (const auto& r : m.records) put(*d.add_records(), r);
-  for (const auto& a : m.suspicions) {
-    auto& to = *d.add_accusations();
-    to.set_name(a.name);
-    to.set_start(a.incarnation);
-    to.set_life(a.process_nonce);
-    to.set_by(a.suspector);
-    to.set_by_start(a.suspector_incarnation);
-    to.set_version(a.version);
-    to.set_lasts_ms(static_cast<std::uint32_t>(whole_ms(std::ceil(a.valid_for_ms))));
-  }
-  for (const auto b : m.bucket_digests) d.add_buckets(b);
-  std::string out(kFrame, '\0');
-  d.AppendToString(&out);
-  const std::uint64_t sum =
-      boost::endian::native_to_little(XXH3_64bits(out.data() + kFrame, out.size() - kFrame));
-  std::memcpy(out.data(), kMagic, sizeof kMagic);
-  out[sizeof kMagic] = kVersion;
-  std::memcpy(out.data() + sizeof kMagic + 1, &sum, sizeof sum);
-  return out;
+// Encoded fields that this version does not know; the lite library gives no other access to them.
+std::string unknown_fields_of(pb::Record record) {
+  record.clear_name();
+  record.clear_address();
+  record.clear_start();
+  record.clear_life();
+  record.clear_kind();
+  record.clear_age_ms();
+  record.clear_by();
+  std::string unknown = record.SerializeAsString();
+  if (unknown.size() > kMaxUnknownFieldBytes) unknown.clear();
+  return unknown;
 }
 
-std::optional<Message> decode(std::string_view bytes, std::string_view cluster, DecodeError& why) {
-  const auto unread = [&why](DecodeError reason) -> std::optional<Message> {
-    why = reason;
-    return {};
-  };
-  if (bytes.size() < kFrame || std::memcmp(bytes.data(), kMagic, sizeof kMagic) != 0) {
-    return unread(DecodeError::kForeign);
+std::optional<MemberRecord> decode_record(const pb::Record& from) {
+  if (!is_valid(from)) return std::nullopt;
+  MemberRecord record;
+  record.name = from.name();
+  record.address = from.address();
+  record.incarnation = from.start();
+  record.process_nonce = from.life();
+  record.status = static_cast<MemberStatus>(from.kind());
+  record.age_ms = static_cast<double>(from.age_ms());
+  record.reported_by = from.by();
+  record.unknown_fields = unknown_fields_of(from);
+  return record;
+}
+
+std::optional<Suspicion> decode_suspicion(const pb::Accusation& from) {
+  if (from.name().size() > kMaxNameBytes || from.by().size() > kMaxNameBytes) return std::nullopt;
+  Suspicion suspicion;
+  suspicion.name = from.name();
+  suspicion.incarnation = from.start();
+  suspicion.process_nonce = from.life();
+  suspicion.suspector = from.by();
+  suspicion.suspector_incarnation = from.by_start();
+  suspicion.version = from.version();
+  suspicion.valid_for_ms = static_cast<double>(from.lasts_ms());
+  return suspicion;
+}
+
+// Checks the frame and gives the body.
+DecodeError unframe(std::string_view datagram, std::string_view& body) {
+  if (datagram.size() < kFrameBytes || std::memcmp(datagram.data(), kMagic, sizeof kMagic) != 0) {
+    return DecodeError::kForeign;
   }
-  if (bytes[sizeof kMagic] != kVersion) return unread(DecodeError::kVersionMismatch);
-  std::uint64_t sum;
-  std::memcpy(&sum, bytes.data() + sizeof kMagic + 1, sizeof sum);
-  const auto body = bytes.substr(kFrame);
-  if (boost::endian::little_to_native(sum) != XXH3_64bits(body.data(), body.size())) {
-    return unread(DecodeError::kChecksumMismatch);
+  if (datagram[kVersionOffset] != kFrameVersion) return DecodeError::kVersionMismatch;
+  std::uint64_t checksum;
+  std::memcpy(&checksum, datagram.data() + kChecksumOffset, sizeof checksum);
+  body = datagram.substr(kFrameBytes);
+  if (boost::endian::little_to_native(checksum) != XXH3_64bits(body.data(), body.size())) {
+    return DecodeError::kChecksumMismatch;
   }
-  pb::Datagram d;
-  if (bytes.size() > kMaxDatagramBytes || !d.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
-    return unread(DecodeError::kMalformed);
+  return datagram.size() > kMaxDatagramBytes ? DecodeError::kMalformed : DecodeError::kNone;
+}
+
+bool is_valid(const pb::Datagram& datagram) {
+  return datagram.type() >= Message::kPing && datagram.type() <= Message::kCorrection &&
+         datagram.records_size() <= kMaxRecords && datagram.accusations_size() <= kMaxSuspicions &&
+         (datagram.buckets_size() == 0 || datagram.buckets_size() == static_cast<int>(kDigestBuckets)) &&
+         is_valid(datagram.sender());
+}
+
+Message decode_message(const pb::Datagram& from) {
+  Message message;
+  message.type = static_cast<Message::Type>(from.type());
+  message.sender = decode_record(from.sender()).value();
+  message.sequence = from.number();
+  message.digest = from.digest();
+  message.incarnation_floor = from.floor();
+  message.displaced_by = from.displaced_by();
+  for (const auto& one : from.records()) {
+    if (auto record = decode_record(one)) message.records.push_back(std::move(*record));
   }
-  if (d.cluster() != cluster) return unread(DecodeError::kForeign);
-  Message m;
-  const bool good = d.type() >= Message::kPing && d.type() <= Message::kCorrection &&
-                    d.records_size() <= kMostRecords && d.accusations_size() <= kMostAccusations &&
-                    (d.buckets_size() == 0 || d.buckets_size() == static_cast<int>(kDigestBuckets)) &&
-                    take(d.sender(), m.sender);
-  if (!good) return unread(DecodeError::kMalformed);
-  m.type = static_cast<Message::Type>(d.type());
-  m.sequence = d.number();
-  m.digest = d.digest();
-  m.incarnation_floor = d.floor();
-  m.displaced_by = d.displaced_by();
-  for (const auto& from : d.records()) {
-    if (MemberRecord r; take(from, r))
-      m.records.push_back(std::move(r));  // one that can't be read spoils no other
+  for (const auto& one : from.accusations()) {
+    if (auto suspicion = decode_suspicion(one)) message.suspicions.push_back(std::move(*suspicion));
   }
-  for (const auto& from : d.accusations()) {
-    if (from.name().size() > kMaxNameBytes || from.by().size() > kMaxNameBytes) continue;
-    m.suspicions.push_back({from.name(), from.start(), from.life(), from.by(), from.by_start(),
-                            from.version(), static_cast<double>(from.lasts_ms())});
+  message.bucket_digests.assign(from.buckets().begin(), from.buckets().end());
+  return message;
+}
+
+}  // namespace
+
+std::size_t encoded_size_bound(const MemberRecord& record) {
+  constexpr std::size_t kFixedFieldBytes = 64;
+  return kFixedFieldBytes + record.name.size() + record.address.size() + record.reported_by.size() +
+         record.unknown_fields.size();
+}
+
+std::size_t suspicion_size_bound(std::string_view name, std::string_view suspector) {
+  constexpr std::size_t kFixedFieldBytes = 56;
+  return kFixedFieldBytes + name.size() + suspector.size();
+}
+
+std::string encode(const Message& message, std::string_view cluster) {
+  pb::Datagram datagram;
+  datagram.set_cluster(std::string(cluster));
+  datagram.set_type(message.type);
+  encode_record(message.sender, *datagram.mutable_sender());
+  datagram.set_number(message.sequence);
+  datagram.set_digest(message.digest);
+  datagram.set_floor(message.incarnation_floor);
+  datagram.set_displaced_by(message.displaced_by);
+  for (const auto& record : message.records) encode_record(record, *datagram.add_records());
+  for (const auto& suspicion : message.suspicions) encode_suspicion(suspicion, *datagram.add_accusations());
+  for (const auto digest : message.bucket_digests) datagram.add_buckets(digest);
+  std::string bytes(kFrameBytes, '\0');
+  datagram.AppendToString(&bytes);
+  const std::uint64_t checksum =
+      boost::endian::native_to_little(XXH3_64bits(bytes.data() + kFrameBytes, bytes.size() - kFrameBytes));
+  std::memcpy(bytes.data(), kMagic, sizeof kMagic);
+  bytes[kVersionOffset] = kFrameVersion;
+  std::memcpy(bytes.data() + kChecksumOffset, &checksum, sizeof checksum);
+  return bytes;
+}
+
+std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& error) {
+  std::string_view body;
+  error = unframe(datagram, body);
+  if (error != DecodeError::kNone) return std::nullopt;
+  pb::Datagram parsed;
+  if (!parsed.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
+    error = DecodeError::kMalformed;
+  } else if (parsed.cluster() != cluster) {
+    error = DecodeError::kForeign;
+  } else if (!is_valid(parsed)) {
+    error = DecodeError::kMalformed;
   }
-  m.bucket_digests.assign(d.buckets().begin(), d.buckets().end());
-  why = DecodeError::kNone;
-  return m;
+  if (error != DecodeError::kNone) return std::nullopt;
+  return decode_message(parsed);
 }
 
 }  // namespace cometfold::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -1,7 +1,9 @@
-// Messages of members as datagrams, and back. Pure. Whatever bytes come, reading them ends, takes memory in
-// proportion to them, and gives a message within the bounds of record.h or says why not.
+// Messages of members as datagrams, and back. Pure. Decoding any bytes ends, takes memory in proportion to
+// them, and gives a message within the bounds of record.h or the reason why there is none.
 #pragma once
 
+#include <cstddef>
+#include <cstdint>
 #include <optional>
 #include <string>
 #include <string_view>
@@ -14,15 +16,23 @@
 
 enum class DecodeError : std::uint8_t {
   kNone,
-  kForeign,           // no frame of ours, or another cluster's
-  kVersionMismatch,   // framed by another version
-  kChecksumMismatch,  // the checksum differs
-  kMalformed,         // whole, and not a message: an unknown type, a bound exceeded
+  kForeign,          // without this protocol's frame, or of another cluster
+  kVersionMismatch,  // of another version of the frame
+  kChecksumMismatch,
+  kMalformed,  // intact, and no message: an unknown type, or a bound exceeded
 };
 
+// Upper bounds of encoded sizes, in bytes.
+std::size_t encoded_size_bound(const MemberRecord& record);
+std::size_t suspicion_size_bound(std::string_view name, std::string_view suspector);
+inline constexpr std::size_t kMessageOverheadBytes = 40;  // of a message beside its sender and its lists
+inline constexpr std::size_t kBucketDigestsBytes = 9 * kDigestBuckets;
+
+// `cluster` is the name of the sender's cluster, which the receiver's has to equal.
 std::string encode(const Message& message, std::string_view cluster);
 
-// Nothing, with the reason in `description`, if it is not to be read.
-std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& why);
+// Nothing, with the reason in `error`, if the datagram is no message of this cluster. Records and suspicions
+// that exceed a bound are left out; they do not spoil the others.
+std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& error);
 
 }  // namespace cometfold::membership
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -1,14 +1,16 @@
-// libFuzzer: any bytes as datagrams of other gateways, with the real reader and the real membership behind
-// it. What must hold: no crash, no sanitizer report; members stay within their bound; what goes out stays
-// below its bound and can be read.
+// libFuzzer: any bytes as datagrams of other gateways, through the real decoder into the real membership.
+// What must hold: no crash and no sanitizer report; the number of members stays within its bound; outgoing
+// datagrams stay within theirs and can be decoded.
 //
-// Each datagram has two bytes of length before it. The frame with its checksum is put round it here, unless
-// the highest bit of the length says that the bytes come as they are.
+// Each datagram has two bytes before it: the first holds a flag for raw bytes (0x80), a flag for a long pause
+// (0x40) and the upper three bits of the length, the second the rest of the length. Unless it is raw, the
+// datagram gets its frame and checksum here.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
+#include <algorithm>
+#include <cstdint>
 #include <cstdlib>
-#include <cstring>
 #include <random>
 #include <string>
 
@@ -17,37 +19,55 @@
 
 using namespace cometfold::membership;
 
+namespace {
+
+constexpr std::uint8_t kRawFlag = 0x80;
+constexpr std::uint8_t kPauseFlag = 0x40;
+constexpr std::uint8_t kLengthMask = 7;
+constexpr std::size_t kHeaderBytes = 2;
+constexpr cometfold::Ms kPauseMs = 3000;
+constexpr cometfold::Ms kStepMs = 100;
+
+std::string framed(const std::string& body) {
+  const std::uint64_t checksum = XXH3_64bits(body.data(), body.size());
+  return std::string("CFM\1") + std::string(reinterpret_cast<const char*>(&checksum), sizeof checksum) + body;
+}
+
+void check_output(Membership& member) {
+  DecodeError error;
+  for (const auto& outgoing : member.take_messages()) {
+    const std::string datagram = encode(outgoing.message, "fuzz");
+    if (datagram.size() > kMaxDatagramBytes || !decode(datagram, "fuzz", error)) std::abort();
+  }
+}
+
+}  // namespace
+
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
-  Settings settings;
-  settings.most = 40;
-  settings.forget = 5000;
-  settings.patience = 1000;
+  MembershipSettings settings;
+  settings.max_members = 40;
+  settings.tombstone_retention_ms = 5000;
+  settings.unreachable_timeout_ms = 1000;
   std::mt19937_64 random(1);
-  Membership member(settings, {"g0", "10.0.0.1:1", 5, 9, Kind::kAlive, 0, "", ""}, {"10.0.0.2:1"},
+  Membership member(settings, {"g0", "10.0.0.1:1", 5, 9, MemberStatus::kAlive, 0, "", ""}, {"10.0.0.2:1"},
                     [&random](std::uint64_t below) { return random() % below; });
-  double now = 1000;
+  cometfold::Ms now = 1000;
   member.start(now);
-  while (size >= 2) {
-    const bool raw = (data[0] & 0x80) != 0;
-    const std::size_t n = std::min<std::size_t>(size - 2, data[1] | (data[0] & 7) << 8);
-    const std::string body(reinterpret_cast<const char*>(data + 2), n);
-    std::string datagram = body;
-    if (!raw) {
-      const std::uint64_t sum = XXH3_64bits(body.data(), body.size());
-      datagram = std::string("CFM\1") + std::string(reinterpret_cast<const char*>(&sum), sizeof sum) + body;
-    }
-    now += data[0] & 0x40 ? 3000 : 100;
-    data += 2 + n;
-    size -= 2 + n;
-    Unread why;
-    if (const auto message = decode(datagram, "fuzz", why)) member.receive(now, *message);
-    while (member.next_due() <= now) member.tick(now);
-    member.take_changes();
-    for (const auto& envelope : member.take_messages()) {
-      const std::string out = encode(envelope.message, "fuzz");
-      if (out.size() > kLargestDatagram || !decode(out, "fuzz", why)) std::abort();
-    }
-    if (member.members(now).size() > settings.most) std::abort();
+  while (size >= kHeaderBytes) {
+    const std::uint8_t flags = data[0];
+    const std::size_t length =
+        std::min<std::size_t>(size - kHeaderBytes, data[1] | (flags & kLengthMask) << 8);
+    const std::string body(reinterpret_cast<const char*>(data + kHeaderBytes), length);
+    data += kHeaderBytes + length;
+    size -= kHeaderBytes + length;
+    now += (flags & kPauseFlag) != 0 ? kPauseMs : kStepMs;
+    DecodeError error;
+    const std::string datagram = (flags & kRawFlag) != 0 ? body : framed(body);
+    if (const auto message = decode(datagram, "fuzz", error)) member.receive(now, *message);
+    while (member.next_tick() <= now) member.tick(now);
+    member.take_events();
+    check_output(member);
+    if (member.members(now).size() > settings.max_members) std::abort();
   }
   return 0;
 }
--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -1,9 +1,9 @@
-// Datagrams of members: what comes back is what was sent, and whatever bytes come are taken or dropped whole.
+// Datagrams of members: encoding, decoding and its errors, golden bytes; and the rules of connectivity.
 #include <gtest/gtest.h>
 
 #include <random>
 
-#include "membership/standing.h"
+#include "membership/connectivity.h"
 #include "membership/wire.h"
 #include "peer_messages.pb.h"
 
@@ -22,24 +22,26 @@
   return m;
 }
 
-std::optional<Message> read(const std::string& bytes, DecodeError& why) { return decode(bytes, "blue", why); }
+std::optional<Message> decode_blue(const std::string& bytes, DecodeError& error) {
+  return decode(bytes, "blue", error);
+}
 
-TEST(MembershipWire, ComesBackAsItWas) {
+TEST(MembershipWire, AMessageSurvivesEncodingAndDecoding) {
   const Message sent = full_message();
-  DecodeError why;
-  const auto got = read(encode(sent, "blue"), why);
-  ASSERT_TRUE(got);
-  EXPECT_EQ(why, DecodeError::kNone);
-  EXPECT_EQ(got->type, sent.type);
-  EXPECT_EQ(got->sender.address, sent.sender.address);
-  EXPECT_EQ(got->digest, sent.digest);
-  ASSERT_EQ(got->records.size(), 1U);
-  EXPECT_EQ(precedence_of(got->records[0]), precedence_of(sent.records[0]));
-  EXPECT_EQ(got->records[0].age_ms, 1234);
-  EXPECT_EQ(got->records[0].reported_by, "g1");
-  ASSERT_EQ(got->suspicions.size(), 1U);
-  EXPECT_EQ(got->suspicions[0].valid_for_ms, 1500);
-  EXPECT_EQ(got->bucket_digests, sent.bucket_digests);
+  DecodeError error;
+  const auto decoded = decode_blue(encode(sent, "blue"), error);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(error, DecodeError::kNone);
+  EXPECT_EQ(decoded->type, sent.type);
+  EXPECT_EQ(decoded->sender.address, sent.sender.address);
+  EXPECT_EQ(decoded->digest, sent.digest);
+  ASSERT_EQ(decoded->records.size(), 1U);
+  EXPECT_EQ(precedence_of(decoded->records[0]), precedence_of(sent.records[0]));
+  EXPECT_EQ(decoded->records[0].age_ms, 1234);
+  EXPECT_EQ(decoded->records[0].reported_by, "g1");
+  ASSERT_EQ(decoded->suspicions.size(), 1U);
+  EXPECT_EQ(decoded->suspicions[0].valid_for_ms, 1500);
+  EXPECT_EQ(decoded->bucket_digests, sent.bucket_digests);
 }
 
 // A datagram as processes already in use send it: field numbers, byte order and rounding stay.
@@ -95,81 +97,81 @@
 
 TEST(MembershipWire, DecodesTheGoldenDatagram) {
   const Message sent = golden_message();
-  DecodeError why;
-  const auto got = read(from_hex(kGoldenDatagram), why);
-  ASSERT_TRUE(got);
-  EXPECT_EQ(got->type, sent.type);
-  EXPECT_EQ(got->sequence, sent.sequence);
-  EXPECT_EQ(got->digest, sent.digest);
-  EXPECT_EQ(got->incarnation_floor, sent.incarnation_floor);
-  EXPECT_EQ(got->displaced_by, sent.displaced_by);
-  EXPECT_EQ(got->bucket_digests, sent.bucket_digests);
-  EXPECT_EQ(got->sender.name, "g1");
-  EXPECT_EQ(got->sender.process_nonce, 77U);
-  ASSERT_EQ(got->records.size(), 2U);
-  EXPECT_EQ(precedence_of(got->records[0]), precedence_of(sent.records[0]));
-  EXPECT_EQ(got->records[0].address, "127.0.0.2:7000");
-  EXPECT_EQ(got->records[0].age_ms, 1234);
-  EXPECT_EQ(got->records[0].reported_by, "g1");
-  EXPECT_EQ(got->records[0].unknown_fields, sent.records[0].unknown_fields);
-  EXPECT_EQ(precedence_of(got->records[1]), precedence_of(sent.records[1]));
-  EXPECT_EQ(got->records[1].age_ms, 1);
-  ASSERT_EQ(got->suspicions.size(), 2U);
-  EXPECT_EQ(got->suspicions[0].name, "g3");
-  EXPECT_EQ(got->suspicions[0].incarnation, 4U);
-  EXPECT_EQ(got->suspicions[0].process_nonce, 79U);
-  EXPECT_EQ(got->suspicions[0].suspector, "g1");
-  EXPECT_EQ(got->suspicions[0].suspector_incarnation, 5U);
-  EXPECT_EQ(got->suspicions[0].version, 2U);
-  EXPECT_EQ(got->suspicions[0].valid_for_ms, 1501);
-  EXPECT_EQ(got->suspicions[1].valid_for_ms, 0);
+  DecodeError error;
+  const auto decoded = decode_blue(from_hex(kGoldenDatagram), error);
+  ASSERT_TRUE(decoded);
+  EXPECT_EQ(decoded->type, sent.type);
+  EXPECT_EQ(decoded->sequence, sent.sequence);
+  EXPECT_EQ(decoded->digest, sent.digest);
+  EXPECT_EQ(decoded->incarnation_floor, sent.incarnation_floor);
+  EXPECT_EQ(decoded->displaced_by, sent.displaced_by);
+  EXPECT_EQ(decoded->bucket_digests, sent.bucket_digests);
+  EXPECT_EQ(decoded->sender.name, "g1");
+  EXPECT_EQ(decoded->sender.process_nonce, 77U);
+  ASSERT_EQ(decoded->records.size(), 2U);
+  EXPECT_EQ(precedence_of(decoded->records[0]), precedence_of(sent.records[0]));
+  EXPECT_EQ(decoded->records[0].address, "127.0.0.2:7000");
+  EXPECT_EQ(decoded->records[0].age_ms, 1234);
+  EXPECT_EQ(decoded->records[0].reported_by, "g1");
+  EXPECT_EQ(decoded->records[0].unknown_fields, sent.records[0].unknown_fields);
+  EXPECT_EQ(precedence_of(decoded->records[1]), precedence_of(sent.records[1]));
+  EXPECT_EQ(decoded->records[1].age_ms, 1);
+  ASSERT_EQ(decoded->suspicions.size(), 2U);
+  EXPECT_EQ(decoded->suspicions[0].name, "g3");
+  EXPECT_EQ(decoded->suspicions[0].incarnation, 4U);
+  EXPECT_EQ(decoded->suspicions[0].process_nonce, 79U);
+  EXPECT_EQ(decoded->suspicions[0].suspector, "g1");
+  EXPECT_EQ(decoded->suspicions[0].suspector_incarnation, 5U);
+  EXPECT_EQ(decoded->suspicions[0].version, 2U);
+  EXPECT_EQ(decoded->suspicions[0].valid_for_ms, 1501);
+  EXPECT_EQ(decoded->suspicions[1].valid_for_ms, 0);
 }
 
-TEST(MembershipWire, AnyBitThatFlipsIsSeen) {
+TEST(MembershipWire, FlippedBitsAndTruncationAreDetected) {
   const std::string good = encode(full_message(), "blue");
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
     std::string bad = good;
     bad[bit / 8] = static_cast<char>(bad[bit / 8] ^ (1 << (bit % 8)));
-    DecodeError why = DecodeError::kNone;
-    EXPECT_FALSE(read(bad, why)) << bit;
-    EXPECT_NE(why, DecodeError::kNone);
+    DecodeError error = DecodeError::kNone;
+    EXPECT_FALSE(decode_blue(bad, error)) << bit;
+    EXPECT_NE(error, DecodeError::kNone);
   }
   for (std::size_t n = 0; n < good.size(); ++n) {
-    DecodeError why = DecodeError::kNone;
-    EXPECT_FALSE(read(good.substr(0, n), why)) << n;
+    DecodeError error = DecodeError::kNone;
+    EXPECT_FALSE(decode_blue(good.substr(0, n), error)) << n;
   }
 }
 
-TEST(MembershipWire, SaysWhyItIsNotRead) {
-  DecodeError why = DecodeError::kNone;
-  EXPECT_FALSE(read(encode(full_message(), "green"), why));
-  EXPECT_EQ(why, DecodeError::kForeign);
-  EXPECT_FALSE(read("GET / HTTP/1.1\r\n\r\n", why));
-  EXPECT_EQ(why, DecodeError::kForeign);
+TEST(MembershipWire, DecodingReportsTheError) {
+  DecodeError error = DecodeError::kNone;
+  EXPECT_FALSE(decode_blue(encode(full_message(), "green"), error));
+  EXPECT_EQ(error, DecodeError::kForeign);
+  EXPECT_FALSE(decode_blue("GET / HTTP/1.1\r\n\r\n", error));
+  EXPECT_EQ(error, DecodeError::kForeign);
   auto other = encode(full_message(), "blue");
   other[3] = 2;
-  EXPECT_FALSE(read(other, why));
-  EXPECT_EQ(why, DecodeError::kVersionMismatch);
+  EXPECT_FALSE(decode_blue(other, error));
+  EXPECT_EQ(error, DecodeError::kVersionMismatch);
   Message unnamed = full_message();
   unnamed.sender.name.clear();
-  EXPECT_FALSE(read(encode(unnamed, "blue"), why));
-  EXPECT_EQ(why, DecodeError::kMalformed);
+  EXPECT_FALSE(decode_blue(encode(unnamed, "blue"), error));
+  EXPECT_EQ(error, DecodeError::kMalformed);
 }
 
-// A record of a later version goes through this one with what only that version knows.
-TEST(MembershipWire, FieldsOfLaterVersionsArePassedOn) {
+// A record of a later version passes through this version with the fields that only the later one knows.
+TEST(MembershipWire, UnknownFieldsArePassedOn) {
   Message m = full_message();
   m.records[0].unknown_fields = std::string("\xa2\x06\x03") + "new";  // field 100, three bytes
-  DecodeError why;
-  const auto once = read(encode(m, "blue"), why);
+  DecodeError error;
+  const auto once = decode_blue(encode(m, "blue"), error);
   ASSERT_TRUE(once);
   EXPECT_EQ(once->records.at(0).unknown_fields, m.records[0].unknown_fields);
-  const auto twice = read(encode(*once, "blue"), why);
+  const auto twice = decode_blue(encode(*once, "blue"), error);
   EXPECT_EQ(twice->records.at(0).unknown_fields, m.records[0].unknown_fields);
   EXPECT_EQ(twice->records.at(0).name, "g2");
 }
 
-TEST(MembershipWire, AFullMessageStaysBelowItsBound) {
+TEST(MembershipWire, AFullMessageStaysWithinTheDatagramLimit) {
   Message m = full_message();
   m.sender.name = std::string(kMaxNameBytes, 'n');
   m.sender.address = "[2001:db8:1111:2222:3333:4444:5555:6666]:65535";
@@ -189,7 +191,7 @@
   EXPECT_LE(encode(m, std::string(32, 'c')).size(), kMaxDatagramBytes);
 }
 
-TEST(MembershipWire, RandomBytesBehindAGoodFrameEndInSomeAnswer) {
+TEST(MembershipWire, RandomBytesInAValidFrameAreDecodedOrRejected) {
   std::mt19937_64 random(3);
   for (int n = 0; n < 20'000; ++n) {
     cometfold::peers::Datagram d;
@@ -199,28 +201,28 @@
     if (!d.ParseFromString(bytes)) continue;
     Message m = full_message();
     m.sender.unknown_fields = bytes.substr(0, 64);
-    DecodeError why;
-    read(encode(m, "blue"), why);
+    DecodeError error;
+    decode_blue(encode(m, "blue"), error);
   }
 }
 
-TEST(Standing, GetsWorseAtOnceAndBetterOnlyAfterAWhile) {
-  ConnectivityTracker rule(1000);
-  EXPECT_EQ(rule.state(), ConnectivityState::kIsolated);
-  EXPECT_TRUE(rule.update(100, {2, 2, false}));
-  EXPECT_EQ(rule.state(), ConnectivityState::kConnected);
-  EXPECT_TRUE(rule.update(200, {10, 4, false}));
-  EXPECT_EQ(rule.state(), ConnectivityState::kPartitioned);
-  EXPECT_FALSE(rule.may_declare_failed());
-  EXPECT_FALSE(rule.update(300, {10, 10, false}));
-  EXPECT_FALSE(rule.update(900, {10, 6, false}));
-  EXPECT_TRUE(rule.update(1300, {10, 10, false}));
-  EXPECT_EQ(rule.state(), ConnectivityState::kDegraded) << "it was no better than that within the time";
-  EXPECT_TRUE(rule.update(1400, {10, 1, false}));
-  EXPECT_EQ(rule.state(), ConnectivityState::kIsolated);
+TEST(Connectivity, WorsensAtOnceAndRecoversAfterAHold) {
+  ConnectivityTracker tracker(1000);
+  EXPECT_EQ(tracker.state(), ConnectivityState::kIsolated);
+  EXPECT_TRUE(tracker.update(100, {2, 2, false}));
+  EXPECT_EQ(tracker.state(), ConnectivityState::kConnected);
+  EXPECT_TRUE(tracker.update(200, {10, 4, false}));
+  EXPECT_EQ(tracker.state(), ConnectivityState::kPartitioned);
+  EXPECT_FALSE(tracker.may_declare_failed());
+  EXPECT_FALSE(tracker.update(300, {10, 10, false}));
+  EXPECT_FALSE(tracker.update(900, {10, 6, false}));
+  EXPECT_TRUE(tracker.update(1300, {10, 10, false}));
+  EXPECT_EQ(tracker.state(), ConnectivityState::kDegraded) << "the worst sample within the hold counts";
+  EXPECT_TRUE(tracker.update(1400, {10, 1, false}));
+  EXPECT_EQ(tracker.state(), ConnectivityState::kIsolated);
 }
 
-TEST(Standing, TellsItsOwnFaultFromOthers) {
+TEST(Connectivity, ClassifiesReachabilitySamples) {
   EXPECT_EQ(ConnectivityTracker::classify({10, 10, true}), ConnectivityState::kDegraded);
   EXPECT_EQ(ConnectivityTracker::classify({10, 8, false}), ConnectivityState::kConnected);
   EXPECT_EQ(ConnectivityTracker::classify({8, 6, false}), ConnectivityState::kDegraded);
