--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -1,12 +1,11 @@
-// Limits on attempts by class and route, proved against the rules before they are used. Pure: no I/O, no
-// clock.
+// Limits on attempts by class and route, proved consistent before they take effect. Pure: no I/O, no clock.
 //
-// What is written (by class, and by the external processor's routes) becomes one immutable set of bounds,
-// which go with each request to the engine and the module; both still keep the site's own. All times are
-// closed intervals, and what must hold must hold for every value in them: the longest chain of attempts
-// against the client's patience and the key's lifetime, repeats against the class's right to them. What can't
-// be proved is refused with the setting, its place, the chain of events that would break the rule and the
-// nearest lawful value.
+// The limits of a file (by class, and by the external processor's routes) become one immutable set of bounds,
+// which go with each request to the engine and the admission module; both also keep the platform's own. Times
+// are closed intervals, and a rule has to hold for each value in them: the longest chain of attempts against
+// the client's deadline and the idempotency key's lifetime, retries against the class's idempotency. A limit
+// that can't be proved is rejected with its setting, its place, the chain of events that would break the rule
+// and the nearest valid value.
 #pragma once
 
 #include <cstddef>
@@ -31,21 +30,20 @@
   Ms min = 0, max = 0;
 };
 
-// What one entry says; what it does not say stays as its class, then the site, has it.
+// The limits of one class or route. A limit that it does not name is its class's, then the platform's.
 struct LimitEntry {
-  std::string class_name;      // the class's name
-  std::string route;           // method and path as written; empty: the class itself
+  std::string class_name;
+  std::string route;           // method and path as written; empty: the entry is for the class itself
   std::size_t rule_index = 0;  // a route's number among the rules
   int line = 0;
-  std::optional<SourceValue<double>> max_attempts;    // at most, the first included; whole
-  std::optional<SourceValue<Ms>> attempt_timeout_ms;  // one attempt is given up after it
-  std::optional<SourceValue<Ms>>
-      retry_window_ms;  // from a request's arrival: no further attempt is sent later
-  std::optional<SourceValue<bool>> hedging_allowed;  // whether one may go out while another is
+  std::optional<SourceValue<double>> max_attempts;    // a whole number, the first attempt included
+  std::optional<SourceValue<Ms>> attempt_timeout_ms;  // of one attempt, once it is connected
+  std::optional<SourceValue<Ms>> retry_window_ms;     // after a request's arrival no retry starts later
+  std::optional<SourceValue<bool>> hedging_allowed;   // whether two attempts may be in flight at once
   bool has_limits() const { return max_attempts || attempt_timeout_ms || retry_window_ms || hedging_allowed; }
 };
 
-// The file as it was read.
+// The limits of a settings file as read.
 struct LimitsFile {
   std::string file;
   Interval network_delay{0, 0};  // one way between gateway and host
@@ -54,7 +52,8 @@
   std::vector<LimitEntry> entries;
 };
 
-// What the platform's configuration says of classes, by number; a class of no name is withdrawn.
+// The platform's configuration, by class index; a withdrawn class has an empty name. `settings.classes` and
+// `class_names` have one length.
 struct PlatformTerms {
   std::vector<std::string> class_names;
   AdmissionSettings settings;
@@ -64,34 +63,33 @@
 struct LimitError {
   std::string file;
   int line = 0;
-  std::string setting;      // such as limits.class.NAME.send_until_ms
-  std::string description;  // one sentence, with the chain of events where there is one
-  std::string
-      nearest_valid;  // the nearest value that would be lawful, as it would be written; empty: none is
-  // FILE:LINE: SETTING: WHY; lawful: NEAREST
+  std::string setting;        // such as limits.class.NAME.send_until_ms
+  std::string description;    // one sentence, with the chain of events where there is one
+  std::string nearest_valid;  // the nearest valid value, as it would be written; empty: there is none
+  // FILE:LINE: SETTING: DESCRIPTION; lawful: NEAREST
   std::string to_text() const;
 };
 
-// Bounds by class number, and by entry for those that name a route. Never changed once made.
+// Immutable once proved.
 struct ProvenBounds {
-  std::vector<RequestBounds> by_class;
-  std::vector<RequestBounds> by_entry;  // as `Written::entries`
+  std::vector<RequestBounds> by_class;  // by class index
+  std::vector<RequestBounds> by_entry;  // as `LimitsFile::entries`; set for routes only
 };
 
-// Either bounds, or at least one refusal. `settings.classes` and `class_names` have one length.
+// Either bounds, or at least one error.
 struct ProofResult {
   ProvenBounds bounds;
   std::vector<LimitError> errors;
   bool valid() const { return errors.empty(); }
 };
-ProofResult prove(const LimitsFile& written, const PlatformTerms& site);
+ProofResult prove(const LimitsFile& file, const PlatformTerms& platform);
 
-// When the last of `attempts` may be sent, counted from the first one's send, and when the last has ended at
-// the latest: each before it takes up to the connect time-out and then its own. Without a time-out of
-// attempts an attempt may end at any time up to `unreachable_timeout_ms`.
+// The longest chain of attempts under these bounds, in ms from the first attempt's start.
 struct AttemptChain {
   Ms last_sent_ms = 0, last_ended_ms = 0;
 };
-AttemptChain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms patience);
+// Each attempt takes up to the connect timeout and then its own; one without a timeout may end at any time up
+// to `client_deadline`.
+AttemptChain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms client_deadline);
 
 }  // namespace cometfold::limits
--- /dev/null
+++ b/src/limits/error_text.h
@@ -0,0 +1,14 @@
+// Numbers and times in the words of limits' errors.
+#pragma once
+
+#include <string>
+
+#include "cometfold/admission_controller.h"
+
+namespace cometfold::limits {
+
+// Up to ten significant digits, no trailing zeros.
+std::string number_text(double value);
+std::string ms_text(Ms value);
+
+}  // namespace cometfold::limits
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -6,7 +6,7 @@
 #include <list>
 #include <memory>
 
-#include "ops/calls.h"
+#include "ops/operator_calls.h"
 
 namespace cometfold::net {
 
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -8,7 +8,7 @@
 #include "adapter/settings.h"
 #include "net/log.h"
 #include "net/request_log.h"
-#include "ops/figures.h"
+#include "ops/metrics.h"
 #include "ops/handover_state.h"
 
 namespace cometfold::net {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -12,7 +12,7 @@
 #include "membership/membership.h"
 #include "membership/wire.h"
 #include "net/clock.h"
-#include "ops/figures.h"
+#include "ops/metrics.h"
 
 namespace cometfold::net {
 
--- a/src/ops/handover_state.cpp
+++ b/src/ops/handover_state.cpp
@@ -3,6 +3,8 @@
 #include <algorithm>
 #include <boost/json.hpp>
 #include <cmath>
+#include <optional>
+#include <utility>
 #include <vector>
 
 namespace cometfold::ops {
@@ -12,178 +14,244 @@
 
 constexpr int kVersion = 1;
 
-std::uint32_t number_of(std::span<const std::string> names, std::string_view name) {
-  return static_cast<std::uint32_t>(std::find(names.begin(), names.end(), name) - names.begin());
-}
+// Keys of the JSON object. Customers, hosts and departed hosts are arrays, whose order the functions below
+// give.
+constexpr char kVersionKey[] = "version";
+constexpr char kAgeKey[] = "age_ms";
+constexpr char kClassNamesKey[] = "classes";
+constexpr char kPlanNamesKey[] = "plans";
+constexpr char kCustomersKey[] = "customers";
+constexpr char kHostsKey[] = "hosts";
+constexpr char kClassLatencyKey[] = "class_ms";
+constexpr char kUnloadedLatencyKey[] = "calm_ms";
+constexpr char kDepartedHostsKey[] = "departed";
 
-json::array words(std::span<const std::string> names) {
-  json::array all;
-  for (const auto& n : names) all.emplace_back(n);
-  return all;
+// Names the key that an error of the JSON library belongs to.
+template <class Decode>
+decltype(auto) decode_member(const char* key, Decode decode) {
+  try {
+    return decode();
+  } catch (const HandoverError&) {
+    throw;
+  } catch (const std::exception& error) {
+    throw HandoverError(key, error.what());
+  }
 }
 
-double number(const json::value& v) {
-  const double n = v.to_number<double>();
-  if (!std::isfinite(n)) throw HandoverError("a number that is none");
-  return n;
+double finite_number(const json::value& value) {
+  const double number = value.to_number<double>();
+  if (!std::isfinite(number)) throw std::range_error("a number is not finite");
+  return number;
 }
 
-json::value customer(const CustomerSnapshot& c) {
-  json::array children;
-  for (const double level : c.class_levels) children.emplace_back(level);
-  return json::array{c.id,
-                     c.plan_index,
-                     c.gateway_count,
-                     c.quota_level,
-                     c.undivided_quota_level,
-                     c.ceiling_level,
-                     c.demand,
-                     c.idle_ms,
-                     std::move(children),
-                     c.attempts_in_flight};
+json::array encode_names(std::span<const std::string> names) {
+  json::array encoded;
+  for (const auto& name : names) encoded.emplace_back(name);
+  return encoded;
 }
 
-// Numbers of the other process to those here; names that are not here to a number past the last.
-std::vector<std::uint32_t> translation(const json::value& theirs, std::span<const std::string> ours) {
-  std::vector<std::uint32_t> to;
-  for (const auto& name : theirs.as_array()) {
-    const std::string_view text = name.as_string();
-    to.push_back(text.empty() ? static_cast<std::uint32_t>(ours.size()) : number_of(ours, text));
+// From the predecessor's indices to those of `names`; names that are not there get an index past the last.
+std::vector<std::uint32_t> decode_names(const json::value& value, std::span<const std::string> names) {
+  std::vector<std::uint32_t> indices;
+  for (const auto& element : value.as_array()) {
+    const std::string_view name = element.as_string();
+    // An empty name is a withdrawn one.
+    const auto found = name.empty() ? names.end() : std::find(names.begin(), names.end(), name);
+    indices.push_back(static_cast<std::uint32_t>(found - names.begin()));
   }
-  return to;
-}
-
-CustomerSnapshot read_customer(const json::array& one, const std::vector<std::uint32_t>& plans,
-                               const std::vector<std::uint32_t>& classes, std::size_t our_classes) {
-  CustomerSnapshot c;
-  c.id = one.at(0).to_number<std::uint64_t>();
-  c.plan_index = plans.at(one.at(1).to_number<std::uint32_t>());
-  c.gateway_count = number(one.at(2));
-  c.quota_level = number(one.at(3));
-  c.undivided_quota_level = number(one.at(4));
-  c.ceiling_level = number(one.at(5));
-  c.demand = number(one.at(6));
-  c.idle_ms = number(one.at(7));
-  const auto& levels = one.at(8).as_array();
-  c.class_levels.assign(our_classes, c.quota_level);  // a class that is new here: what its parent could give
+  return indices;
+}
+
+json::value encode_customer(const CustomerSnapshot& customer) {
+  json::array class_levels;
+  for (const double level : customer.class_levels) class_levels.emplace_back(level);
+  return json::array{customer.id,
+                     customer.plan_index,
+                     customer.gateway_count,
+                     customer.quota_level,
+                     customer.undivided_quota_level,
+                     customer.ceiling_level,
+                     customer.demand,
+                     customer.idle_ms,
+                     std::move(class_levels),
+                     customer.attempts_in_flight};
+}
+
+// `plans` and `classes` lead from the predecessor's indices to those here.
+CustomerSnapshot decode_customer(const json::array& fields, const std::vector<std::uint32_t>& plans,
+                                 const std::vector<std::uint32_t>& classes, std::size_t class_count) {
+  constexpr std::size_t kFieldsWithoutAttempts = 9;  // as processes before design note 0004 send them
+  CustomerSnapshot customer;
+  customer.id = fields.at(0).to_number<std::uint64_t>();
+  customer.plan_index = plans.at(fields.at(1).to_number<std::uint32_t>());
+  customer.gateway_count = finite_number(fields.at(2));
+  customer.quota_level = finite_number(fields.at(3));
+  customer.undivided_quota_level = finite_number(fields.at(4));
+  customer.ceiling_level = finite_number(fields.at(5));
+  customer.demand = finite_number(fields.at(6));
+  customer.idle_ms = finite_number(fields.at(7));
+  const auto& levels = fields.at(8).as_array();
+  // A class that the predecessor does not have starts with what its customer's quota could lend it.
+  customer.class_levels.assign(class_count, customer.quota_level);
   for (std::size_t i = 0; i < levels.size(); ++i) {
-    if (classes.at(i) < our_classes) c.class_levels[classes[i]] = number(levels[i]);
+    if (classes.at(i) < class_count) customer.class_levels[classes[i]] = finite_number(levels[i]);
   }
-  if (one.size() > 9) c.attempts_in_flight = number(one[9]);  // not from processes before 0004
-  return c;
-}
-
-json::value host(const HostSnapshot& h) {
-  return json::array{h.id,
-                     h.uptime_ms,
-                     h.relative_latency,
-                     h.failure_rate,
-                     h.reported_load,
-                     h.proven_rate,
-                     h.ejection_remaining_ms};
-}
-
-HostSnapshot read_host(const json::array& one) {
-  return {one.at(0).to_number<HostId>(),
-          number(one.at(1)),
-          number(one.at(2)),
-          number(one.at(3)),
-          number(one.at(4)),
-          number(one.at(5)),
-          number(one.at(6))};
-}
-
-json::array departed(std::span<const DepartedHost> hosts) {
-  json::array all;
-  for (const auto& h : hosts) {
-    all.push_back(json::array{h.id, h.boot_unix_ms ? json::value(*h.boot_unix_ms) : json::value()});
+  if (fields.size() > kFieldsWithoutAttempts) customer.attempts_in_flight = finite_number(fields[9]);
+  return customer;
+}
+
+std::vector<CustomerSnapshot> decode_customers(const json::value& value,
+                                               const std::vector<std::uint32_t>& plans,
+                                               const std::vector<std::uint32_t>& classes,
+                                               const HandoverNames& names) {
+  std::vector<CustomerSnapshot> customers;
+  for (const auto& element : value.as_array()) {
+    auto customer = decode_customer(element.as_array(), plans, classes, names.classes.size());
+    if (customer.plan_index < names.plans.size()) customers.push_back(std::move(customer));
   }
-  return all;
-}
-
-// Processes before 0011 say nothing of them.
-std::vector<DepartedHost> read_departed(const json::object& o) {
-  std::vector<DepartedHost> all;
-  const auto* hosts = o.if_contains("departed");
-  if (!hosts) return all;
-  for (const auto& one : hosts->as_array()) {
-    const auto& boot_ms = one.at(1);
-    all.push_back(
-        {one.at(0).to_number<HostId>(), boot_ms.is_null() ? std::nullopt : std::optional(number(boot_ms))});
+  return customers;
+}
+
+json::value encode_host(const HostSnapshot& host) {
+  return json::array{host.id,
+                     host.uptime_ms,
+                     host.relative_latency,
+                     host.failure_rate,
+                     host.reported_load,
+                     host.proven_rate,
+                     host.ejection_remaining_ms};
+}
+
+HostSnapshot decode_host(const json::array& fields) {
+  HostSnapshot host;
+  host.id = fields.at(0).to_number<HostId>();
+  host.uptime_ms = finite_number(fields.at(1));
+  host.relative_latency = finite_number(fields.at(2));
+  host.failure_rate = finite_number(fields.at(3));
+  host.reported_load = finite_number(fields.at(4));
+  host.proven_rate = finite_number(fields.at(5));
+  host.ejection_remaining_ms = finite_number(fields.at(6));
+  return host;
+}
+
+std::vector<HostSnapshot> decode_hosts(const json::value& value) {
+  std::vector<HostSnapshot> hosts;
+  for (const auto& element : value.as_array()) hosts.push_back(decode_host(element.as_array()));
+  return hosts;
+}
+
+std::vector<Ms> decode_class_latency(const json::value& value, const std::vector<std::uint32_t>& classes,
+                                     std::size_t class_count) {
+  std::vector<Ms> latency(class_count, 0);
+  const auto& values = value.as_array();
+  for (std::size_t i = 0; i < values.size(); ++i) {
+    if (classes.at(i) < class_count) latency[classes[i]] = finite_number(values[i]);
   }
-  return all;
-}
-
-// What is known of hosts and classes. Processes before 0004 say nothing of it.
-void read_knowledge(const json::object& o, const std::vector<std::uint32_t>& classes, std::size_t our_classes,
-                    HandoverSnapshot& state) {
-  const auto* hosts = o.if_contains("hosts");
-  if (!hosts) return;
-  for (const auto& one : hosts->as_array()) state.hosts.push_back(read_host(one.as_array()));
-  state.class_latency_ms.assign(our_classes, 0);
-  const auto& took = o.at("class_ms").as_array();
-  for (std::size_t i = 0; i < took.size(); ++i) {
-    if (classes.at(i) < our_classes) state.class_latency_ms[classes[i]] = number(took[i]);
+  return latency;
+}
+
+json::value encode_departed_host(const DepartedHost& host) {
+  return json::array{host.id, host.boot_unix_ms ? json::value(*host.boot_unix_ms) : json::value()};
+}
+
+std::vector<DepartedHost> decode_departed_hosts(const json::value& value) {
+  std::vector<DepartedHost> hosts;
+  for (const auto& element : value.as_array()) {
+    DepartedHost host;
+    host.id = element.at(0).to_number<HostId>();
+    if (!element.at(1).is_null()) host.boot_unix_ms = finite_number(element.at(1));
+    hosts.push_back(host);
+  }
+  return hosts;
+}
+
+// At most kMaxHandedCustomers of them.
+std::vector<const CustomerSnapshot*> select_customers(std::span<const CustomerSnapshot> customers,
+                                                      std::span<const PlanSettings> plans) {
+  std::vector<const CustomerSnapshot*> selected;
+  for (const auto& customer : customers) selected.push_back(&customer);
+  if (selected.size() <= kMaxHandedCustomers) return selected;
+  const auto rank = [&](const CustomerSnapshot* customer) {
+    const bool has_ceiling =
+        customer->plan_index < plans.size() && plans[customer->plan_index].ceiling_rate > 0;
+    return std::pair(has_ceiling ? 0 : 1, customer->idle_ms);
+  };
+  std::sort(selected.begin(), selected.end(),
+            [&](const auto* one, const auto* other) { return rank(one) < rank(other); });
+  selected.resize(kMaxHandedCustomers);
+  return selected;
+}
+
+template <class Item>
+json::array encode_items(std::span<const Item> items, json::value (*encode)(const Item&)) {
+  json::array encoded;
+  for (const Item& item : items) encoded.push_back(encode(item));
+  return encoded;
+}
+
+HandoverSnapshot decode_object(const json::object& object, const HandoverNames& names) {
+  const auto classes =
+      decode_member(kClassNamesKey, [&] { return decode_names(object.at(kClassNamesKey), names.classes); });
+  const auto plans =
+      decode_member(kPlanNamesKey, [&] { return decode_names(object.at(kPlanNamesKey), names.plans); });
+  HandoverSnapshot state;
+  state.age_ms = decode_member(kAgeKey, [&] { return finite_number(object.at(kAgeKey)); });
+  state.customers = decode_member(
+      kCustomersKey, [&] { return decode_customers(object.at(kCustomersKey), plans, classes, names); });
+  // Processes before design note 0004 send neither hosts nor latencies, those before 0011 no departed hosts.
+  if (const auto* hosts = object.if_contains(kHostsKey)) {
+    state.hosts = decode_member(kHostsKey, [&] { return decode_hosts(*hosts); });
+    state.class_latency_ms = decode_member(kClassLatencyKey, [&] {
+      return decode_class_latency(object.at(kClassLatencyKey), classes, names.classes.size());
+    });
+    state.unloaded_latency_ms =
+        decode_member(kUnloadedLatencyKey, [&] { return finite_number(object.at(kUnloadedLatencyKey)); });
+  }
+  if (const auto* departed = object.if_contains(kDepartedHostsKey)) {
+    state.departed_hosts = decode_member(kDepartedHostsKey, [&] { return decode_departed_hosts(*departed); });
   }
-  state.unloaded_latency_ms = number(o.at("calm_ms"));
+  return state;
 }
 
 }  // namespace
 
+HandoverError::HandoverError(std::string key, std::string problem)
+    : std::runtime_error(key.empty() ? "hand-over state: " + problem
+                                     : "hand-over state: " + key + ": " + problem),
+      key_(std::move(key)),
+      problem_(std::move(problem)) {}
+
 std::string encode_handover(const HandoverSnapshot& state, const HandoverNames& names,
                             std::span<const PlanSettings> plans) {
-  std::vector<const CustomerSnapshot*> order;
-  for (const auto& c : state.customers) order.push_back(&c);
-  const auto rank = [&](const CustomerSnapshot* c) {
-    return std::pair(c->plan_index < plans.size() && plans[c->plan_index].ceiling_rate > 0 ? 0 : 1,
-                     c->idle_ms);
-  };
-  // Danger: one left out would be taken for new, and have a ceiling that is full. Told that the gateway is
-  // young, the other starts the ceilings of those it does not know empty.
-  const Ms age = order.size() > kMaxHandedCustomers ? 0 : state.age_ms;
-  if (order.size() > kMaxHandedCustomers) {
-    std::sort(order.begin(), order.end(), [&](auto* a, auto* b) { return rank(a) < rank(b); });
-    order.resize(kMaxHandedCustomers);
-  }
+  // The successor takes a customer that is left out for a new one, whose ceiling is full. If the gateway
+  // claims to have just started, the successor starts the ceilings of unknown customers empty instead.
+  const bool all = state.customers.size() <= kMaxHandedCustomers;
   json::array customers;
-  for (const auto* c : order) customers.push_back(customer(*c));
-  json::array hosts, took;
-  for (std::size_t i = 0; i < std::min(state.hosts.size(), kMaxHandedCustomers); ++i) {
-    hosts.push_back(host(state.hosts[i]));
+  for (const auto* customer : select_customers(state.customers, plans)) {
+    customers.push_back(encode_customer(*customer));
   }
-  for (const Ms ms : state.class_latency_ms) took.emplace_back(ms);
-  return json::serialize(json::object{{"version", kVersion},
-                                      {"age_ms", age},
-                                      {"classes", words(names.classes)},
-                                      {"plans", words(names.plans)},
-                                      {"customers", std::move(customers)},
-                                      {"hosts", std::move(hosts)},
-                                      {"class_ms", std::move(took)},
-                                      {"calm_ms", state.unloaded_latency_ms},
-                                      {"departed", departed(state.departed_hosts)}});
+  const std::span all_hosts(state.hosts);
+  const auto hosts = all_hosts.first(std::min(all_hosts.size(), kMaxHandedCustomers));
+  json::array class_latency;
+  for (const Ms latency : state.class_latency_ms) class_latency.emplace_back(latency);
+  return json::serialize(json::object{
+      {kVersionKey, kVersion},
+      {kAgeKey, all ? state.age_ms : 0},
+      {kClassNamesKey, encode_names(names.classes)},
+      {kPlanNamesKey, encode_names(names.plans)},
+      {kCustomersKey, std::move(customers)},
+      {kHostsKey, encode_items<HostSnapshot>(hosts, encode_host)},
+      {kClassLatencyKey, std::move(class_latency)},
+      {kUnloadedLatencyKey, state.unloaded_latency_ms},
+      {kDepartedHostsKey, encode_items<DepartedHost>(state.departed_hosts, encode_departed_host)}});
 }
 
 HandoverSnapshot decode_handover(std::string_view text, const HandoverNames& names) {
-  try {
-    const auto value = json::parse(text);
-    const auto& o = value.as_object();
-    if (o.at("version").to_number<int>() != kVersion) throw HandoverError("a state of another version");
-    HandoverSnapshot state;
-    state.age_ms = number(o.at("age_ms"));
-    const auto classes = translation(o.at("classes"), names.classes);
-    const auto plans = translation(o.at("plans"), names.plans);
-    for (const auto& one : o.at("customers").as_array()) {
-      auto c = read_customer(one.as_array(), plans, classes, names.classes.size());
-      if (c.plan_index < names.plans.size()) state.customers.push_back(std::move(c));
-    }
-    read_knowledge(o, classes, names.classes.size(), state);
-    state.departed_hosts = read_departed(o);
-    return state;
-  } catch (const HandoverError&) {
-    throw;
-  } catch (const std::exception& error) {
-    throw HandoverError(std::string("not a state: ") + error.what());
-  }
+  const auto value = decode_member("", [&] { return json::parse(text); });
+  const auto& object = decode_member("", [&]() -> const json::object& { return value.as_object(); });
+  const int version = decode_member(kVersionKey, [&] { return object.at(kVersionKey).to_number<int>(); });
+  if (version != kVersion) throw HandoverError(kVersionKey, "is " + std::to_string(version) + ", not 1");
+  return decode_object(object, names);
 }
 
 }  // namespace cometfold::ops
--- a/src/ops/handover_state.h
+++ b/src/ops/handover_state.h
@@ -1,4 +1,4 @@
-// What one process hands to the one that takes its place, as text. Pure.
+// The state that a process hands over to its successor, as one line of JSON. Pure.
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,32 @@
 
 namespace cometfold::ops {
 
-struct HandoverError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+// A text is no hand-over state of this version.
+class HandoverError : public std::runtime_error {
+ public:
+  // `key` is the member of the JSON object that is wrong, empty if the whole is.
+  HandoverError(std::string key, std::string problem);
+
+  const std::string& key() const { return key_; }
+  const std::string& problem() const { return problem_; }
+
+ private:
+  std::string key_, problem_;
 };
 
-// The two processes may have numbered classes and plans differently, so names go along.
+// Names of classes and plans by index. Two processes may number them differently, so the text holds names.
 struct HandoverNames {
   std::span<const std::string> classes, plans;
 };
 
-constexpr std::size_t kMaxHandedCustomers = 20'000;  // customers; those with a ceiling to keep go first
+// Further customers are left out; those with a ceiling go first, then the most recently active.
+constexpr std::size_t kMaxHandedCustomers = 20'000;
 constexpr std::size_t kMaxHandoverBytes = 8 * 1024 * 1024;  // of the text
 
-// One line of JSON without its end.
+// Without a line feed. `plans` by index.
 std::string encode_handover(const HandoverSnapshot& state, const HandoverNames& names,
                             std::span<const PlanSettings> plans);
-// In the numbers of `names`. Customers of a plan that is not there are left out. Throws HandoverError on
-// anything that is not a state of this version.
+// By the indices of `names`. Customers of unknown plans are left out. Throws HandoverError.
 HandoverSnapshot decode_handover(std::string_view text, const HandoverNames& names);
 
 }  // namespace cometfold::ops
--- a/src/settings/numbering.h
+++ b/src/settings/numbering.h
@@ -1,9 +1,10 @@
-// Numbers of classes and plans across new settings. Pure.
+// Indices of classes and plans that stay stable across reloaded settings. Pure.
 //
-// The module and all that is in flight know classes and plans by number. New settings name them anew, in any
-// order; here each name keeps its number, so that nothing under way has to be renumbered.
+// The admission module and all requests in flight refer to classes and plans by index. Reloaded settings list
+// them anew, in any order; here each name keeps its index, so that nothing in flight has to be renumbered.
 #pragma once
 
+#include <cstddef>
 #include <stdexcept>
 #include <string>
 #include <vector>
@@ -12,23 +13,33 @@
 
 namespace cometfold::settings {
 
+// Of classes, and of plans; withdrawn ones included.
+inline constexpr std::size_t kMaxNames = 1024;
+
 struct NumberedSettings {
-  // Names by number; an empty one is withdrawn, and only requests under way still use it.
+  // Names by index. An empty name is withdrawn: only requests in flight still use it.
   std::vector<std::string> classes, plans;
   AdmissionSettings settings;
 };
 
-struct TooManyNamesError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+// Settings have been reloaded with more new names than fit. The remedy is a restart, which forgets withdrawn
+// ones.
+class TooManyNamesError : public std::runtime_error {
+ public:
+  // `kind`: classes or plans.
+  explicit TooManyNamesError(std::string kind);
+  const std::string& kind() const { return kind_; }
+
+ private:
+  std::string kind_;
 };
 
-// `fresh` in the numbers of `before`. A class of the same name that may be repeated in another way is another
-// class, as what has been sent under the old one was sent under the old right. Withdrawn ones that come back
-// as they were get their number back. Throws TooMany above 1,024 classes or plans, withdrawn ones included.
-NumberedSettings renumber(const NumberedSettings& before, const NumberedSettings& fresh);
+// `reloaded` by the indices of `current`. A class of the same name with another kind of idempotency is a new
+// class: what is in flight was sent under the old one. A withdrawn entry that returns unchanged gets its
+// index back. Throws TooManyNamesError.
+NumberedSettings renumber(const NumberedSettings& current, const NumberedSettings& reloaded);
 
-// Names that are not there yet are added behind. At most 1,024 altogether; more are left out, and so are
-// unknown.
-void extend_names(std::vector<std::string>& names, const std::vector<std::string>& fresh);
+// Appends the names that are not there yet, up to kMaxNames altogether; further ones are left out.
+void extend_names(std::vector<std::string>& names, const std::vector<std::string>& added);
 
 }  // namespace cometfold::settings
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -3,8 +3,8 @@
 #include <vector>
 
 #include "net_support.h"
-#include "ops/calls.h"
-#include "ops/figures.h"
+#include "ops/operator_calls.h"
+#include "ops/metrics.h"
 #include "settings/numbering.h"
 
 namespace cometfold::net::testing {
