--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -33,7 +33,7 @@
   CLI::App app{"Asks running gateways, over their operators' listeners."};
   app.set_version_flag("--version", "cometfold-ctl " COMETFOLD_VERSION);
   app.require_subcommand(1);
-  auto* members = app.add_subcommand("members", "who is there, as one gateway sees it");
+  auto* members = app.add_subcommand("members", "the members of the cluster, as one gateway sees them");
   MembersOptions options;
   members->add_option("--at", options.address, "the gateway's operators' address, such as 127.0.0.1:9901")
       ->required();
--- a/src/membership/connectivity.h
+++ b/src/membership/connectivity.h
@@ -5,12 +5,12 @@
 //
 //   connected    Nearly all known members are reachable, directly or through another one. A member that is
 //   declared
-//                failed probably does not run or reaches nobody. Nothing is certain about the present state
+//                failed probably does not run or reaches no other. Nothing is certain about the present state
 //                of other members.
 //   degraded     A quarter or more are unreachable, or this process was itself paused or starved of late, or
 //                another process has its name. Silent members probably fail, but part of the silence may be
 //                this process's own.
-//   partitioned  Less than half are reachable. This gateway declares nobody failed: silent members stay
+//   partitioned  Less than half are reachable. This gateway declares no member failed: silent members stay
 //   suspects,
 //                and after a long time are excluded from its own view alone. Others have probably declared
 //                this one failed, so its incarnation may be over, and rights given to it may have been taken
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -32,8 +32,8 @@
   bool reachable = true;          // directly or through another member, as last evaluated
   Ms unreachable_since = kUnset;
   Ms quorum_since = kUnset;  // since when a quorum suspects it
-  // It was unreachable for too long while this gateway was partitioned: it no longer counts here. Other
-  // gateways are not told so.
+  // It was unreachable for too long while this gateway was partitioned: it no longer counts here. This
+  // is not sent to other gateways.
   bool excluded_locally = false;
   MemberState state = MemberState::kAlive;  // as last reported
   Ms state_since = 0;
--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -10,9 +10,9 @@
 
 class NameConflict {
  public:
-  // The other process was heard of. True if it was not known at this address.
+  // A record of the other process arrived. Returns whether it was not known at this address.
   bool observe(Ms now, const std::string& address, std::uint64_t incarnation);
-  // Whether this process has the name and has not heard of the other one for a while.
+  // Whether this process has the name and no record of the other one arrived for a while.
   bool is_over(Ms now) const;
   void clear() { address_.clear(); }
 
--- a/src/membership/record.h
+++ b/src/membership/record.h
@@ -15,7 +15,7 @@
 enum class MemberStatus : std::uint8_t { kAlive, kFailed, kLeft };
 
 // A member is identified by its name. Each time that a process joins under a name it takes a higher
-// incarnation than all before; `process_nonce` tells processes apart that took the same one.
+// incarnation than all before; `process_nonce` distinguishes processes that took the same one.
 struct MemberRecord {
   std::string name;     // 1 to 64 bytes
   std::string address;  // IP and port at which other members reach it
--- a/src/membership/record_merger.cpp
+++ b/src/membership/record_merger.cpp
@@ -70,8 +70,9 @@
          !mutant(Mutant::kTrustsSecondHandRecords);
 }
 
-// A copy that another gateway merely stores readmits nobody: that gateway has to reach the member itself. One
-// that counts the member because this gateway, an observer in its eyes, does not suspect it gets a suspicion.
+// A copy that another gateway merely stores does not readmit a member: that gateway has to reach it itself.
+// One that counts the member because this gateway, an observer in its eyes, does not suspect it gets a
+// suspicion.
 void RecordMerger::merge_excluded(Ms now, Member& member, const MemberRecord& record) {
   const bool reached_by_sender = record.age_ms <= 0 || mutant(Mutant::kTrustsSecondHandRecords);
   if (reached_by_sender && same_incarnation(record, member.record)) {
--- a/src/membership/rejoiner.h
+++ b/src/membership/rejoiner.h
@@ -20,7 +20,7 @@
            AntiEntropy& anti_entropy, Outbox& outbox, std::vector<std::string> seeds);
 
   void start(Ms now);
-  // To be called at each tick. `isolated`: this gateway reaches nobody.
+  // To be called at each tick. `isolated`: this gateway reaches no other member.
   void tick(Ms now, bool isolated);
   // Contacts seeds at each tick for a while, where this gateway is isolated.
   void hurry();
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -175,20 +175,15 @@
   return bytes;
 }
 
-std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& error) {
+DecodeResult decode(std::string_view datagram, std::string_view cluster) {
   std::string_view body;
-  error = unframe(datagram, body);
-  if (error != DecodeError::kNone) return std::nullopt;
+  const DecodeError frame_error = unframe(datagram, body);
+  if (frame_error != DecodeError::kNone) return {std::nullopt, frame_error};
   pb::Datagram parsed;
-  if (!parsed.ParseFromArray(body.data(), static_cast<int>(body.size()))) {
-    error = DecodeError::kMalformed;
-  } else if (parsed.cluster() != cluster) {
-    error = DecodeError::kForeign;
-  } else if (!is_valid(parsed)) {
-    error = DecodeError::kMalformed;
-  }
-  if (error != DecodeError::kNone) return std::nullopt;
-  return decode_message(parsed);
+  const bool is_parsed = parsed.ParseFromArray(body.data(), static_cast<int>(body.size()));
+  if (is_parsed && parsed.cluster() != cluster) return {std::nullopt, DecodeError::kForeign};
+  if (!is_parsed || !is_valid(parsed)) return {std::nullopt, DecodeError::kMalformed};
+  return {decode_message(parsed), DecodeError::kNone};
 }
 
 }  // namespace cometfold::membership
--- a/src/membership/wire.h
+++ b/src/membership/wire.h
@@ -31,8 +31,14 @@
 // `cluster` is the name of the sender's cluster, which the receiver's has to equal.
 std::string encode(const Message& message, std::string_view cluster);
 
-// Nothing, with the reason in `error`, if the datagram is no message of this cluster. Records and suspicions
-// that exceed a bound are left out; they do not spoil the others.
-std::optional<Message> decode(std::string_view datagram, std::string_view cluster, DecodeError& error);
+// A message, or the reason why there is none.
+struct DecodeResult {
+  std::optional<Message> message;
+  DecodeError error = DecodeError::kNone;
+};
+
+// `cluster` is the name of the receiver's cluster. Records and suspicions that exceed a bound are left out;
+// they do not spoil the others.
+DecodeResult decode(std::string_view datagram, std::string_view cluster);
 
 }  // namespace cometfold::membership
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -8,8 +8,8 @@
 #include "adapter/settings.h"
 #include "net/log.h"
 #include "net/request_log.h"
-#include "ops/metrics.h"
 #include "ops/handover_state.h"
+#include "ops/metrics.h"
 
 namespace cometfold::net {
 namespace asio = boost::asio;
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -131,8 +131,7 @@
     if (error) break;
     ++traffic_.in;
     traffic_.bytes_in += size;
-    membership::DecodeError why;
-    const auto message = membership::decode({buffer_.data(), size}, settings_.cluster, why);
+    const auto [message, why] = membership::decode({buffer_.data(), size}, settings_.cluster);
     if (message) membership_.receive(clock_.now(), *message);
     traffic_.foreign += why == membership::DecodeError::kForeign;
     traffic_.version += why == membership::DecodeError::kVersionMismatch;
--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -34,10 +34,9 @@
 }
 
 void check_output(Membership& member) {
-  DecodeError error;
   for (const auto& outgoing : member.take_messages()) {
     const std::string datagram = encode(outgoing.message, "fuzz");
-    if (datagram.size() > kMaxDatagramBytes || !decode(datagram, "fuzz", error)) std::abort();
+    if (datagram.size() > kMaxDatagramBytes || !decode(datagram, "fuzz").message) std::abort();
   }
 }
 
@@ -61,9 +60,8 @@
     data += kHeaderBytes + length;
     size -= kHeaderBytes + length;
     now += (flags & kPauseFlag) != 0 ? kPauseMs : kStepMs;
-    DecodeError error;
     const std::string datagram = (flags & kRawFlag) != 0 ? body : framed(body);
-    if (const auto message = decode(datagram, "fuzz", error)) member.receive(now, *message);
+    if (const auto message = decode(datagram, "fuzz").message) member.receive(now, *message);
     while (member.next_tick() <= now) member.tick(now);
     member.take_events();
     check_output(member);
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,9 +1,11 @@
-// Limits on attempts: what is lawful, what is refused and with which words, and that the module keeps them.
+// Limits on attempts: which are valid, which are rejected with which text, and that the admission module
+// enforces them.
 #include <gtest/gtest.h>
 #include <unistd.h>
 
 #include <filesystem>
 #include <fstream>
+#include <functional>
 #include <random>
 #include <string>
 
@@ -18,41 +20,42 @@
 
 using limits::AttemptChain;
 
-// A shop's classes: lookups are safe, holds have keys that all hosts know for 25 s, orders must not be
-// repeated, and baskets have keys that only their host knows.
+// A shop's classes: lookups are idempotent, holds have idempotency keys that all hosts share for 25 s, orders
+// are not idempotent, and baskets have keys that only their host knows.
 limits::PlatformTerms shop() {
-  limits::PlatformTerms site;
-  site.class_names = {"lookup", "hold", "order", "basket"};
-  site.settings = plain_settings(4);
-  site.settings.classes = {{1500, 4000, 2, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
-                           {2500, 12'000, 6, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 25'000},
-                           {1500, 4000, 2, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0},
-                           {1500, 4000, 2, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kNone, 25'000}};
-  site.settings.max_attempts = 4;
-  site.connect_timeout_ms = 250;
-  return site;
+  limits::PlatformTerms platform;
+  platform.class_names = {"lookup", "hold", "order", "basket"};
+  platform.settings = plain_settings(4);
+  platform.settings.classes = {
+      {1500, 4000, 2, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+      {2500, 12'000, 6, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kAll, 25'000},
+      {1500, 4000, 2, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0},
+      {1500, 4000, 2, 0, Idempotency::kIdempotencyKey, IdempotencyScope::kNone, 25'000}};
+  platform.settings.max_attempts = 4;
+  platform.connect_timeout_ms = 250;
+  return platform;
 }
 
-// What is said of a settings file for that shop, without the file's name; empty if it is lawful.
-std::string verdict(const std::string& text, const limits::PlatformTerms& site = shop()) {
+// The errors of a settings file, one a line, without the file's name; empty if it is valid.
+std::string errors_of(const std::string& text, const limits::PlatformTerms& platform = shop()) {
   const auto path =
       std::filesystem::temp_directory_path() / (std::to_string(::getpid()) + "-cometfold-limits.toml");
   std::ofstream(path) << text;
-  std::string all;
+  std::string errors;
   try {
-    const auto own = net::read_own_settings(path);
-    for (const auto& r : limits::prove(own.limits, site).errors) {
-      all += r.to_text().substr(path.string().size() + 1) + "\n";
+    const auto own_settings = net::read_own_settings(path);
+    for (const auto& error : limits::prove(own_settings.limits, platform).errors) {
+      errors += error.to_text().substr(path.string().size() + 1) + "\n";
     }
   } catch (const net::OwnSettingsError& error) {
-    all = std::string(error.what()).substr(path.string().size() + 1) + "\n";
+    errors = std::string(error.what()).substr(path.string().size() + 1) + "\n";
   }
   std::filesystem::remove(path);
-  return all;
+  return errors;
 }
 
-TEST(Limits, LawfulFilesAreTaken) {
-  const char* const kLawful[] = {
+TEST(Limits, ValidFilesAreAccepted) {
+  const char* const kValid[] = {
       "",
       "[limits]\n",
       "[limits.class.lookup]\n",
@@ -81,15 +84,15 @@
       "[limits.class.lookup]\nattempt_ms = 700\n[[extproc.rule]]\nclass = \"lookup\"\nattempt_ms = 600\n",
       "[[extproc.rule]]\nclass = \"lookup\"\nsecond_copies = false\n",
   };
-  for (const auto* text : kLawful) EXPECT_EQ(verdict(text), "") << text;
+  for (const auto* text : kValid) EXPECT_EQ(errors_of(text), "") << text;
 }
 
-// One cause each, with its place, what would happen and the nearest lawful value.
-TEST(Limits, EachUnlawfulFileIsRefusedForItsReason) {
+// One error each, with its place, what would happen and the nearest valid value.
+TEST(Limits, EachInvalidFileIsRejectedWithItsReason) {
   const struct {
     const char* text;
-    const char* said;
-  } kUnlawful[] = {
+    const char* error;
+  } kInvalid[] = {
       {"[limits.class.lookup]\nattempts = 0\n",
        "2: limits.class.lookup.attempts: is 0, not a whole number from 1 to 64; lawful: 1"},
       {"[limits.class.lookup]\nattempts = -2\n", "2: limits.class.lookup.attempts: is -2, not a whole"},
@@ -120,7 +123,7 @@
        "that takes up to 250 ms, attempt 4 is sent at 3750 ms; the answer is with the client at 5000 ms, "
        "which has "
        "left at 4000 ms; lawful: 750 ms"},
-      // Only the longest way makes it too long.
+      // Only the longest network delay makes it too long.
       {"[limits.class.lookup]\nattempt_ms = 750\n[limits]\nnetwork_ms = [0, 1]\n",
        "is with the client at 4001 ms, which has left at 4000 ms; lawful: 749 ms"},
       {"[limits.class.lookup]\nattempt_ms = 50\n[limits]\nnetwork_ms = [25, 50]\n",
@@ -134,7 +137,7 @@
        "its class's keys are known to one host alone, and a second copy goes to another; lawful: false"},
       {"[limits.class.lookup]\nattempts = 1\nsecond_copies = true\n",
        "is true with one attempt, so it would never hold; lawful: false"},
-      // A repeat leaves the key's 25 s only after a slow first attempt and the longest way.
+      // A retry exceeds the key's 25 s only after a slow first attempt and the longest network delay.
       {"[limits.class.hold]\nattempts = 2\n[limits]\nnetwork_ms = [0, 13000]\nclock_error_ms = 5\n",
        "1: limits.class.hold.send_until_ms: attempt 1 is sent at 0 ms, each may end as late as its client "
        "waits, "
@@ -171,102 +174,136 @@
        "3: route *.second_copies: would run a request twice"},
       {"[[extproc.rule]]\npath = \"/a\"\nattempts = 2\n", "a rule that limits attempts must name its class"},
   };
-  for (const auto& file : kUnlawful) {
-    const auto said = verdict(file.text);
-    EXPECT_NE(said.find(file.said), std::string::npos) << file.text << "said: " << said;
-    EXPECT_EQ(std::count(said.begin(), said.end(), '\n'), 1) << file.text << said;
+  for (const auto& file : kInvalid) {
+    const auto errors = errors_of(file.text);
+    EXPECT_NE(errors.find(file.error), std::string::npos) << file.text << "errors: " << errors;
+    EXPECT_EQ(std::count(errors.begin(), errors.end(), '\n'), 1) << file.text << errors;
   }
 }
 
-TEST(Limits, WhereTheSiteAllowsNoSecondCopiesNoClassHasThem) {
-  auto site = shop();
-  site.settings.hedging_allowed = false;
-  EXPECT_EQ(verdict("[limits.class.lookup]\nsecond_copies = true\n", site),
+TEST(Limits, NoClassMayHedgeWhereThePlatformForbidsIt) {
+  auto platform = shop();
+  platform.settings.hedging_allowed = false;
+  EXPECT_EQ(errors_of("[limits.class.lookup]\nsecond_copies = true\n", platform),
             "2: limits.class.lookup.second_copies: is true where the site allows none; lawful: false\n");
 }
 
-// A route has what it says, and the rest from its class.
+// A route has its own limits, and the rest from its class.
 TEST(Limits, ARouteInheritsFromItsClass) {
-  limits::LimitsFile w;
-  limits::LimitEntry cls, route;
-  cls.class_name = route.class_name = "lookup";
-  cls.max_attempts = {3, 1}, cls.attempt_timeout_ms = {900, 2};
-  route.route = "GET /a", route.max_attempts = {2, 4};
-  w.entries = {route, cls};  // in any order
-  const auto v = limits::prove(w, shop());
-  ASSERT_TRUE(v.valid());
-  EXPECT_EQ(v.bounds.by_class[0].max_attempts, 3);
-  EXPECT_EQ(v.bounds.by_entry[0].max_attempts, 2);
-  EXPECT_EQ(v.bounds.by_entry[0].attempt_timeout_ms, 900);
-  EXPECT_TRUE(std::isinf(v.bounds.by_class[1].max_attempts));
+  limits::LimitEntry lookup;
+  lookup.class_name = "lookup";
+  lookup.max_attempts = {3, 1};
+  lookup.attempt_timeout_ms = {900, 2};
+  limits::LimitEntry route;
+  route.class_name = "lookup";
+  route.route = "GET /a";
+  route.max_attempts = {2, 4};
+  limits::LimitsFile file;
+  file.entries = {route, lookup};  // in any order
+  const auto proof = limits::prove(file, shop());
+  ASSERT_TRUE(proof.valid());
+  EXPECT_EQ(proof.bounds.by_class[0].max_attempts, 3);
+  EXPECT_EQ(proof.bounds.by_entry[0].max_attempts, 2);
+  EXPECT_EQ(proof.bounds.by_entry[0].attempt_timeout_ms, 900);
+  EXPECT_TRUE(std::isinf(proof.bounds.by_class[1].max_attempts));
 }
 
-// Intervals against runs: some thousand sets of bounds, each played with random and with the longest times.
-// What is lawful breaks nothing in any run; what is refused for its chain breaks it in the longest one; and
-// the lawful value that is named is taken.
-TEST(Limits, IntervalsAgreeWithRuns) {
+// One entry of a limits file with the platform that it is for.
+struct LimitCase {
+  limits::PlatformTerms platform = shop();
+  limits::LimitsFile file;
+  std::size_t class_index = 0;
+
+  const limits::LimitEntry& entry() const { return file.entries[0]; }
+  const ClassSettings& class_settings() const { return platform.settings.classes[class_index]; }
+};
+
+using Draw = std::function<double(double most)>;
+
+LimitCase draw_case(int number, std::mt19937_64& random, const Draw& draw) {
+  LimitCase drawn;
+  drawn.class_index = number % 2;
+  drawn.platform.connect_timeout_ms = draw(500);
+  drawn.file.network_delay = {0, draw(number % 4 < 2 ? 500 : 16'000)};
+  drawn.file.clock_error_ms = draw(50);
+  const Ms deadline = drawn.class_settings().deadline_ms;
+  const double attempts = 1 + draw(4);
+  limits::LimitEntry entry;
+  entry.class_name = drawn.platform.class_names[drawn.class_index];
+  entry.max_attempts = {attempts, 1};
+  if (random() % 4) entry.attempt_timeout_ms = {1 + draw(deadline / attempts), 2};
+  if (random() % 2) entry.retry_window_ms = {1 + draw(deadline), 3};
+  drawn.file.entries = {entry};
+  return drawn;
+}
+
+// Plays one chain of attempts, with the longest or with random times. Whether the client has its answer too
+// late, or a retry reaches a host that has forgotten the key.
+bool breaks_a_rule(const LimitCase& played, bool longest, const Draw& draw) {
+  const auto& entry = played.entry();
+  const auto& settings = played.class_settings();
+  const double attempts = entry.max_attempts->value;
+  const Ms window = entry.retry_window_ms ? entry.retry_window_ms->value : settings.deadline_ms;
+  const Ms last_retry_at = std::min(window, settings.deadline_ms);
+  const auto duration = [&](Ms most) { return longest ? most : draw(most + 1); };
+  Ms now = 0;
+  Ms last_sent = 0;
+  for (int attempt = 1; attempt <= attempts; ++attempt) {
+    if (attempt > 1 && now > last_retry_at) {
+      if (!longest) break;
+      // The latest valid retry: an earlier attempt ends just then.
+      now = last_retry_at;
+      attempt = static_cast<int>(attempts);
+    }
+    last_sent = now;
+    if (entry.attempt_timeout_ms) {
+      const Ms connecting = duration(played.platform.connect_timeout_ms);
+      now += connecting + duration(entry.attempt_timeout_ms->value);
+    } else {
+      now += duration(settings.deadline_ms);
+    }
+  }
+  const Ms network_delay = played.file.network_delay.max;
+  const bool late = entry.attempt_timeout_ms && now + network_delay > settings.deadline_ms;
+  const bool twice = settings.idempotency == Idempotency::kIdempotencyKey && attempts > 1 &&
+                     last_sent + network_delay + played.file.clock_error_ms > settings.idempotency_key_ttl_ms;
+  return late || twice;
+}
+
+// Some thousand entries: a valid one breaks no rule in any chain of attempts, one that is rejected breaks a
+// rule in the longest.
+TEST(Limits, ProofsAgreeWithSimulatedAttempts) {
   std::mt19937_64 random(23);
-  const auto draw = [&](double most) {
+  const Draw draw = [&](double most) {
     return std::floor(static_cast<double>(random() % 10'000) / 1e4 * most);
   };
-  int lawful = 0, refused = 0;
+  int valid = 0, rejected = 0;
   for (int i = 0; i < 4000; ++i) {
-    auto site = shop();
-    const std::size_t cls = i % 2;
-    site.connect_timeout_ms = draw(500);
-    limits::LimitsFile w;
-    w.network_delay = {0, draw(i % 4 < 2 ? 500 : 16'000)};
-    w.clock_error_ms = draw(50);
-    limits::LimitEntry e;
-    e.class_name = site.class_names[cls];
-    const double n = 1 + draw(4);
-    const auto& c = site.settings.classes[cls];
-    e.max_attempts = {n, 1};
-    if (random() % 4) e.attempt_timeout_ms = {1 + draw(c.deadline_ms / n), 2};
-    if (random() % 2) e.retry_window_ms = {1 + draw(c.deadline_ms), 3};
-    w.entries = {e};
-    const auto v = limits::prove(w, site);
-    // One run: whether the client has its answer too late, or a repeat comes to a host that has forgotten the
-    // key.
-    const auto breaks = [&](bool longest) {
-      Ms at = 0, last_sent = 0;
-      const auto some = [&](Ms most) { return longest ? most : draw(most + 1); };
-      for (int k = 1; k <= n; ++k) {
-        if (k > 1 &&
-            at > std::min(e.retry_window_ms ? e.retry_window_ms->value : c.deadline_ms, c.deadline_ms)) {
-          if (!longest) break;
-          // The latest that is still lawful: an earlier attempt ends just then.
-          at = std::min(e.retry_window_ms ? e.retry_window_ms->value : c.deadline_ms, c.deadline_ms);
-          k = static_cast<int>(n);
-        }
-        last_sent = at;
-        at += e.attempt_timeout_ms ? some(site.connect_timeout_ms) + some(e.attempt_timeout_ms->value)
-                                   : some(c.deadline_ms);
-      }
-      const bool late = e.attempt_timeout_ms && at + w.network_delay.max > c.deadline_ms;
-      const bool twice = c.idempotency == Idempotency::kIdempotencyKey && n > 1 &&
-                         last_sent + w.network_delay.max + w.clock_error_ms > c.idempotency_key_ttl_ms;
-      return late || twice;
-    };
-    if (v.valid()) {
-      ++lawful;
-      for (int run = 0; run < 20; ++run) EXPECT_FALSE(breaks(false)) << i;
-      EXPECT_FALSE(breaks(true)) << i;
+    const LimitCase drawn = draw_case(i, random, draw);
+    const auto proof = limits::prove(drawn.file, drawn.platform);
+    if (proof.valid()) {
+      ++valid;
+      for (int run = 0; run < 20; ++run) EXPECT_FALSE(breaks_a_rule(drawn, false, draw)) << i;
+      EXPECT_FALSE(breaks_a_rule(drawn, true, draw)) << i;
     } else {
-      ++refused;
-      EXPECT_TRUE(breaks(true)) << i << ": " << v.errors[0].to_text();
+      ++rejected;
+      EXPECT_TRUE(breaks_a_rule(drawn, true, draw)) << i << ": " << proof.errors[0].to_text();
     }
   }
-  EXPECT_GE(lawful, 500);
-  EXPECT_GE(refused, 500);
+  EXPECT_GE(valid, 500);
+  EXPECT_GE(rejected, 500);
 }
 
 // A request has its route's bounds if it is of the route's class, else its own class's.
-TEST(Limits, RequestsOfTheExternalProcessorCarryThem) {
+TEST(Limits, ExternalProcessorRequestsCarryTheirBounds) {
   extproc::Mapping mapping;
-  mapping.default_class = "lookup", mapping.default_plan = "team", mapping.default_customer = "c";
+  mapping.default_class = "lookup";
+  mapping.default_plan = "team";
+  mapping.default_customer = "c";
   extproc::Rule rule;
-  rule.path = "/a", rule.cls = "lookup", rule.bounds = RequestBounds{.max_attempts = 2};
+  rule.path = "/a";
+  rule.cls = "lookup";
+  rule.bounds = RequestBounds{.max_attempts = 2};
   mapping.rules.push_back(rule);
   extproc::Names names{{"lookup", "hold"}, {"team"}, plain_settings(2), {}};
   names.bounds = {{.max_attempts = 3}, {.max_attempts = 1}};
@@ -283,60 +320,61 @@
   EXPECT_EQ(attempts("/b", ""), 3);
 }
 
-// ---- the module keeps them ----
+// ---- The admission module enforces the bounds. ----
 
 Request bounded(RequestId id, RequestBounds bounds) {
-  Request q{.id = id, .customer = id, .expires_at = 4000, .units = 1, .gateway_count = 2};
-  q.bounds = bounds;
-  return q;
+  Request request{.id = id, .customer = id, .expires_at = 4000, .units = 1, .gateway_count = 2};
+  request.bounds = bounds;
+  return request;
 }
 
-TEST(Bounds, NoMoreAttemptsThanTheRequestHas) {
+TEST(Bounds, AttemptsStayWithinTheRequestsBound) {
   for (const double most : {1.0, 2.0, 9.0}) {
-    Gateway g(plain_settings());
-    g.control.on_request(0, bounded(1, {.max_attempts = most}), g.out);
+    Gateway gateway(plain_settings());
+    gateway.control.on_request(0, bounded(1, {.max_attempts = most}), gateway.out);
     int sent = 0;
-    while (const Act* a = g.out.of(Act::kSend, 1)) {
-      const HostId at = a->host;
-      g.out.take();
-      g.end(1, static_cast<std::uint32_t>(sent++), at, Outcome::kConnectFailed);
+    while (const Act* send = gateway.out.of(Act::kSend, 1)) {
+      const HostId host = send->host;
+      gateway.out.take();
+      gateway.end(1, static_cast<std::uint32_t>(sent), host, Outcome::kConnectFailed);
+      ++sent;
     }
-    EXPECT_EQ(sent, std::min(most, 4.0)) << "the site's four hold as well";
-    EXPECT_EQ(g.out.count(Act::kRefuse), 1u);
+    EXPECT_EQ(sent, std::min(most, 4.0)) << "the platform's four apply as well";
+    EXPECT_EQ(gateway.out.count(Act::kRefuse), 1u);
   }
 }
 
-TEST(Bounds, AnAttemptIsGivenUpAfterItsTime) {
-  Gateway g(plain_settings());
-  g.control.on_request(0, bounded(1, {.attempt_timeout_ms = 300}), g.out);
-  EXPECT_EQ(g.out.of(Act::kSend, 1)->value, 300);
-  g.control.on_request(0, bounded(2, {}), g.out);
-  EXPECT_EQ(g.out.of(Act::kSend, 2)->value, 0);
+TEST(Bounds, AnAttemptHasTheRequestsTimeout) {
+  Gateway gateway(plain_settings());
+  gateway.control.on_request(0, bounded(1, {.attempt_timeout_ms = 300}), gateway.out);
+  EXPECT_EQ(gateway.out.of(Act::kSend, 1)->value, 300);
+  gateway.control.on_request(0, bounded(2, {}), gateway.out);
+  EXPECT_EQ(gateway.out.of(Act::kSend, 2)->value, 0);
 }
 
-TEST(Bounds, NoFurtherAttemptAfterTheLastTime) {
+TEST(Bounds, NoRetryAfterTheRetryWindow) {
   for (const Ms at : {200.0, 201.0}) {
-    Gateway g(plain_settings());
-    g.control.on_request(0, bounded(1, {.retry_window_ms = 200}), g.out);
-    const HostId host = g.out.of(Act::kSend, 1)->host;
-    g.out.take();
-    g.now = at;
-    g.end(1, 0, host, Outcome::kConnectFailed);
-    EXPECT_EQ(g.out.of(Act::kSend, 1) != nullptr, at <= 200) << at;
+    Gateway gateway(plain_settings());
+    gateway.control.on_request(0, bounded(1, {.retry_window_ms = 200}), gateway.out);
+    const HostId host = gateway.out.of(Act::kSend, 1)->host;
+    gateway.out.take();
+    gateway.now = at;
+    gateway.end(1, 0, host, Outcome::kConnectFailed);
+    EXPECT_EQ(gateway.out.of(Act::kSend, 1) != nullptr, at <= 200) << at;
   }
 }
 
-// A request that lingers gets a second copy where it may have one; else, where it may have a further attempt
-// at all, the first is called off for it, and otherwise it stays.
-TEST(Bounds, SecondCopiesOnlyWhereTheRequestMayHaveThem) {
+// A request that takes long is hedged where it may be; else, where it may be retried at all, its first
+// attempt is cancelled for a retry, and otherwise that attempt stays.
+TEST(Bounds, HedgingOnlyWhereTheRequestAllowsIt) {
   const auto after_long = [](RequestBounds bounds) {
-    Gateway g(plain_settings());
-    g.fill(100, 40);
-    g.control.on_request(g.now, bounded(1, bounds), g.out);
-    g.out.take();
-    g.now += 700;
-    g.control.on_timer(g.now, 1, g.out);
-    return std::pair{g.out.count(Act::kSend), g.out.count(Act::kCancel)};
+    Gateway gateway(plain_settings());
+    gateway.fill(100, 40);
+    gateway.control.on_request(gateway.now, bounded(1, bounds), gateway.out);
+    gateway.out.take();
+    gateway.now += 700;
+    gateway.control.on_timer(gateway.now, 1, gateway.out);
+    return std::pair{gateway.out.count(Act::kSend), gateway.out.count(Act::kCancel)};
   };
   EXPECT_EQ(after_long({}), (std::pair<std::size_t, std::size_t>{1, 0}));
   EXPECT_EQ(after_long({.hedging_allowed = false}), (std::pair<std::size_t, std::size_t>{0, 1}));
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -9,36 +9,36 @@
 namespace {
 
 TEST(Membership, AllMembersDiscoverEachOther) {
-  for (const std::size_t n : {1, 2, 3, 5, 12, 48}) {
-    Cluster cluster(n);
+  for (const std::size_t count : {1, 2, 3, 5, 12, 48}) {
+    Cluster cluster(count);
     cluster.run(5000);
-    EXPECT_EQ(cluster.check_final_view(), Violations{}) << n;
+    EXPECT_EQ(cluster.check_final_view(), Violations{}) << count;
     EXPECT_EQ(cluster.new_incarnations, 0);
-    for (std::size_t i = 0; i < n; ++i) {
+    for (std::size_t i = 0; i < count; ++i) {
       EXPECT_EQ(cluster.connectivity(i),
-                n == 1 ? ConnectivityState::kIsolated : ConnectivityState::kConnected);
+                count == 1 ? ConnectivityState::kIsolated : ConnectivityState::kConnected);
       EXPECT_EQ(cluster.real(i).digest(), cluster.real(0).digest());
     }
   }
 }
 
 TEST(Membership, ACrashIsDetectedByAllWithinFourSecondsWithoutFalsePositives) {
-  for (const std::size_t n : {3, 4, 8, 48}) {
-    Cluster cluster(n);
+  for (const std::size_t count : {3, 4, 8, 48}) {
+    Cluster cluster(count);
     cluster.run(6000);
     const Ms crash = cluster.model.now();
-    cluster.model.kill(n - 1);
+    cluster.model.kill(count - 1);
     cluster.run(4000);
-    for (std::size_t i = 0; i + 1 < n; ++i) {
-      EXPECT_EQ(cluster.state(i, n - 1), MemberState::kFailed) << n << " at " << i;
-      EXPECT_GT(cluster.failed_at[n - 1][i], crash + 800);
+    for (std::size_t i = 0; i + 1 < count; ++i) {
+      EXPECT_EQ(cluster.state(i, count - 1), MemberState::kFailed) << count << " at " << i;
+      EXPECT_GT(cluster.failed_at[count - 1][i], crash + 800);
     }
     EXPECT_EQ(cluster.false_failures, 0);
     EXPECT_EQ(cluster.check_final_view(), Violations{});
   }
 }
 
-// One of two can't tell a crash from a cut: it says no more than that it is alone.
+// One of two members can't distinguish a crash from a partition: it declares nothing, and is isolated.
 TEST(Membership, OfTwoMembersTheSilentOneIsSuspectedAndThenExcluded) {
   Cluster cluster(2);
   cluster.run(5000);
@@ -179,15 +179,15 @@
 }
 
 TEST(Membership, ABrokenLinkBetweenTwoMembersFailsNeither) {
-  for (const std::size_t n : {3, 8, 24}) {
-    Cluster cluster(n);
+  for (const std::size_t count : {3, 8, 24}) {
+    Cluster cluster(count);
     cluster.run(5000);
-    cluster.model.is_blocked = [](std::size_t a, std::size_t b) { return a + b == 1; };
+    cluster.model.is_blocked = [](std::size_t from, std::size_t to) { return from + to == 1; };
     cluster.run(40'000);
-    EXPECT_EQ(cluster.false_failures, 0) << n;
+    EXPECT_EQ(cluster.false_failures, 0) << count;
     cluster.model.is_blocked = [](std::size_t, std::size_t) { return false; };
     cluster.run(10'000);
-    EXPECT_EQ(cluster.check_final_view(), Violations{}) << n;
+    EXPECT_EQ(cluster.check_final_view(), Violations{}) << count;
   }
 }
 
@@ -252,18 +252,18 @@
   cluster.run(20'000);
   cluster.model.links.loss = 0;
   cluster.run(40'000);
-  std::size_t riding = 0;
-  cluster.model.message_size = [&riding](const Message& m) {
-    return riding += m.records.size() + m.suspicions.size();
+  std::size_t gossiped = 0;
+  cluster.model.message_size = [&gossiped](const Message& m) {
+    return gossiped += m.records.size() + m.suspicions.size();
   };
   cluster.run(5000);
-  EXPECT_EQ(riding, 0U);
+  EXPECT_EQ(gossiped, 0U);
 }
 
 TEST(Membership, AFlappingMemberLeavesTheOthersConnected) {
   Cluster cluster(12);
   cluster.run(5000);
-  for (int n = 0; n < 8; ++n) {
+  for (int cycle = 0; cycle < 8; ++cycle) {
     cluster.partition({range(0, 11), {11}});
     cluster.run(3000);
     cluster.heal();
@@ -276,13 +276,13 @@
 }
 
 TEST(Membership, AMemberPausedBeyondTombstoneRetentionTakesANewIncarnationAndRevivesNobody) {
-  MembershipSettings s;
-  s.tombstone_retention_ms = 60'000;
-  Cluster cluster(12, 1, s);
+  MembershipSettings settings;
+  settings.tombstone_retention_ms = 60'000;
+  Cluster cluster(12, 1, settings);
   cluster.run(5000);
   cluster.model.pause(11);
   cluster.run(100);
-  cluster.model.kill(5);  // what the stopped one never hears
+  cluster.model.kill(5);  // which the paused one does not learn
   cluster.run(90'000);
   EXPECT_EQ(cluster.state(0, 11), MemberState::kLeft);  // not there at all
   cluster.model.resume(11);
--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -11,25 +11,24 @@
 namespace {
 
 Message full_message() {
-  Message m;
-  m.type = Message::kAck;
-  m.sender = {"g1", "127.0.0.1:7000", 5, 77, MemberStatus::kAlive, 0, "", ""};
-  m.sequence = 12;
-  m.digest = 0xfeedfacecafebeef;
-  m.records = {{"g2", "127.0.0.2:7000", 9, 78, MemberStatus::kFailed, 1234, "g1", ""}};
-  m.suspicions = {{"g3", 4, 79, "g1", 5, 2, 1500}};
-  m.bucket_digests.assign(kDigestBuckets, 3);
-  return m;
+  Message message;
+  message.type = Message::kAck;
+  message.sender = {"g1", "127.0.0.1:7000", 5, 77, MemberStatus::kAlive, 0, "", ""};
+  message.sequence = 12;
+  message.digest = 0xfeedfacecafebeef;
+  message.records = {{"g2", "127.0.0.2:7000", 9, 78, MemberStatus::kFailed, 1234, "g1", ""}};
+  message.suspicions = {{"g3", 4, 79, "g1", 5, 2, 1500}};
+  message.bucket_digests.assign(kDigestBuckets, 3);
+  return message;
 }
 
-std::optional<Message> decode_blue(const std::string& bytes, DecodeError& error) {
-  return decode(bytes, "blue", error);
-}
+constexpr std::size_t kFrameBytes = 12;
+
+DecodeResult decode_blue(const std::string& bytes) { return decode(bytes, "blue"); }
 
 TEST(MembershipWire, AMessageSurvivesEncodingAndDecoding) {
   const Message sent = full_message();
-  DecodeError error;
-  const auto decoded = decode_blue(encode(sent, "blue"), error);
+  const auto [decoded, error] = decode_blue(encode(sent, "blue"));
   ASSERT_TRUE(decoded);
   EXPECT_EQ(error, DecodeError::kNone);
   EXPECT_EQ(decoded->type, sent.type);
@@ -59,18 +58,18 @@
     "00000000001c000000000000001d000000000000001e000000000000001f00000000000000";
 
 Message golden_message() {
-  Message m;
-  m.type = Message::kCorrection;
-  m.sender = {"g1", "127.0.0.1:7000", 5, 77, MemberStatus::kAlive, 0, "", ""};
-  m.sequence = 12;
-  m.digest = 0xfeedfacecafebeef;
-  m.incarnation_floor = 300;
-  m.displaced_by = 0x100000007;
-  m.records = {{"g2", "127.0.0.2:7000", 9, 78, MemberStatus::kFailed, 1234, "g1", "\xa2\x06\x03new"},
-               {"g4", "[::1]:7004", 10, 80, MemberStatus::kLeft, 0.6, "g4", ""}};
-  m.suspicions = {{"g3", 4, 79, "g1", 5, 2, 1500.2}, {"g5", 6, 81, "g1", 5, 3, 0}};
-  for (std::size_t i = 0; i < kDigestBuckets; ++i) m.bucket_digests.push_back(i);
-  return m;
+  Message message;
+  message.type = Message::kCorrection;
+  message.sender = {"g1", "127.0.0.1:7000", 5, 77, MemberStatus::kAlive, 0, "", ""};
+  message.sequence = 12;
+  message.digest = 0xfeedfacecafebeef;
+  message.incarnation_floor = 300;
+  message.displaced_by = 0x100000007;
+  message.records = {{"g2", "127.0.0.2:7000", 9, 78, MemberStatus::kFailed, 1234, "g1", "\xa2\x06\x03new"},
+                     {"g4", "[::1]:7004", 10, 80, MemberStatus::kLeft, 0.6, "g4", ""}};
+  message.suspicions = {{"g3", 4, 79, "g1", 5, 2, 1500.2}, {"g5", 6, 81, "g1", 5, 3, 0}};
+  for (std::size_t i = 0; i < kDigestBuckets; ++i) message.bucket_digests.push_back(i);
+  return message;
 }
 
 std::string to_hex(std::string_view bytes) {
@@ -97,8 +96,7 @@
 
 TEST(MembershipWire, DecodesTheGoldenDatagram) {
   const Message sent = golden_message();
-  DecodeError error;
-  const auto decoded = decode_blue(from_hex(kGoldenDatagram), error);
+  const auto decoded = decode_blue(from_hex(kGoldenDatagram)).message;
   ASSERT_TRUE(decoded);
   EXPECT_EQ(decoded->type, sent.type);
   EXPECT_EQ(decoded->sequence, sent.sequence);
@@ -132,77 +130,82 @@
   for (std::size_t bit = 0; bit < good.size() * 8; ++bit) {
     std::string bad = good;
     bad[bit / 8] = static_cast<char>(bad[bit / 8] ^ (1 << (bit % 8)));
-    DecodeError error = DecodeError::kNone;
-    EXPECT_FALSE(decode_blue(bad, error)) << bit;
-    EXPECT_NE(error, DecodeError::kNone);
+    const DecodeResult result = decode_blue(bad);
+    EXPECT_FALSE(result.message) << bit;
+    EXPECT_NE(result.error, DecodeError::kNone);
   }
   for (std::size_t n = 0; n < good.size(); ++n) {
-    DecodeError error = DecodeError::kNone;
-    EXPECT_FALSE(decode_blue(good.substr(0, n), error)) << n;
+    EXPECT_FALSE(decode_blue(good.substr(0, n)).message) << n;
   }
 }
 
 TEST(MembershipWire, DecodingReportsTheError) {
-  DecodeError error = DecodeError::kNone;
-  EXPECT_FALSE(decode_blue(encode(full_message(), "green"), error));
-  EXPECT_EQ(error, DecodeError::kForeign);
-  EXPECT_FALSE(decode_blue("GET / HTTP/1.1\r\n\r\n", error));
-  EXPECT_EQ(error, DecodeError::kForeign);
-  auto other = encode(full_message(), "blue");
-  other[3] = 2;
-  EXPECT_FALSE(decode_blue(other, error));
-  EXPECT_EQ(error, DecodeError::kVersionMismatch);
-  Message unnamed = full_message();
-  unnamed.sender.name.clear();
-  EXPECT_FALSE(decode_blue(encode(unnamed, "blue"), error));
-  EXPECT_EQ(error, DecodeError::kMalformed);
+  const DecodeResult other_cluster = decode_blue(encode(full_message(), "green"));
+  EXPECT_FALSE(other_cluster.message);
+  EXPECT_EQ(other_cluster.error, DecodeError::kForeign);
+  const DecodeResult other_protocol = decode_blue("GET / HTTP/1.1\r\n\r\n");
+  EXPECT_FALSE(other_protocol.message);
+  EXPECT_EQ(other_protocol.error, DecodeError::kForeign);
+  auto later_version = encode(full_message(), "blue");
+  later_version[3] = 2;
+  const DecodeResult other_version = decode_blue(later_version);
+  EXPECT_FALSE(other_version.message);
+  EXPECT_EQ(other_version.error, DecodeError::kVersionMismatch);
+  Message message = full_message();
+  message.sender.name.clear();
+  const DecodeResult unnamed = decode_blue(encode(message, "blue"));
+  EXPECT_FALSE(unnamed.message);
+  EXPECT_EQ(unnamed.error, DecodeError::kMalformed);
 }
 
 // A record of a later version passes through this version with the fields that only the later one knows.
 TEST(MembershipWire, UnknownFieldsArePassedOn) {
-  Message m = full_message();
-  m.records[0].unknown_fields = std::string("\xa2\x06\x03") + "new";  // field 100, three bytes
-  DecodeError error;
-  const auto once = decode_blue(encode(m, "blue"), error);
+  Message message = full_message();
+  message.records[0].unknown_fields = std::string("\xa2\x06\x03") + "new";  // field 100, three bytes
+  const auto once = decode_blue(encode(message, "blue")).message;
   ASSERT_TRUE(once);
-  EXPECT_EQ(once->records.at(0).unknown_fields, m.records[0].unknown_fields);
-  const auto twice = decode_blue(encode(*once, "blue"), error);
-  EXPECT_EQ(twice->records.at(0).unknown_fields, m.records[0].unknown_fields);
+  EXPECT_EQ(once->records.at(0).unknown_fields, message.records[0].unknown_fields);
+  const auto twice = decode_blue(encode(*once, "blue")).message;
+  ASSERT_TRUE(twice);
+  EXPECT_EQ(twice->records.at(0).unknown_fields, message.records[0].unknown_fields);
   EXPECT_EQ(twice->records.at(0).name, "g2");
 }
 
 TEST(MembershipWire, AFullMessageStaysWithinTheDatagramLimit) {
-  Message m = full_message();
-  m.sender.name = std::string(kMaxNameBytes, 'n');
-  m.sender.address = "[2001:db8:1111:2222:3333:4444:5555:6666]:65535";
-  m.sender.incarnation = m.sender.process_nonce = m.incarnation_floor = m.displaced_by = ~0ULL;
-  m.bucket_digests.clear();
-  m.records.clear();
-  m.suspicions.clear();
-  std::size_t used = encoded_size_bound(m.sender) + 40;
+  Message message = full_message();
+  message.sender.name = std::string(kMaxNameBytes, 'n');
+  message.sender.address = "[2001:db8:1111:2222:3333:4444:5555:6666]:65535";
+  message.sender.incarnation = ~0ULL;
+  message.sender.process_nonce = ~0ULL;
+  message.incarnation_floor = ~0ULL;
+  message.displaced_by = ~0ULL;
+  message.bucket_digests.clear();
+  message.records.clear();
+  message.suspicions.clear();
+  std::size_t used_bytes = encoded_size_bound(message.sender) + kMessageOverheadBytes;
   for (;;) {
-    MemberRecord r = m.sender;
-    r.reported_by = r.name;
-    r.age_ms = 1e12;
-    used += encoded_size_bound(r);
-    if (used > kMaxMessageBytes) break;
-    m.records.push_back(r);
+    MemberRecord record = message.sender;
+    record.reported_by = record.name;
+    record.age_ms = 1e12;
+    used_bytes += encoded_size_bound(record);
+    if (used_bytes > kMaxMessageBytes) break;
+    message.records.push_back(record);
   }
-  EXPECT_LE(encode(m, std::string(32, 'c')).size(), kMaxDatagramBytes);
+  EXPECT_LE(encode(message, std::string(32, 'c')).size(), kMaxDatagramBytes);
 }
 
 TEST(MembershipWire, RandomBytesInAValidFrameAreDecodedOrRejected) {
   std::mt19937_64 random(3);
   for (int n = 0; n < 20'000; ++n) {
-    cometfold::peers::Datagram d;
-    std::string bytes = encode(full_message(), "blue").substr(12);
-    for (std::uint64_t k = random() % 6; k > 0; --k)
+    cometfold::peers::Datagram datagram;
+    std::string bytes = encode(full_message(), "blue").substr(kFrameBytes);
+    for (std::uint64_t flips = random() % 6; flips > 0; --flips) {
       bytes[random() % bytes.size()] = static_cast<char>(random());
-    if (!d.ParseFromString(bytes)) continue;
-    Message m = full_message();
-    m.sender.unknown_fields = bytes.substr(0, 64);
-    DecodeError error;
-    decode_blue(encode(m, "blue"), error);
+    }
+    if (!datagram.ParseFromString(bytes)) continue;
+    Message message = full_message();
+    message.sender.unknown_fields = bytes.substr(0, 64);
+    decode_blue(encode(message, "blue"));
   }
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -3,8 +3,8 @@
 #include <vector>
 
 #include "net_support.h"
-#include "ops/operator_calls.h"
 #include "ops/metrics.h"
+#include "ops/operator_calls.h"
 #include "settings/numbering.h"
 
 namespace cometfold::net::testing {
