--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -13,7 +13,7 @@
 #include "emulators/host_emulator.h"
 #include "emulators/program.h"
 #include "emulators/words.h"
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
 
 namespace cometfold::emulators::cluster {
 namespace asio = boost::asio;
--- a/emulators/host_emulator.cpp
+++ b/emulators/host_emulator.cpp
@@ -4,7 +4,8 @@
 #include <chrono>
 #include <deque>
 
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
 
 namespace cometfold::emulators {
 namespace asio = boost::asio;
--- a/emulators/load.cpp
+++ b/emulators/load.cpp
@@ -4,7 +4,7 @@
 #include <deque>
 
 #include "emulators/words.h"
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
 
 namespace cometfold::emulators {
 namespace asio = boost::asio;
--- a/emulators/relay.cpp
+++ b/emulators/relay.cpp
@@ -3,7 +3,8 @@
 #include <memory>
 #include <string>
 
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
 
 namespace cometfold::emulators {
 namespace asio = boost::asio;
--- a/emulators/words.h
+++ b/emulators/words.h
@@ -9,7 +9,7 @@
 #include <vector>
 
 #include "emulators/peer.h"
-#include "resp/resp.h"
+#include "resp/resp_writer.h"
 
 namespace cometfold::emulators {
 
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -13,9 +13,9 @@
 #include "engine/engine.h"
 #include "explore/chooser.h"
 #include "explore/scenario.h"
-#include "resp/client_link.h"
-#include "resp/front.h"
+#include "resp/client_connection.h"
 #include "resp/host_pool.h"
+#include "resp/resp_handler.h"
 #include "rules/rules.h"
 
 namespace cometfold::explore {
--- a/src/explore/world_parts.h
+++ b/src/explore/world_parts.h
@@ -12,7 +12,8 @@
 #include <utility>
 
 #include "explore/world.h"
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
 
 namespace cometfold::explore {
 
--- a/src/net/clients.h
+++ b/src/net/clients.h
@@ -11,8 +11,8 @@
 #include <unordered_map>
 
 #include "net/clock.h"
-#include "resp/client_link.h"
-#include "resp/front.h"
+#include "resp/client_connection.h"
+#include "resp/resp_handler.h"
 
 namespace cometfold::net {
 
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -24,7 +24,7 @@
 #include "net/hosts.h"
 #include "net/peers.h"
 #include "net/processor_server.h"
-#include "resp/front.h"
+#include "resp/resp_handler.h"
 #include "settings/numbering.h"
 
 namespace cometfold::net {
--- /dev/null
+++ b/src/resp/client_connection.cpp
@@ -0,0 +1,171 @@
+#include "resp/client_connection.h"
+
+#include <string>
+#include <utility>
+
+#include "resp/resp_writer.h"
+
+namespace cometfold::resp {
+
+namespace {
+
+constexpr std::size_t kMaxPendingCommands = 64;         // of one connection, without their complete replies
+constexpr std::size_t kMaxUnwrittenBytes = 256 * 1024;  // of one connection's replies
+
+// Sets a flag for as long as it lives.
+class FlagScope {
+ public:
+  explicit FlagScope(bool& flag) : flag_(flag) { flag_ = true; }
+  ~FlagScope() { flag_ = false; }
+  FlagScope(const FlagScope&) = delete;
+  FlagScope& operator=(const FlagScope&) = delete;
+
+ private:
+  bool& flag_;
+};
+
+}  // namespace
+
+ClientConnection::ClientConnection(ClientConnectionCallbacks& callbacks, ClientTotals& totals,
+                                   std::uint64_t id, Ms now)
+    : callbacks_(callbacks), totals_(totals), id_(id), input_(totals, now), replies_(totals.unsent_bytes) {
+  touch(now);
+}
+
+void ClientConnection::start(std::unique_ptr<Stream> stream) {
+  stream_ = std::move(stream);
+  read();
+}
+
+// Many events share one reading of the clock, so it can't order connections by their last use. A counter can.
+void ClientConnection::touch(Ms now) {
+  last_progress_ = now;
+  last_used_ = ++totals_.uses;
+}
+
+// Called again while a read is pending, it only gives that read a new space: parsing may have moved the
+// buffer.
+void ClientConnection::read() {
+  if (closed_) return;
+  read_pending_ = true;
+  stream_->read(input_.prepare_read());
+}
+
+void ClientConnection::on_read(Ms now, std::size_t bytes, bool ended) {
+  read_pending_ = false;
+  if (closed_) return;
+  if (ended) {
+    close_if_allowed(now, {CloseReason::kAfterLastReply, CloseReason::kClientClosed});
+    return;
+  }
+  // Incoming bytes are no progress of a client that does not read its replies.
+  if (replies_.output_empty() && replies_.empty() && !lingering_) touch(now);
+  if (input_rejected_) return read();  // dropped: closing with unread bytes would send a reset
+  if (paused_) {
+    input_.commit_ahead(bytes);
+    if (input_.may_read_ahead()) read();
+    return;
+  }
+  input_.commit(now, bytes, replies_.has_replied() || !replies_.empty());
+  process_input(now);
+  // A read may give less than has arrived: the rest of an incomplete command may have come with it.
+  if (!closed_ && !input_.empty() && stream_->unread_bytes() > 0) input_.set_more_available();
+}
+
+// Bounds the memory for replies to clients that send commands and do not read.
+bool ClientConnection::must_pause() const {
+  return replies_.size() >= kMaxPendingCommands || replies_.unwritten_size() >= kMaxUnwrittenBytes ||
+         (totals_.unsent_bytes >= totals_.max_unsent_bytes && !replies_.output_empty());
+}
+
+// Posted, as a reply may come from inside the admission module, which must not be entered again.
+void ClientConnection::resume_later() {
+  if (resume_posted_ || must_pause()) return;
+  resume_posted_ = true;
+  stream_->post();
+}
+
+void ClientConnection::on_posted(Ms now) {
+  if (write_failed_) return close(now, CloseReason::kWriteFailed);
+  if (std::exchange(capacity_notice_posted_, false)) notify_capacity(now);
+  if (closed_) return;
+  resume_posted_ = false;
+  if (paused_) process_input(now);
+}
+
+// What arrives from here on is read ahead or stays in the socket, and its timeouts run.
+void ClientConnection::pause_reads() {
+  input_.set_more_available();
+  callbacks_.on_reads_paused();
+}
+
+void ClientConnection::process_input(Ms now) {
+  if (closed_ || lingering_) return;
+  // The buffered commands of a client that has gone must not be forwarded.
+  if (paused_ && stream_->peer_closed()) return close(now, CloseReason::kClientClosed);
+  // Where all replies are written at once there is capacity again, and no event would take up the rest.
+  bool more_buffered = true;
+  while (more_buffered && !must_pause()) {
+    paused_ = false;
+    more_buffered = dispatch_commands(now);
+    write(now);
+    if (closed_) return;
+  }
+  paused_ = must_pause();
+  if (paused_) pause_reads();
+  if (!paused_ || read_pending_ || input_.may_read_ahead()) read();
+}
+
+// True if it stopped for lack of capacity and not of commands.
+bool ClientConnection::dispatch_commands(Ms now) {
+  const FlagScope dispatching(dispatching_);
+  while (!closed_ && !input_rejected_ && !must_pause()) {
+    const ReadResult result = input_.next(now);
+    if (result == ReadResult::kNeedMore) return false;
+    const ResponseHandle handle{id_, replies_.push()};
+    if (result == ReadResult::kProtocolError) {
+      reject_input(now, handle);
+    } else {
+      dispatch_command(now, handle);
+    }
+  }
+  return !closed_ && !input_rejected_;
+}
+
+void ClientConnection::dispatch_command(Ms now, ResponseHandle handle) {
+  const CommandResult result = callbacks_.on_command(now, handle, input_.frame().items, input_.elapsed(now));
+  if (closed_) return;
+  if (ReplySlot* slot = find_incomplete(handle.sequence)) {
+    slot->command = result;
+  } else {
+    hold_identity(result);  // answered at once, and written after this batch
+  }
+}
+
+void ClientConnection::reject_input(Ms now, ResponseHandle handle) {
+  input_rejected_ = true;
+  close_after_reply_ = true;
+  std::string reply;
+  append_error(reply, "ERR Protocol error: " + std::string(text_of(input_.error())));
+  send_reply(now, handle.sequence, reply);
+}
+
+void ClientConnection::check_disconnected(Ms now) {
+  if (closed_ || !paused_) return;
+  if (stream_->peer_closed()) {
+    close(now, CloseReason::kClientClosed);
+  } else {
+    callbacks_.on_reads_paused();
+  }
+}
+
+void ClientConnection::digest(engine::Digest& into) const {
+  into.add(id_);
+  into.add(std::uint64_t{closed_} | std::uint64_t{read_pending_} << 1 | std::uint64_t{write_blocked_} << 2 |
+           std::uint64_t{write_failed_} << 3 | std::uint64_t{paused_} << 4 |
+           std::uint64_t{input_rejected_} << 5 | std::uint64_t{lingering_} << 6 |
+           std::uint64_t{close_after_reply_} << 7 | std::uint64_t{resume_posted_} << 8);
+  replies_.digest(into);
+}
+
+}  // namespace cometfold::resp
--- /dev/null
+++ b/src/resp/client_connection_closing.cpp
@@ -0,0 +1,115 @@
+// When and how a client connection ends. `may_close` holds the rules; what is asked of it, and in which
+// order, is here.
+#include "resp/client_connection.h"
+
+namespace cometfold::resp {
+namespace {
+
+// After the last reply, for the client to read it and close: a reset by this side could destroy it.
+constexpr Ms kLingerTimeoutMs = 500;
+
+}  // namespace
+
+// Buffered commands of a paused connection are owed a reply, though they have no slot yet.
+int ClientConnection::eviction_priority() const {
+  if (!replies_.empty() || paused_) return 0;
+  if (lingering_) return 3;
+  if (is_silent()) return 1;
+  if (is_idle()) return 2;
+  return replies_.output_empty() ? 1 : 0;
+}
+
+ConnectionState ClientConnection::state(Ms now) const {
+  return {.reply_pending = is_reply_pending(),
+          .has_unread_bytes = stream_->unread_bytes() > 0,
+          .command_incomplete = !input_.empty(),
+          .has_replied = replies_.has_replied(),
+          .send_closed = lingering_,
+          .inactive_ms = now - last_progress_,
+          .command_awaited_ms = input_.command_awaited_for(now)};
+}
+
+bool ClientConnection::is_reply_pending() const {
+  return !replies_.empty() || !replies_.output_empty() || (paused_ && !input_.empty());
+}
+
+// For the first of these reasons that the rules allow, if any.
+bool ClientConnection::close_if_allowed(Ms now, std::initializer_list<CloseReason> reasons) {
+  const ConnectionState current = state(now);
+  for (const CloseReason reason : reasons) {
+    if (!may_close(reason, current)) continue;
+    close(now, reason);
+    return true;
+  }
+  return false;
+}
+
+// A new connection may have its first request on the way, and one with unread bytes has it here: both are
+// served first.
+void ClientConnection::start_draining(Ms now) {
+  close_after_reply_ = true;
+  draining_ = true;
+  close_if_allowed(now, {CloseReason::kDrain});
+}
+
+// Without these timeouts idle and silent clients would fill the table of connections for good.
+void ClientConnection::close_if_timed_out(Ms now) {
+  if (closed_) return;
+  if (paused_ && stream_->peer_closed()) return close(now, CloseReason::kClientClosed);
+  if (lingering_) {
+    if (now - last_progress_ > kLingerTimeoutMs) close(now, CloseReason::kAfterLastReply);
+    return;
+  }
+  if (!replies_.output_empty()) {
+    if (close_if_allowed(now, {CloseReason::kStalled})) return;
+  } else if (!is_reply_pending()) {
+    if (close_if_allowed(now, {CloseReason::kNoCommand, CloseReason::kIncompleteCommand, CloseReason::kIdle}))
+      return;
+    if (draining_) close_if_allowed(now, {CloseReason::kDrain});
+  }
+  if (!closed_ && paused_) process_input(now);
+}
+
+void ClientConnection::close(Ms now, CloseReason reason) {
+  if (closed_) return;
+  if (!may_close(reason, state(now))) {
+    ++totals_.forbidden_closes;
+    return;
+  }
+  closed_ = true;
+  ++totals_.closed_by_reason[static_cast<std::size_t>(reason)];
+  stream_->close();
+  input_.release_accounting();
+  replies_.release_accounting();
+  const auto self = shared_from_this();  // the owner drops it in `on_closed`
+  callbacks_.on_closed(id_);
+  for (const ReplySlot& slot : replies_.take_slots()) {
+    if (slot.command.request_id != 0) callbacks_.on_client_disconnected(now, slot.command.request_id);
+  }
+  release_flushed_identities();
+}
+
+void ClientConnection::linger_if_done(Ms now) {
+  // Commands that are buffered by a paused connection, or wait in the socket, have arrived: closing here
+  // would leave them without a reply.
+  if (!close_after_reply_ || !replies_.empty() || dispatching_ || paused_) return;
+  // The rest of an incomplete command may be on its way.
+  if (input_rejected_ || (stream_->unread_bytes() == 0 && input_.empty())) linger(now);
+}
+
+// Lingering close: closing a socket with unread bytes sends a reset, which may destroy the last reply on its
+// way. What follows a protocol error is read and dropped. A request that crosses this end stays unread, so
+// that its client may send it elsewhere; read, it would be owed a reply that can't be sent any more.
+void ClientConnection::linger(Ms now) {
+  if (lingering_) return;
+  lingering_ = true;
+  last_progress_ = now;
+  stream_->shutdown_send();
+  if (input_rejected_) {
+    read();
+  } else {
+    stream_->await_peer_close();
+  }
+}
+
+}  // namespace cometfold::resp
--- /dev/null
+++ b/src/resp/client_connection_replies.cpp
@@ -0,0 +1,174 @@
+// Replies and streamed values of a client connection, and their way to the stream.
+#include <string>
+#include <utility>
+
+#include "engine/faults.h"
+#include "resp/client_connection.h"
+#include "resp/resp_writer.h"
+
+namespace cometfold::resp {
+using engine::mutant;
+using engine::Mutant;
+
+namespace {
+
+constexpr std::size_t kMaxValueAheadBytes = 48 * 1024;  // of a streamed value, not yet taken by its client
+constexpr std::size_t kMaxInvalidCommands = 8;          // of one connection, before it is closed
+
+}  // namespace
+
+ReplySlot* ClientConnection::find_incomplete(std::uint64_t sequence) {
+  return closed_ ? nullptr : replies_.find_incomplete(sequence);
+}
+
+void ClientConnection::send_reply(Ms now, std::uint64_t sequence, std::string_view reply) {
+  ReplySlot* slot = find_incomplete(sequence);
+  if (!slot) return;
+  if (slot->streamed) {
+    if (replies_.is_first(sequence)) {
+      slot->command = {};
+      return fail_write();
+    }
+    replies_.clear_buffer(*slot);  // none of the value is written: the reply takes its place
+  }
+  slot->complete = true;
+  const CommandResult command = std::exchange(slot->command, CommandResult{});
+  if (!replies_.is_first(sequence) && !mutant(Mutant::kAnswersOutOfOrder)) {
+    replies_.buffer(*slot, reply);
+    return hold_identity(command);
+  }
+  complete_first_reply(now, command, reply);
+}
+
+// `bytes`: the reply, or the last of it.
+void ClientConnection::complete_first_reply(Ms now, const CommandResult& command, std::string_view bytes) {
+  append_output(now, bytes);
+  flush_complete_replies(now);
+  if (!dispatching_) write(now);
+  if (!replies_.output_empty()) hold_identity(command);
+  if (paused_) resume_later();
+}
+
+void ClientConnection::append_output(Ms now, std::string_view bytes) {
+  if (replies_.output_empty()) touch(now);
+  replies_.append_output(bytes);
+}
+
+void ClientConnection::flush_complete_replies(Ms now) {
+  const bool output_was_empty = replies_.output_empty();
+  const bool value_awaits_capacity = replies_.flush_complete();
+  if (output_was_empty && !replies_.output_empty()) touch(now);
+  if (value_awaits_capacity && !std::exchange(capacity_notice_posted_, true)) stream_->post();
+}
+
+void ClientConnection::append_to_reply(Ms now, std::uint64_t sequence, ReplySlot& slot,
+                                       std::string_view bytes) {
+  if (!replies_.is_first(sequence)) return replies_.buffer(slot, bytes);
+  append_output(now, bytes);
+  if (!dispatching_) write(now);
+}
+
+void ClientConnection::start_value(Ms now, std::uint64_t sequence, std::size_t size) {
+  ReplySlot* slot = find_incomplete(sequence);
+  if (!slot) return;
+  slot->streamed = true;
+  append_to_reply(now, sequence, *slot, "$" + std::to_string(size) + "\r\n");
+}
+
+bool ClientConnection::append_value(Ms now, std::uint64_t sequence, std::string_view bytes) {
+  ReplySlot* slot = find_incomplete(sequence);
+  if (!slot || write_failed_) return true;
+  append_to_reply(now, sequence, *slot, bytes);
+  const std::size_t ahead = replies_.is_first(sequence) ? replies_.unwritten_size() : slot->bytes.size();
+  slot->awaits_capacity = ahead >= kMaxValueAheadBytes;
+  return !slot->awaits_capacity;
+}
+
+void ClientConnection::finish_value(Ms now, std::uint64_t sequence) {
+  ReplySlot* slot = find_incomplete(sequence);
+  if (!slot || write_failed_) return;
+  const CommandResult command = std::exchange(slot->command, CommandResult{});
+  slot->complete = true;
+  slot->awaits_capacity = false;
+  if (!replies_.is_first(sequence)) {
+    replies_.buffer(*slot, "\r\n");
+    return hold_identity(command);
+  }
+  complete_first_reply(now, command, "\r\n");
+}
+
+void ClientConnection::notify_capacity(Ms now) {
+  if (closed_ || replies_.empty() || !replies_.first().awaits_capacity) return;
+  if (replies_.unwritten_size() >= kMaxValueAheadBytes / 2) return;
+  replies_.first().awaits_capacity = false;
+  callbacks_.on_client_writable(now, replies_.first().command.request_id);
+}
+
+// A client that sends only invalid commands would take the CPU from all others, so it is closed.
+void ClientConnection::send_error(Ms now, std::uint64_t sequence, std::string_view message) {
+  std::string reply;
+  append_error(reply, message);
+  if (++invalid_commands_ >= kMaxInvalidCommands) {
+    input_rejected_ = true;
+    close_after_reply_ = true;
+  }
+  send_reply(now, sequence, reply);
+}
+
+// An identity stays taken until its client has the whole reply. Another request with it would be served
+// meanwhile, and two clients could not tell their replies apart.
+void ClientConnection::hold_identity(const CommandResult& command) {
+  if (!command.is_request || closed_ || mutant(Mutant::kFreesIdentityEarly)) return;
+  replies_.hold_identity(command.identity);
+  callbacks_.on_reply_pending(command.identity);
+}
+
+void ClientConnection::release_flushed_identities() {
+  for (const auto identity : replies_.take_unflushed_identities()) callbacks_.on_reply_flushed(identity);
+}
+
+// Closes in `on_posted`: a reply is often given from inside the engine, which must not be entered again.
+void ClientConnection::fail_write() {
+  if (std::exchange(write_failed_, true)) return;
+  stream_->post();
+}
+
+// Writes what the stream takes; `on_writable` writes the rest.
+void ClientConnection::write(Ms now) {
+  if (closed_ || write_blocked_ || write_failed_) return;
+  if (!write_output(now)) return;
+  replies_.clear_output();
+  // Identities of replies that wait behind others are released together with those: they are few.
+  if (!replies_.has_complete_slot()) release_flushed_identities();
+  linger_if_done(now);
+}
+
+// True if all of the output is written.
+bool ClientConnection::write_output(Ms now) {
+  while (replies_.unwritten_size() > 0) {
+    const auto result = stream_->write(replies_.unwritten());
+    if (result.blocked) {
+      write_blocked_ = true;
+      stream_->await_writable();
+      return false;
+    }
+    if (result.disconnected) {
+      fail_write();
+      return false;
+    }
+    replies_.mark_written(result.bytes);
+    touch(now);
+  }
+  return true;
+}
+
+void ClientConnection::on_writable(Ms now, bool ok) {
+  write_blocked_ = false;
+  if (closed_) return;
+  if (!ok) return close(now, CloseReason::kWriteFailed);
+  write(now);
+  notify_capacity(now);
+  if (!closed_ && paused_) process_input(now);
+}
+
+}  // namespace cometfold::resp
--- a/src/resp/close_rules.h
+++ b/src/resp/close_rules.h
@@ -1,5 +1,5 @@
-// When a client's connection may be closed, and for what. The one place that says so: whoever closes one asks
-// it, and `ClientConnection::close` once more. Pure.
+// When a client connection may be closed, and for which reason. Whoever closes one consults these rules, and
+// `ClientConnection::close` does so once more. Pure.
 #pragma once
 
 #include <cstddef>
@@ -11,62 +11,63 @@
 
 namespace cometfold::resp {
 
-// Why a client's connection is closed.
 enum class CloseReason : std::uint8_t {
-  kClientClosed,       // its client has gone
-  kWriteFailed,        // ... as a write showed
-  kStalled,            // its client takes in nothing of its answers
+  kClientClosed,       // the client has ended it or is gone
+  kWriteFailed,        // the client is gone, as a write showed
+  kStalled,            // the client reads nothing of its replies
   kNoCommand,          // no command came
-  kIncompleteCommand,  // half of one came, and not the rest
-  kIdle,               // nothing more came
+  kIncompleteCommand,  // the rest of a command did not come
+  kIdle,               // no further command came
   kDrain,              // unused while this gateway drains or stops
-  kAfterLastReply,     // the last answer on it is out
-  kEvicted,            // it gave way to another
+  kAfterLastReply,     // the last reply on it is written
+  kEvicted,            // closed to make room for another connection
 };
+// Exported as metric labels, in the order of `CloseReason`.
 inline constexpr std::string_view kCloseReasonNames[] = {
     "client", "write_failed", "stalled", "silent", "half_command", "idle", "drain", "after_last", "no_room"};
 inline constexpr std::size_t kCloseReasonCount = std::size(kCloseReasonNames);
 
-inline constexpr Ms kStalledTimeoutMs = 10'000;  // a client that takes in nothing of its answers for so long
-// A client is owed a command, an error or a close within 3 s of its connecting, and half a command may be
-// large and slow. What is idle may go after 2 s; clients that still come use their connections more often.
+inline constexpr Ms kStalledTimeoutMs = 10'000;
+// Clients may expect a command, an error or a close within 3 s of connecting, and an incomplete command may
+// be large and slow. Idle connections may go after 2 s.
 inline constexpr Ms kFirstCommandTimeoutMs = 2'300;
 inline constexpr Ms kIncompleteCommandTimeoutMs = 2'500;
 inline constexpr Ms kIdleTimeoutMs = 2'300;
-// Since it connected or had its last answer: its next request may be on its way.
+// After a connect or a reply: the next request may be on its way.
 inline constexpr Ms kRecentActivityMs = 100;
 
-// A connection, as far as its end depends on it.
+// What the rules need to know of a connection.
 struct ConnectionState {
-  bool reply_pending = false;       // an answer, the rest of one, or one to a command that was read
-  bool has_unread_bytes = false;    // bytes have come that nobody has read
-  bool command_incomplete = false;  // half a command is here
-  bool has_replied = false;         // it has had an answer
-  bool send_closed = false;         // the last answer is out, and this side has ended its sending
+  bool reply_pending = false;       // a reply, the rest of one, or one to a buffered command
+  bool has_unread_bytes = false;    // bytes have arrived that are not read yet
+  bool command_incomplete = false;  // the rest of a command is awaited
+  bool has_replied = false;         // it has had a reply
+  bool send_closed = false;         // the last reply is written, and sending is shut down
   Ms inactive_ms = 0;               // milliseconds since its last progress
-  Ms command_awaited_ms = 0;        // ... since the next command is awaited or half here
+  Ms command_awaited_ms = 0;        // milliseconds since the next command is awaited or incomplete
 };
 
-// Danger: whatever is owed or unread would be lost with the connection. Only what its client does itself, or
-// no longer does, is reason enough then.
-inline bool may_close(CloseReason why, const ConnectionState& c) {
-  const bool unused = !c.reply_pending && !c.has_unread_bytes;
-  switch (why) {
+// A pending reply or unread bytes would be lost with the connection. Only what its client does, or fails to
+// do, is reason enough then.
+inline bool may_close(CloseReason reason, const ConnectionState& state) {
+  const bool unused = !state.reply_pending && !state.has_unread_bytes;
+  switch (reason) {
     case CloseReason::kClientClosed:
     case CloseReason::kWriteFailed:
       return true;
     case CloseReason::kStalled:
-      return c.inactive_ms > kStalledTimeoutMs;
+      return state.inactive_ms > kStalledTimeoutMs;
     case CloseReason::kNoCommand:
-      return unused && !c.has_replied && c.command_awaited_ms > kFirstCommandTimeoutMs;
+      return unused && !state.has_replied && state.command_awaited_ms > kFirstCommandTimeoutMs;
     case CloseReason::kIncompleteCommand:
-      return unused && c.command_incomplete && c.command_awaited_ms > kIncompleteCommandTimeoutMs;
+      return unused && state.command_incomplete && state.command_awaited_ms > kIncompleteCommandTimeoutMs;
     case CloseReason::kIdle:
-      return unused && !c.command_incomplete && c.inactive_ms > kIdleTimeoutMs;
+      return unused && !state.command_incomplete && state.inactive_ms > kIdleTimeoutMs;
     case CloseReason::kDrain:
-      return unused && !c.command_incomplete && !c.send_closed && c.inactive_ms >= kRecentActivityMs;
+      return unused && !state.command_incomplete && !state.send_closed &&
+             state.inactive_ms >= kRecentActivityMs;
     case CloseReason::kAfterLastReply:
-      return c.send_closed && !c.reply_pending;
+      return state.send_closed && !state.reply_pending;
     case CloseReason::kEvicted:
       return unused;
   }
--- /dev/null
+++ b/src/resp/command_input.cpp
@@ -0,0 +1,71 @@
+#include "resp/command_input.h"
+
+#include <utility>
+
+namespace cometfold::resp {
+namespace {
+
+// A smaller buffer is never given up for the limit over all connections.
+constexpr std::size_t kMaxExemptBufferBytes = 16 * 1024;
+constexpr std::size_t kMaxReadAheadBytes = 512 * 1024;  // of a client whose commands are not taken for now
+
+}  // namespace
+
+CommandInput::CommandInput(ClientTotals& totals, Ms now)
+    : totals_(totals),
+      reader_(RespLimits{.max_buffer_bytes = kMaxReadAheadBytes}, true),
+      awaited_since_(now) {}
+
+std::span<char> CommandInput::prepare_read() {
+  const auto space = reader_.prepare();
+  offered_bytes_ = space.size();
+  totals_.buffered_bytes += reader_.buffer_capacity() - buffered_bytes_;
+  buffered_bytes_ = reader_.buffer_capacity();
+  return space;
+}
+
+void CommandInput::commit(Ms now, std::size_t bytes, bool awaits_command) {
+  if (reader_.empty() && awaits_command) awaited_since_ = now;
+  if (!more_available_) arrived_at_ = now;
+  more_available_ = bytes == offered_bytes_;
+  reader_.commit(bytes);
+}
+
+// Many incomplete large commands together would exceed the memory limit of the process.
+bool CommandInput::incomplete_command_too_large() const {
+  return buffered_bytes_ > kMaxExemptBufferBytes && totals_.buffered_bytes > totals_.max_buffered_bytes;
+}
+
+ReadResult CommandInput::next(Ms now) {
+  const ReadResult result = reader_.next(frame_);
+  switch (result) {
+    case ReadResult::kFrame:
+      awaited_since_ = now;
+      break;
+    case ReadResult::kProtocolError:
+      error_ = reader_.error();
+      break;
+    case ReadResult::kNeedMore:
+      if (!incomplete_command_too_large()) break;
+      error_ = ProtocolError::kIncompleteCommandsTooLarge;
+      return ReadResult::kProtocolError;
+    case ReadResult::kStreamedValue:  // switched off by the limits
+      break;
+  }
+  return result;
+}
+
+// The end of a client's stream stands behind all that it has sent, and is seen only once that is read. So a
+// good deal is read ahead, but only half of the total buffer memory, which incomplete commands need more.
+bool CommandInput::may_read_ahead() const {
+  return !reader_.full() && totals_.buffered_bytes < totals_.max_buffered_bytes / 2;
+}
+
+void CommandInput::release_accounting() { totals_.buffered_bytes -= std::exchange(buffered_bytes_, 0); }
+
+void CommandInput::set_arrival_bound(Ms earliest) {
+  arrived_at_ = earliest;
+  more_available_ = true;
+}
+
+}  // namespace cometfold::resp
--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -217,7 +217,7 @@
       case ReadResult::kNeedMore:
         return read();
       case ReadResult::kProtocolError:
-        return spoilt(now, reader_.error());
+        return spoilt(now, text_of(reader_.error()));
       case ReadResult::kFrame:
         return answered(now);
       case ReadResult::kStreamedValue:
@@ -247,7 +247,7 @@
     }
   }
 
-  void spoilt(Ms now, const char* why) {
+  void spoilt(Ms now, std::string_view why) {
     owner_.log_("malformed reply of a host", why);
     finish(now, broken());
   }
--- a/src/resp/host_pool.h
+++ b/src/resp/host_pool.h
@@ -13,7 +13,8 @@
 #include <vector>
 
 #include "engine/engine.h"
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
 #include "resp/stream.h"
 
 namespace cometfold::resp {
--- /dev/null
+++ b/src/resp/reply_queue.cpp
@@ -0,0 +1,90 @@
+#include "resp/reply_queue.h"
+
+#include <algorithm>
+#include <utility>
+
+namespace cometfold::resp {
+namespace {
+
+constexpr std::size_t kMaxWrittenPrefixBytes = 48 * 1024;  // written bytes that still occupy the output
+constexpr std::size_t kMaxIdleOutputBytes = 256 * 1024;    // a larger output is freed once it is written
+
+}  // namespace
+
+std::uint64_t ReplyQueue::push() {
+  slots_.emplace_back();
+  return first_sequence_ + slots_.size() - 1;
+}
+
+ReplySlot* ReplyQueue::find_incomplete(std::uint64_t sequence) {
+  if (sequence < first_sequence_ || sequence - first_sequence_ >= slots_.size()) return nullptr;
+  ReplySlot& slot = slots_[sequence - first_sequence_];
+  return slot.complete ? nullptr : &slot;
+}
+
+bool ReplyQueue::has_complete_slot() const {
+  return std::any_of(slots_.begin(), slots_.end(), [](const ReplySlot& slot) { return slot.complete; });
+}
+
+void ReplyQueue::buffer(ReplySlot& slot, std::string_view bytes) {
+  slot.bytes += bytes;
+  slot.counted_bytes += bytes.size();
+  total_unsent_bytes_ += bytes.size();
+}
+
+void ReplyQueue::clear_buffer(ReplySlot& slot) {
+  total_unsent_bytes_ -= std::exchange(slot.counted_bytes, 0);
+  slot.bytes.clear();
+}
+
+bool ReplyQueue::flush_complete() {
+  while (!slots_.empty() && (slots_.front().complete || slots_.front().streamed)) {
+    ReplySlot& front = slots_.front();
+    total_unsent_bytes_ -= std::exchange(front.counted_bytes, 0);
+    if (!front.bytes.empty()) append_output(std::exchange(front.bytes, {}));
+    if (!front.complete) return front.awaits_capacity;
+    slots_.pop_front();
+    ++first_sequence_;
+  }
+  return false;
+}
+
+void ReplyQueue::append_output(std::string_view bytes) {
+  if (written_ >= kMaxWrittenPrefixBytes) {  // else the whole of a streamed value would pile up here
+    total_unsent_bytes_ -= written_;
+    output_.erase(0, std::exchange(written_, 0));
+  }
+  output_ += bytes;
+  total_unsent_bytes_ += bytes.size();
+}
+
+void ReplyQueue::clear_output() {
+  total_unsent_bytes_ -= output_.size();
+  output_.clear();
+  written_ = 0;
+  if (output_.capacity() > kMaxIdleOutputBytes) output_.shrink_to_fit();
+}
+
+std::vector<std::uint64_t> ReplyQueue::take_unflushed_identities() {
+  return std::exchange(unflushed_identities_, {});
+}
+
+void ReplyQueue::release_accounting() {
+  total_unsent_bytes_ -= output_.size();
+  for (const ReplySlot& slot : slots_) total_unsent_bytes_ -= slot.counted_bytes;
+}
+
+std::deque<ReplySlot> ReplyQueue::take_slots() { return std::exchange(slots_, {}); }
+
+void ReplyQueue::digest(engine::Digest& into) const {
+  into.add(first_sequence_);
+  into.add(unwritten());
+  for (const auto identity : unflushed_identities_) into.add(identity);
+  for (const ReplySlot& slot : slots_) {
+    into.add(slot.command.request_id << 3 | std::uint64_t{slot.complete} << 2 |
+             std::uint64_t{slot.streamed} << 1 | std::uint64_t{slot.awaits_capacity});
+    into.add(slot.bytes);
+  }
+}
+
+}  // namespace cometfold::resp
--- a/src/resp/front.cpp
+++ b/src/resp/resp_handler.cpp
@@ -1,10 +1,10 @@
-#include "resp/front.h"
-
 #include <algorithm>
 #include <charconv>
 #include <cmath>
 #include <utility>
 
+#include "resp/resp_handler.h"
+
 namespace cometfold::resp {
 
 namespace {
--- a/src/resp/front.h
+++ b/src/resp/resp_handler.h
@@ -12,7 +12,7 @@
 #include <vector>
 
 #include "engine/engine.h"
-#include "resp/client_link.h"
+#include "resp/client_connection.h"
 #include "resp/host_pool.h"
 
 namespace cometfold::resp {
--- a/tests/client_link_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,5 +1,5 @@
 // One client connection without sockets: what is owed on it, and what may be closed.
-#include "resp/client_link.h"
+#include "resp/client_connection.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/long_values_test.cpp
+++ b/tests/long_values_test.cpp
@@ -3,8 +3,8 @@
 #include <vector>
 
 #include "net_support.h"
-#include "resp/client_link.h"
-#include "resp/resp.h"
+#include "resp/client_connection.h"
+#include "resp/resp_reader.h"
 
 namespace cometfold::net::testing {
 namespace {
@@ -38,7 +38,7 @@
       reader.commit(n);
       at += n;
       for (auto p = reader.next(frame); p != resp::ReadResult::kNeedMore; p = reader.next(frame)) {
-        ASSERT_NE(p, resp::ReadResult::kProtocolError) << reader.error();
+        ASSERT_NE(p, resp::ReadResult::kProtocolError) << resp::text_of(reader.error());
         if (p == resp::ReadResult::kFrame) {
           whole = true;
           break;
--- a/tests/resp_test.cpp
+++ b/tests/resp_test.cpp
@@ -1,12 +1,13 @@
 // The RESP2 reader: whole, cut anywhere, too large, malformed.
-#include "resp/resp.h"
-
 #include <gtest/gtest.h>
 
 #include <cstring>
 #include <string>
 #include <vector>
 
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
+
 namespace cometfold::resp {
 namespace {
 
