--- a/src/explore/world_parts.h
+++ b/src/explore/world_parts.h
@@ -13,7 +13,8 @@
 
 #include "engine/controller_policy.h"
 #include "explore/world.h"
-#include "resp/resp.h"
+#include "resp/resp_reader.h"
+#include "resp/resp_writer.h"
 
 namespace cometfold::explore {
 
--- /dev/null
+++ b/src/resp/resp_handler.h
@@ -0,0 +1,77 @@
+// The downstream handler that speaks RESP2: turns commands into requests for the engine, and its answers into
+// replies. Pure.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <span>
+#include <string_view>
+#include <unordered_set>
+#include <utility>
+
+#include "engine/engine.h"
+#include "resp/client_connection.h"
+#include "resp/load_report.h"
+#include "resp/request_parser.h"
+
+namespace cometfold::resp {
+
+// Where replies go: the table of client connections. See `ClientConnection` for the calls of the same names.
+class ReplySink {
+ public:
+  virtual ~ReplySink() = default;
+  // `reply` is one whole RESP value. Does nothing if the client is gone. Must not call back.
+  virtual void send_reply(Ms now, ResponseHandle handle, std::string_view reply) = 0;
+  virtual void send_error(Ms now, ResponseHandle handle, std::string_view message) = 0;
+  virtual void start_value(Ms now, ResponseHandle handle, std::size_t size) = 0;
+  virtual bool append_value(Ms now, ResponseHandle handle, std::string_view bytes) = 0;
+  virtual void finish_value(Ms now, ResponseHandle handle) = 0;
+  // Whether the client has ended its connection, even if that has not been reported yet.
+  virtual bool client_disconnected(ResponseHandle) { return false; }
+};
+
+class RespHandler : public engine::DownstreamHandler {
+ public:
+  // `engine` and `replies` must outlive this object.
+  RespHandler(engine::Engine& engine, ReplySink& replies, CommandNames names);
+
+  // A command of a client. `CommandResult::request_id` is for `Engine::on_client_disconnected`.
+  // `elapsed_ms`: milliseconds of the client's timeout that have passed already.
+  CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words, Ms elapsed_ms = 0);
+  // Between these calls an answered request's identity stays taken: its reply is on its way to the client.
+  void on_reply_pending(std::uint64_t identity) { unflushed_identities_.insert(identity); }
+  void on_reply_flushed(std::uint64_t identity) { unflushed_identities_.erase(identity); }
+  // From here on PING is answered with PONG.
+  void set_ready() { ready_ = true; }
+  bool ready() const { return ready_; }
+  // While draining, PING is answered with an error, so that no new clients come.
+  void set_draining(bool draining) { draining_ = draining; }
+  // For commands from now on.
+  void set_names(CommandNames names) { names_ = std::move(names); }
+
+  void on_served(Ms now, ResponseHandle handle, std::string_view value) override;
+  void on_rejected(Ms now, ResponseHandle handle, Ms retry_after) override;
+  void on_failed(Ms now, ResponseHandle handle, engine::FailureReason reason) override;
+  void on_value_started(Ms now, ResponseHandle handle, std::size_t size) override {
+    replies_.start_value(now, handle, size);
+  }
+  bool on_value_chunk(Ms now, ResponseHandle handle, std::string_view bytes) override {
+    return replies_.append_value(now, handle, bytes);
+  }
+  void on_value_finished(Ms now, ResponseHandle handle) override { replies_.finish_value(now, handle); }
+  bool client_disconnected(ResponseHandle handle) override { return replies_.client_disconnected(handle); }
+
+ private:
+  CommandResult on_request(Ms now, ResponseHandle handle, std::span<const Item> words, Ms elapsed_ms);
+  void on_ping(Ms now, ResponseHandle handle, std::span<const Item> words);
+
+  engine::Engine& engine_;
+  ReplySink& replies_;
+  CommandNames names_;
+  bool ready_ = false;
+  bool draining_ = false;
+  std::unordered_set<std::uint64_t>
+      unflushed_identities_;  // bounded by the replies that clients have not read
+};
+
+}  // namespace cometfold::resp
--- /dev/null
+++ b/tests/client_connection_test.cpp
@@ -0,0 +1,225 @@
+// A client connection on a simulated stream: pending replies, the pace of reads, and the rules of closing.
+#include "resp/client_connection.h"
+
+#include <gtest/gtest.h>
+
+#include <cstring>
+#include <memory>
+#include <string>
+#include <utility>
+#include <vector>
+
+#include "emulators/words.h"
+
+namespace cometfold::resp {
+namespace {
+
+// A stream whose incoming bytes the test provides.
+class FakeStream : public Stream {
+ public:
+  explicit FakeStream(StreamCallbacks& callbacks) : callbacks_(callbacks) {}
+  // Delivers bytes for as long as the stream is read from. Returns how many were taken.
+  std::size_t arrive(Ms now, std::string_view bytes) {
+    std::size_t taken = 0;
+    while (taken < bytes.size() && std::exchange(read_pending_, false)) {
+      const auto chunk = std::min(bytes.size() - taken, space_.size());
+      std::memcpy(space_.data(), bytes.data() + taken, chunk);
+      taken += chunk;
+      callbacks_.on_read(now, chunk, false);
+    }
+    return taken;
+  }
+  WriteResult write(std::string_view bytes) override { return {bytes.size(), false, false}; }
+  void await_writable() override {}
+  void read(std::span<char> space) override {
+    space_ = space;
+    read_pending_ = true;
+  }
+  void await_peer_close() override {}
+  void post() override { ++posts; }
+  std::size_t unread_bytes() override { return unread; }
+  bool is_quiet() override { return true; }
+  bool peer_closed() override { return false; }
+  void shutdown_send() override {}
+  void close() override {}
+  int posts = 0;
+  std::size_t unread = 0;  // bytes that have arrived and are not read
+
+ private:
+  StreamCallbacks& callbacks_;
+  std::span<char> space_;
+  bool read_pending_ = false;
+};
+
+// Records commands and answers none of them.
+struct RecordingOwner : ClientConnectionCallbacks {
+  CommandResult on_command(Ms, ResponseHandle handle, std::span<const Item>, Ms elapsed_ms) override {
+    sequences.push_back(handle.sequence);
+    elapsed.push_back(elapsed_ms);
+    return {sequences.size(), sequences.size(), true};
+  }
+  void on_reply_pending(std::uint64_t) override {}
+  void on_reply_flushed(std::uint64_t) override {}
+  void on_client_disconnected(Ms, std::uint64_t) override {}
+  void on_closed(std::uint64_t) override {}
+  std::vector<std::uint64_t> sequences;
+  std::vector<Ms> elapsed;
+};
+
+// More commands arrive at once than may be pending, and all pending ones are answered in one event. The rest
+// is buffered and must be answered too, though it has not been dispatched yet.
+TEST(ClientConnection, IsNotEvictedWhileBufferedCommandsWait) {
+  RecordingOwner owner;
+  ClientTotals totals;
+  const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+  auto stream = std::make_unique<FakeStream>(*connection);
+  FakeStream& peer = *stream;
+  connection->start(std::move(stream));
+  std::string commands;
+  for (int i = 0; i < 70; ++i) commands += emulators::command({"PING"});
+  peer.arrive(1, commands);
+  ASSERT_EQ(owner.sequences.size(), 64u);
+  for (const auto sequence : std::vector(owner.sequences)) connection->send_reply(2, sequence, "+PONG\r\n");
+  ASSERT_EQ(owner.sequences.size(), 64u);  // the rest follows in the next event
+  EXPECT_EQ(connection->eviction_priority(), 0);
+  connection->on_posted(2);
+  EXPECT_EQ(owner.sequences.size(), 70u);
+  EXPECT_EQ(totals.forbidden_closes, 0u);
+  connection->close(3, CloseReason::kEvicted);
+  EXPECT_EQ(totals.forbidden_closes, 1u);  // forbidden, and counted
+  EXPECT_EQ(totals.closed_by_reason[static_cast<std::size_t>(CloseReason::kEvicted)], 0u);
+}
+
+// Commands of a paused client are read ahead within the limits of one connection and of all.
+TEST(ClientConnection, ReadsAheadOfAPausedClientWithinLimits) {
+  constexpr std::size_t kMaxOfOne = 512 * 1024, kMaxOfAll = 200 * 1024;
+  std::string commands;
+  for (int i = 0; i < 64; ++i) commands += emulators::command({"PING"});
+  const std::string more = commands + std::string(2 * kMaxOfOne, '*');
+  for (const bool scarce : {false, true}) {
+    RecordingOwner owner;
+    ClientTotals totals;
+    if (scarce) totals.max_buffered_bytes = kMaxOfAll;
+    const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+    auto stream = std::make_unique<FakeStream>(*connection);
+    FakeStream& peer = *stream;
+    connection->start(std::move(stream));
+    const std::size_t taken = peer.arrive(1, more);
+    EXPECT_EQ(owner.sequences.size(), 64u);
+    EXPECT_GE(taken, scarce ? kMaxOfAll / 4 : kMaxOfOne);
+    EXPECT_LE(taken, commands.size() + (scarce ? kMaxOfAll : kMaxOfOne));
+    EXPECT_LE(totals.buffered_bytes, scarce ? kMaxOfAll : kMaxOfOne);
+  }
+}
+
+// Answers a command of two words at once, with a large reply.
+struct LargeReplies : RecordingOwner {
+  CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words,
+                           Ms elapsed_ms) override {
+    const CommandResult result = RecordingOwner::on_command(now, handle, words, elapsed_ms);
+    if (words.size() == 1) return result;
+    connection->send_reply(now, handle.sequence, "+" + std::string(60'000, 'a') + "\r\n");
+    return {};
+  }
+  std::shared_ptr<ClientConnection> connection;
+};
+
+// More is buffered than may be answered at once, and all replies are written at once: no further event would
+// take up the rest.
+TEST(ClientConnection, ResumesBufferedCommandsWhenAllRepliesAreWrittenAtOnce) {
+  LargeReplies owner;
+  ClientTotals totals;
+  owner.connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+  auto stream = std::make_unique<FakeStream>(*owner.connection);
+  FakeStream& peer = *stream;
+  owner.connection->start(std::move(stream));
+  std::string commands;
+  for (int i = 0; i < 64; ++i) commands += emulators::command({"PING"});
+  for (int i = 0; i < 20; ++i) commands += emulators::command({"PING", "large"});
+  peer.arrive(1, commands);
+  ASSERT_EQ(owner.sequences.size(), 64u);
+  for (const auto sequence : std::vector(owner.sequences))
+    owner.connection->send_reply(2, sequence, "+PONG\r\n");
+  owner.connection->on_posted(2);
+  EXPECT_EQ(owner.sequences.size(), 84u);
+  owner.connection.reset();
+}
+
+// Each reason, and what forbids it.
+TEST(CloseRules, ForbidClosingWithPendingRepliesOrUnreadBytes) {
+  const ConnectionState inactive{.has_replied = true, .inactive_ms = 60'000, .command_awaited_ms = 60'000};
+  const auto with = [&](auto change) {
+    ConnectionState state = inactive;
+    change(state);
+    return state;
+  };
+  const std::initializer_list<CloseReason> own_reasons{CloseReason::kNoCommand,
+                                                       CloseReason::kIncompleteCommand, CloseReason::kIdle,
+                                                       CloseReason::kDrain, CloseReason::kEvicted};
+  for (const CloseReason reason : own_reasons) {
+    const auto meets = [&](ConnectionState& state) {
+      state.has_replied = reason != CloseReason::kNoCommand;
+      state.command_incomplete = reason == CloseReason::kIncompleteCommand;
+    };
+    EXPECT_TRUE(may_close(reason, with(meets))) << int(reason);
+    EXPECT_FALSE(may_close(reason, with([&](auto& state) {
+                             meets(state);
+                             state.reply_pending = true;
+                           })))
+        << int(reason);
+    EXPECT_FALSE(may_close(reason, with([&](auto& state) {
+                             meets(state);
+                             state.has_unread_bytes = true;
+                           })))
+        << int(reason);
+    if (reason == CloseReason::kEvicted) continue;
+    EXPECT_FALSE(may_close(reason, with([&](auto& state) {
+                             meets(state);
+                             state.inactive_ms = 99;
+                             state.command_awaited_ms = 99;
+                           })))
+        << int(reason);
+  }
+  for (const CloseReason reason : {CloseReason::kClientClosed, CloseReason::kWriteFailed}) {
+    EXPECT_TRUE(may_close(reason, with([](auto& state) {
+                            state.reply_pending = true;
+                            state.has_unread_bytes = true;
+                          })));
+  }
+  EXPECT_FALSE(may_close(CloseReason::kStalled, with([](auto& state) {
+                           state.reply_pending = true;
+                           state.inactive_ms = 9000;
+                         })));
+  EXPECT_FALSE(may_close(CloseReason::kAfterLastReply, inactive));
+  EXPECT_FALSE(may_close(CloseReason::kAfterLastReply, with([](auto& state) {
+                           state.send_closed = true;
+                           state.reply_pending = true;
+                         })));
+  EXPECT_FALSE(may_close(CloseReason::kIdle, with([](auto& state) { state.command_incomplete = true; })));
+  EXPECT_FALSE(may_close(CloseReason::kDrain, with([](auto& state) { state.command_incomplete = true; })));
+}
+
+// A short read leaves the rest of a command in the socket, where it has been since the read.
+TEST(ClientConnection, CountsElapsedTimeOfBytesLeftByAShortRead) {
+  RecordingOwner owner;
+  ClientTotals totals;
+  const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+  auto stream = std::make_unique<FakeStream>(*connection);
+  FakeStream& peer = *stream;
+  connection->start(std::move(stream));
+  const auto ping = emulators::command({"PING"});
+  peer.unread = ping.size() - 3;
+  peer.arrive(100, ping.substr(0, 3));
+  peer.unread = 0;
+  peer.arrive(400, ping.substr(3));
+  ASSERT_EQ(owner.elapsed.size(), 1u);
+  EXPECT_EQ(owner.elapsed[0], 300);
+  // A command whose rest was still on its way has arrived when that has.
+  peer.arrive(1000, ping.substr(0, 3));
+  peer.arrive(1400, ping.substr(3));
+  ASSERT_EQ(owner.elapsed.size(), 2u);
+  EXPECT_EQ(owner.elapsed[1], 0);
+}
+
+}  // namespace
+}  // namespace cometfold::resp
