--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,4 +1,4 @@
-// How long a caller of discovery waits before it calls again. Pure.
+// How long a caller of discovery waits before it calls again. Without I/O.
 #pragma once
 
 #include <algorithm>
@@ -7,65 +7,75 @@
 
 namespace cometfold::net {
 
-// What has become of a watch that is over.
-enum class WatchEnd : std::uint8_t {
-  kHeard,       // it had told something
-  kBroken,      // it told nothing: not up, silent, not to be read
-  kTurnedAway,  // the other side has said that it can't now
+// How a connection to discovery ended.
+enum class WatchResult : std::uint8_t {
+  kReceivedData,
+  kFailed,    // nothing was received: discovery is down, silent or not to be understood
+  kRejected,  // discovery is up and does not answer now
 };
 
-// Danger: a fleet that starts together and is turned away comes back together. With one bound for all, 48
-// gateways made 27 calls a second for ever and none got through. One that was turned away therefore waits
-// much longer each time; one whose agent is down does not, as the list is missed and nobody is pressed.
+// Exponential backoff that depends on how the last call ended and on how many gateways call the same
+// discovery.
 //
-// Danger: discovery works on calls whose callers have gone, so a hundred that come at once leave it seconds
-// behind, and all that come back before it has caught up make it seconds more: of 70 restarted together half
-// knew nothing new for 16 s. So the first calls of a large fleet are spread, and who is turned away comes
-// back after a time that grows with the fleet. Danger: a change counts as told 6 s after discovery had it; of
-// 321 gateways some waited 24 s and sent to hosts that drain. So both times are bounded.
+// A fleet that is rejected together must spread out, or its calls exceed what discovery takes each time: the
+// first calls of a large fleet and the delays after a rejection grow with the fleet. Where discovery is down
+// nobody is overloaded, so those delays stay short. All are bounded, as a change must reach each gateway
+// within 6 s.
 class Backoff {
  public:
-  // `gateway_count` call the same discovery; from 1.
-  explicit Backoff(double gateways = 1) : fleet_(std::clamp(gateways, 1.0, kMostGateways)) {}
+  // `gateway_count`: that call the same discovery, from 1.
+  explicit Backoff(double gateway_count = 1) : gateway_count_(std::clamp(gateway_count, 1.0, kMaxGateways)) {}
 
-  // Danger: what an agent on this machine has counts as told, and nobody else presses it: a gateway that
-  // waits a second and more with its call sends to hosts that drain. So no pause is long, whatever the watch
-  // died of.
-  static Backoff for_agent() {
+  // For an agent on this machine, which no other gateway calls: all delays are short.
+  static Backoff for_local_agent() {
     Backoff backoff;
-    backoff.agent_ = true;
+    backoff.local_agent_ = true;
     return backoff;
   }
 
-  // The first call of one that has a list is drawn evenly from nothing to this.
-  std::chrono::milliseconds spread() const {
-    const double span = 60 * std::max(fleet_ - kFewGateways, 0.0);
-    return std::min(std::chrono::milliseconds(static_cast<long>(span)), kLongestSpread);
+  // The first call of a gateway that has a list already is made after a time drawn evenly from 0 to this.
+  std::chrono::milliseconds max_initial_delay() const {
+    const double delay_ms = kInitialDelayPerGatewayMs * std::max(gateway_count_ - kSmallFleet, 0.0);
+    return std::min(std::chrono::milliseconds(static_cast<long>(delay_ms)), kMaxInitialDelay);
   }
 
-  // The pause is drawn evenly between half and one and a half of what this gives, in milliseconds.
-  std::chrono::milliseconds next(WatchEnd end) {
-    if (agent_) {
-      pause_ = end == WatchEnd::kHeard ? kFirst : kLongestAgent;
-    } else if (end == WatchEnd::kHeard) {
-      pause_ = kFirst;
-    } else if (end == WatchEnd::kTurnedAway) {
-      const std::chrono::milliseconds turn(static_cast<long>(50 * fleet_));  // of the whole fleet
-      pause_ = std::clamp(pause_ * 4, std::min(turn, kLongestAway), kLongestAway);
+  // The mean of the next delay, which is drawn evenly between half and one and a half of it.
+  std::chrono::milliseconds next_delay(WatchResult result) {
+    if (local_agent_) {
+      delay_ = result == WatchResult::kReceivedData ? kMinDelay : kMaxLocalAgentDelay;
+    } else if (result == WatchResult::kReceivedData) {
+      delay_ = kMinDelay;
+    } else if (result == WatchResult::kRejected) {
+      delay_ = std::clamp(delay_ * kRejectedGrowth, min_rejected_delay(), kMaxRejectedDelay);
     } else {
-      pause_ = std::min(pause_ * 2, kLongest);
+      delay_ = std::min(delay_ * kFailedGrowth, kMaxDelay);
     }
-    return pause_;
+    return delay_;
   }
 
-  static constexpr double kFewGateways = 16, kMostGateways = 1000;
-  static constexpr std::chrono::milliseconds kFirst{50}, kLongest{1000}, kLongestAway{2400},
-      kLongestSpread{3500}, kLongestAgent{100};
+  static constexpr double kSmallFleet = 16;  // gateways; up to so many need not spread their first calls
+  static constexpr double kMaxGateways = 1000;
+  static constexpr std::chrono::milliseconds kMinDelay{50};
+  static constexpr std::chrono::milliseconds kMaxDelay{1000};
+  static constexpr std::chrono::milliseconds kMaxRejectedDelay{2400};
+  static constexpr std::chrono::milliseconds kMaxInitialDelay{3500};
+  static constexpr std::chrono::milliseconds kMaxLocalAgentDelay{100};
 
  private:
-  double fleet_;
-  bool agent_ = false;
-  std::chrono::milliseconds pause_ = kFirst;
+  static constexpr double kInitialDelayPerGatewayMs = 60;
+  static constexpr double kRejectedDelayPerGatewayMs = 50;
+  static constexpr int kRejectedGrowth = 4;
+  static constexpr int kFailedGrowth = 2;
+
+  std::chrono::milliseconds min_rejected_delay() const {
+    const std::chrono::milliseconds whole_fleet(
+        static_cast<long>(kRejectedDelayPerGatewayMs * gateway_count_));
+    return std::min(whole_fleet, kMaxRejectedDelay);
+  }
+
+  double gateway_count_;
+  bool local_agent_ = false;
+  std::chrono::milliseconds delay_ = kMinDelay;
 };
 
 }  // namespace cometfold::net
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -174,8 +174,8 @@
 
 boost::asio::ip::tcp::endpoint endpoint_of(const std::string& text, const char* what) {
   try {
-    return read_endpoint(text);
-  } catch (const ListError& error) {
+    return parse_endpoint(text);
+  } catch (const HostListError& error) {
     throw ConfigError(std::string(what) + ": " + error.what());
   }
 }
@@ -198,8 +198,8 @@
   config.memory_mb = limit_at(limits->get_object(), "memory_mb");
   if (const auto* known = o.if_contains("known")) {
     try {
-      config.known = read_targets(*known);
-    } catch (const ListError& error) {
+      config.known = parse_host_list(*known);
+    } catch (const HostListError& error) {
       throw ConfigError(std::string("configuration: 'known': ") + error.what());
     }
   } else {
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "cometfold/admission_controller.h"
-#include "net/discovery.h"
+#include "net/host_list.h"
 #include "net/own_settings.h"
 
 namespace cometfold::net {
@@ -31,7 +31,7 @@
   std::uint64_t seed = 0;
   std::size_t sockets = 1024;
   std::size_t memory_mb = 192;
-  TargetList known;
+  HostList known;
 
   std::string settings_text;  // as they came, to tell whether they changed
   AdmissionSettings settings;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -98,9 +98,9 @@
 
 // Gateways that press the same discovery. Danger: where it pushes, its agent on this machine answers at once,
 // and what it has counts as told: waiting with the call let drained hosts have more.
-Discovery::Caller callers(const Config& config) {
-  if (!config.settings.host_watch_required) return {.gateways = 1, .agent = true};
-  return {.gateways = config.settings.gateway_count, .agent = false};
+DiscoveryLoad callers(const Config& config) {
+  if (!config.settings.host_watch_required) return {.gateway_count = 1, .local_agent = true};
+  return {.gateway_count = config.settings.gateway_count, .local_agent = false};
 }
 
 resp::CommandNames names_of(const Config& config) {
@@ -210,22 +210,22 @@
 // Danger: the wall clock may have been stepped before this process started, by seconds too. A start that it
 // puts before a word of discovery, which knew nothing of the host then, is taken to be just now; lists may
 // lag by a little.
-Ms Gateway::start_of(HostId id, const Target& target, const TargetList& list) {
+Ms Gateway::start_of(HostId id, const DiscoveredHost& target, const HostList& list) {
   const Ms now = clock_.now();
-  const bool by_change = !list.whole;
-  if (!target.boot_ms) return by_change ? now : 0;
-  const Ms started = clock_.from_unix(*target.boot_ms);
+  const bool by_change = !list.is_snapshot;
+  if (!target.boot_unix_ms) return by_change ? now : 0;
+  const Ms started = clock_.from_unix(*target.boot_unix_ms);
   if (started <= 0) return started;
   const bool late = by_change && now - started > kLateNews;
-  const bool was_known = departed_.holds(id, target.boot_ms);
+  const bool was_known = departed_.holds(id, target.boot_unix_ms);
   const bool impossible =
-      !was_known && list.news_since && started < clock_.from(*list.news_since) - kListsLag;
+      !was_known && list.changed_since && started < clock_.from(*list.changed_since) - kListsLag;
   return late || impossible ? now : started;
 }
 
-std::vector<HostEntry> Gateway::entries(const TargetList& list) {
+std::vector<HostEntry> Gateway::entries(const HostList& list) {
   std::vector<HostEntry> all;
-  for (const auto& t : list.targets) {
+  for (const auto& t : list.hosts) {
     const HostId id = host_number(t.uid);
     auto [it, fresh] = known_.try_emplace(id);
     Known& known = it->second;
@@ -234,19 +234,17 @@
       log_line("two hosts have the same number: one is left out", t.uid);
       continue;
     }
-    if (fresh || (t.boot_ms && known.boot_ms != t.boot_ms)) {
-      known = {t.uid, t.boot_ms, start_of(id, t, list)};
+    if (fresh || (t.boot_unix_ms && known.boot_ms != t.boot_unix_ms)) {
+      known = {t.uid, t.boot_unix_ms, start_of(id, t, list)};
     }
     HostEntry e;
     e.id = id;
-    e.state = t.state == TargetState::kActive    ? HostState::kReady
-              : t.state == TargetState::kLeaving ? HostState::kDraining
-                                                 : HostState::kRemoved;
+    e.state = t.state;
     e.started_at = known.started_at;
     e.kind = index_of(config_.kinds, t.kind);
     e.zone = known_index(config_.zones, t.zone);
     e.cell = t.cell;
-    e.size = t.size;
+    e.size = t.capacity;
     if (e.state == HostState::kReady) {
       hosts_.add(id, t.endpoint, e.started_at);
       if (processor_) processor_->processor().add(id, to_text(t.endpoint));
@@ -256,7 +254,7 @@
   return all;
 }
 
-void Gateway::apply(const TargetList& list, HostListUpdate kind) {
+void Gateway::apply(const HostList& list, HostListUpdate kind) {
   auto all = entries(list);
   if (kind == HostListUpdate::kSnapshot) {  // whoever is not named any more is gone
     std::unordered_set<HostId> named;
@@ -275,13 +273,13 @@
     }
     if (e.state == HostState::kRemoved) known_.erase(e.id);
   }
-  if (!list.targets.empty()) front_.set_ready();
+  if (!list.hosts.empty()) front_.set_ready();
   arm_timer();
 }
 
-void Gateway::on_targets(const TargetList& list) {
+void Gateway::on_host_list(const HostList& list) {
   told_ = true;
-  apply(list, list.whole ? HostListUpdate::kSnapshot : HostListUpdate::kDelta);
+  apply(list, list.is_snapshot ? HostListUpdate::kSnapshot : HostListUpdate::kDelta);
 }
 
 // ---- clients and hosts ----
@@ -340,7 +338,7 @@
   anew ? take_settings(config, numbered) : front_.set_names(names_of(config_));
   if (config.discovery != config_.discovery) {
     config_.discovery = config.discovery;
-    discovery_.move(config.discovery);
+    discovery_.set_address(config.discovery);
     log_line("discovery is now at", config.discovery.address().to_string());
   }
   if (config.own.processor_at.has_value() != (processor_ != nullptr)) {
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -31,7 +31,7 @@
 
 class Gateway : private ClientEvents,
                 private HostPoolCallbacks,
-                private DiscoveryEvents,
+                private DiscoveryCallbacks,
                 private ops::GatewayOperations {
  public:
   // `on_stopped` is called once, when all is settled after `begin_shutdown`.
@@ -62,7 +62,7 @@
   void on_room(std::uint64_t name) override { engine_.on_client_writable(clock_.now(), name); }
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                       std::string_view report) override;
-  void on_targets(const TargetList& list) override;
+  void on_host_list(const HostList& list) override;
 
   void on_value_started(Ms now, AttemptId attempt, std::size_t size) override {
     engine_.on_value_started(now, attempt, size);
@@ -92,9 +92,9 @@
   // One of two processes has half of what both may have.
   void share_limits(bool shared);
 
-  std::vector<HostEntry> entries(const TargetList& list);
-  Ms start_of(HostId id, const Target& target, const TargetList& list);
-  void apply(const TargetList& list, HostListUpdate kind);
+  std::vector<HostEntry> entries(const HostList& list);
+  Ms start_of(HostId id, const DiscoveredHost& target, const HostList& list);
+  void apply(const HostList& list, HostListUpdate kind);
   void arm_timer();
   void run_due();
   void await_stopped();
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -84,7 +84,7 @@
     const Config config = with_own_settings(read_config_file(options.check), options);
     if (config.own.processor_at) extproc::check(config.own.processor, processor_names(config));
     std::printf("%s: good: %zu classes, %zu plans, %zu hosts known\n", options.check.c_str(),
-                config.class_names.size(), config.plan_names.size(), config.known.targets.size());
+                config.class_names.size(), config.plan_names.size(), config.known.hosts.size());
     return 0;
   } catch (const std::exception& bad) {
     std::fprintf(stderr, "%s\n", bad.what());
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -122,10 +122,10 @@
   auto watch = agent.accept();
   watch_head(watch);
   EXPECT_LT(Steady::now() - first, 6s);
-  Backoff backoff = Backoff::for_agent();
-  for (const auto end :
-       {WatchEnd::kBroken, WatchEnd::kTurnedAway, WatchEnd::kTurnedAway, WatchEnd::kBroken}) {
-    EXPECT_LE(backoff.next(end), 100ms);
+  Backoff backoff = Backoff::for_local_agent();
+  for (const auto result :
+       {WatchResult::kFailed, WatchResult::kRejected, WatchResult::kRejected, WatchResult::kFailed}) {
+    EXPECT_LE(backoff.next_delay(result), 100ms);
   }
 }
 
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -99,7 +99,7 @@
       --left;
       continue;
     }
-    const auto pause = static_cast<double>(waits[who].next(WatchEnd::kTurnedAway).count());
+    const auto pause = static_cast<double>(waits[who].next_delay(WatchResult::kRejected).count());
     calls.emplace(now + pause / 2 + random() % static_cast<unsigned>(pause), who);
   }
   EXPECT_EQ(left, 0);
@@ -115,7 +115,8 @@
   std::vector<Backoff> waits(kStarted, Backoff(kFleet));
   std::multimap<double, int> calls;
   for (int i = 0; i < kStarted; ++i) {
-    calls.emplace(random() % std::max<unsigned>(1, static_cast<unsigned>(waits[i].spread().count())), i);
+    calls.emplace(
+        random() % std::max<unsigned>(1, static_cast<unsigned>(waits[i].max_initial_delay().count())), i);
   }
   double free_at = 0, last = 0;
   int made = 0;
@@ -129,7 +130,7 @@
       last = std::max(last, free_at);
       continue;
     }
-    const auto pause = static_cast<double>(waits[who].next(WatchEnd::kTurnedAway).count());
+    const auto pause = static_cast<double>(waits[who].next_delay(WatchResult::kRejected).count());
     calls.emplace(now + (away ? 0 : kWaits) + pause / 2 + random() % static_cast<unsigned>(pause), who);
   }
   EXPECT_TRUE(calls.empty());
@@ -142,9 +143,9 @@
 TEST(Backoff, InALargeFleetNoPauseIsAsLongAsSixSeconds) {
   for (const double fleet : {2, 100, 321, 1000}) {
     Backoff wait(fleet);
-    EXPECT_LE(wait.spread().count(), 4000) << fleet;
+    EXPECT_LE(wait.max_initial_delay().count(), 4000) << fleet;
     for (int i = 0; i < 20; ++i) {
-      EXPECT_LE(wait.next(WatchEnd::kTurnedAway).count() * 3 / 2, 4000) << fleet;
+      EXPECT_LE(wait.next_delay(WatchResult::kRejected).count() * 3 / 2, 4000) << fleet;
     }
   }
 }
@@ -164,8 +165,8 @@
 
 TEST(Backoff, OneWhoseAgentIsDownComesBackWithinTwoSeconds) {
   Backoff wait;
-  for (int i = 0; i < 20; ++i) EXPECT_LE(wait.next(WatchEnd::kBroken).count(), 1000);
-  EXPECT_EQ(wait.next(WatchEnd::kHeard), Backoff::kFirst);
+  for (int i = 0; i < 20; ++i) EXPECT_LE(wait.next_delay(WatchResult::kFailed).count(), 1000);
+  EXPECT_EQ(wait.next_delay(WatchResult::kReceivedData), Backoff::kMinDelay);
 }
 
 }  // namespace
