--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -9,8 +9,8 @@
 #include <string_view>
 #include <vector>
 
-#include "engine/engine.h"
 #include "engine/controller_policy.h"
+#include "engine/engine.h"
 #include "extproc/processor.h"
 #include "http2/grpc_server.h"
 
@@ -19,47 +19,47 @@
 using namespace cometfold;
 using namespace cometfold::extproc;
 
-struct Nobody : engine::HostSide {
+struct NoTransport : engine::UpstreamTransport {
   engine::StartResult start(Ms, engine::AttemptId, HostId, const engine::Payload&, Ms) override {
-    return engine::StartResult::kNoHost;
+    return engine::StartResult::kHostUnavailable;
   }
   bool abandon(Ms, engine::AttemptId) override { return true; }
   bool withdraw(Ms, engine::AttemptId) override { return false; }
-  void retire(Ms, HostId) override {}
+  void retire_host(Ms, HostId) override {}
 };
 
-Names names() {
-  Names n{{"lookup", "pay"}, {"team"}, {}};
-  n.settings.classes = {{2000, 6000, 1, 0, Repeat::kSafe, KeyGroup::kNone, 0},
-                        {2000, 6000, 1, 0, Repeat::kUnsafe, KeyGroup::kNone, 0}};
-  n.settings.plans.resize(1);
-  n.settings.plans[0].quota_rate = n.settings.plans[0].burst = 1e6;
-  n.settings.gateways = 1;
-  n.settings.max_attempts = 4;
-  n.settings.tick_ms = 4;
-  n.settings.overload_factor = 2;
-  n.settings.cold_from = 0.2;
-  n.settings.warm_after_ms = n.settings.fall_ms = 1000;
-  return n;
+NamedSettings names() {
+  NamedSettings named{{"lookup", "pay"}, {"team"}, {}};
+  named.settings.classes = {{2000, 6000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+                            {2000, 6000, 1, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0}};
+  named.settings.plans.resize(1);
+  named.settings.plans[0].quota_rate = named.settings.plans[0].quota_burst = 1e6;
+  named.settings.gateway_count = 1;
+  named.settings.max_attempts = 4;
+  named.settings.min_event_interval_ms = 4;
+  named.settings.overload_factor = 2;
+  named.settings.slow_start_initial_weight = 0.2;
+  named.settings.slow_start_duration_ms = named.settings.overload_window_ms = 1000;
+  return named;
 }
 
-extproc::Settings settings() {
-  extproc::Settings s;
-  s.repeats = Repeats::kMarked;
-  s.mapping.default_class = "lookup";
-  s.mapping.default_plan = "team";
-  s.mapping.default_customer = "c";
-  return s;
+extproc::ProcessorSettings settings() {
+  extproc::ProcessorSettings given;
+  given.proxy_retries = ProxyRetries::kMarked;
+  given.mapping.default_class = "lookup";
+  given.mapping.default_plan = "team";
+  given.mapping.default_customer = "c";
+  return given;
 }
 
-struct World : http2::grpc::Methods, http2::SessionEvents {
-  World() {
-    engine.add_hosts(processor);
+struct TestProcessor : http2::grpc::Methods, http2::SessionEvents {
+  TestProcessor() {
+    engine.add_upstream(processor);
     engine.start(now);
     for (HostId h = 1; h <= 2; ++h) {
-      processor.add(h, "127.0.0.1:1");
+      processor.add_host(h, "127.0.0.1:1");
       const HostEntry entry{.id = h};
-      engine.on_list(now, ListKind::kChanges, {&entry, 1});
+      engine.on_host_list(now, HostListUpdate::kDelta, {&entry, 1});
     }
   }
   http2::grpc::Service* find(std::string_view path) override {
@@ -72,28 +72,28 @@
   void pass(Ms ms) {
     const Ms until = now + ms;
     for (;;) {
-      auto due = engine.next_due();
-      if (const auto fetch = processor.next_due(); fetch && (!due || *fetch < *due)) due = fetch;
+      auto due = engine.next_timer();
+      if (const auto fetch = processor.next_timer(); fetch && (!due || *fetch < *due)) due = fetch;
       if (!due || *due > until) break;
       now = std::max(now, *due);
-      engine.run_due(now);
-      processor.run_due(now);
+      engine.run_timers(now);
+      processor.run_timers(now);
     }
     now = until;
   }
   void expect_empty() {
     pass(20'000);
-    if (engine.held() != 0 || engine.owed() != 0 || processor.open() != 0) std::abort();
+    if (engine.open_count() != 0 || engine.unanswered_count() != 0 || processor.open() != 0) std::abort();
   }
 
   Ms now = 1e6;
-  engine::ControlModule module{names().settings, 1};
-  Nobody nobody;
-  engine::Engine engine{module, nobody, {}, [](std::string_view, std::string_view) {}};
+  engine::ControllerPolicy module{names().settings, 1};
+  NoTransport transport;
+  engine::Engine engine{module, transport, {}, [](std::string_view, std::string_view) {}};
   Processor processor{engine, names(), settings(), 3};
 };
 
-void as_connection(World& world, std::string_view bytes) {
+void as_connection(TestProcessor& world, std::string_view bytes) {
   http2::grpc::ServerLimits limits;
   limits.message_bytes = 4096;
   http2::grpc::Connection connection(limits, world, world, world.now);
@@ -127,7 +127,7 @@
   bool finished = false;
 };
 
-void as_messages(World& world, std::string_view bytes) {
+void as_messages(TestProcessor& world, std::string_view bytes) {
   std::vector<std::unique_ptr<Sink>> sinks;
   std::vector<std::unique_ptr<http2::grpc::CallEvents>> calls;
   for (int i = 0; i < 3; ++i) {
@@ -147,8 +147,8 @@
     if (what & 8) world.pass(50);
     if ((what & 48) == 48) {
       const HostEntry entry{.id = 1, .state = what & 4 ? HostState::kDraining : HostState::kReady};
-      if (entry.state == HostState::kReady) world.processor.add(1, "127.0.0.1:1");
-      world.engine.on_list(world.now, ListKind::kChanges, {&entry, 1});
+      if (entry.state == HostState::kReady) world.processor.add_host(1, "127.0.0.1:1");
+      world.engine.on_host_list(world.now, HostListUpdate::kDelta, {&entry, 1});
     }
     if ((what & 48) == 32) {
       calls[at]->on_gone(world.now);
@@ -164,7 +164,7 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  World world;
+  TestProcessor world;
   data[0] % 2 ? as_messages(world, bytes) : as_connection(world, bytes);
   world.expect_empty();
   return 0;
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -12,7 +12,7 @@
 protobuf=$(find /usr/lib -name libprotobuf-lite.a | head -1)
 case $target in
 processor)
-  sources=("$root"/src/admission/*.cpp "$root"/src/engine/engine.cpp "$root"/src/http2/*.cpp "$root"/src/extproc/*.cpp
+  sources=("$root"/src/admission/*.cpp "$root"/src/engine/*.cpp "$root"/src/http2/*.cpp "$root"/src/extproc/*.cpp
            "$root"/src/json/boost_json.cpp "$2/generated/external_processor.pb.cc")
   libraries=("$nghttp2" "$protobuf")
   ;;
