--- a/src/explore/sights.cpp
+++ b/src/explore/coverage.cpp
@@ -1,9 +1,9 @@
-#include "explore/world.h"
+#include "explore/coverage.h"
 
 namespace cometfold::explore {
 
-const char* name_of(CoverageGoal sight) {
-  switch (sight) {
+const char* name_of(CoverageGoal goal) {
+  switch (goal) {
     case CoverageGoal::kHedgedAttemptInFlight:
       return "a second copy out";
     case CoverageGoal::kThirdAttempt:
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -4,195 +4,201 @@
 #include <array>
 #include <atomic>
 #include <chrono>
-#include <functional>
+#include <iterator>
 #include <mutex>
 #include <stdexcept>
 #include <thread>
 #include <unordered_set>
 #include <utility>
 
+#include "explore/chooser.h"
 #include "explore/world.h"
 
 namespace cometfold::explore {
 
 namespace {
 
-constexpr std::array<const char*, engine::kMutantCount> kMutantNames = {"none",
-                                                                        "answers-twice",
-                                                                        "resends-after-reset",
-                                                                        "forgets-waiting-drain",
-                                                                        "sends-after-answer",
-                                                                        "serves-late-answer",
-                                                                        "ignores-noise",
-                                                                        "loses-gone-client",
-                                                                        "forgets-deadline",
-                                                                        "loses-thrown-request",
-                                                                        "serves-spoilt",
-                                                                        "skips-retire-on-throw",
-                                                                        "shares-identity",
-                                                                        "answers-out-of-order",
-                                                                        "stops-without-settling",
-                                                                        "keeps-identity",
-                                                                        "reads-on-after-spoilt",
-                                                                        "frees-identity-early",
-                                                                        "reports-end-twice"};
-
-// The fingerprints seen, in parts so that threads seldom wait for each other.
-class Seen {
+// Activates a deliberate fault on this thread for as long as it lives.
+class ActiveMutant {
  public:
-  bool add(std::uint64_t print) {
-    Part& part = parts_[print % kParts];
-    const std::lock_guard lock(part.mutex);
-    return part.prints.insert(print).second;
+  explicit ActiveMutant([[maybe_unused]] engine::Mutant mutant) {
+#ifdef COMETFOLD_MUTANTS
+    engine::active_mutant = mutant;
+#else
+    if (mutant != engine::Mutant::kNone) throw std::runtime_error("this build has no mutants");
+#endif
   }
+  ~ActiveMutant() {
+#ifdef COMETFOLD_MUTANTS
+    engine::active_mutant = engine::Mutant::kNone;
+#endif
+  }
+  ActiveMutant(const ActiveMutant&) = delete;
+  ActiveMutant& operator=(const ActiveMutant&) = delete;
+};
+
+// The fingerprints seen so far, in shards so that threads seldom wait for each other.
+class VisitedStates {
+ public:
+  bool add(std::uint64_t fingerprint) {
+    Shard& shard = shards_[fingerprint % kShards];
+    const std::lock_guard lock(shard.mutex);
+    return shard.fingerprints.insert(fingerprint).second;
+  }
+  // Only while no thread adds.
   std::size_t size() const {
-    std::size_t n = 0;
-    for (const auto& part : parts_) n += part.prints.size();
-    return n;
+    std::size_t total = 0;
+    for (const auto& shard : shards_) total += shard.fingerprints.size();
+    return total;
   }
 
  private:
-  static constexpr std::size_t kParts = 64;
-  struct Part {
+  static constexpr std::size_t kShards = 64;
+  struct Shard {
     std::mutex mutex;
-    std::unordered_set<std::uint64_t> prints;
+    std::unordered_set<std::uint64_t> fingerprints;
   };
-  std::array<Part, kParts> parts_;
+  std::array<Shard, kShards> shards_;
 };
 
-struct Found {
+struct Counterexample {
   ChoicePath path;
-  rules::Violation breach;
+  rules::Violation violation;
 };
 
-// What one thread adds up in one layer.
-struct Tally {
-  std::vector<ChoicePath> next;
-  std::size_t transitions = 0, ends = 0, cut_off = 0;
-  Coverage sights = 0;
-  std::optional<Found> found;  // the least path
+// What one thread collects at one depth.
+struct Statistics {
+  std::vector<ChoicePath> frontier;  // paths to the new states
+  std::size_t transitions = 0;
+  std::size_t terminal_runs = 0;
+  std::size_t truncated_states = 0;
+  Coverage coverage = 0;
+  std::optional<Counterexample> counterexample;  // the least path
 };
 
-// All events that can follow `path`, with all choices made inside them.
-void expand(const Scenario& scenario, const ChoicePath& path, std::size_t events, Seen& seen, Tally& tally) {
-  std::vector<ChoicePath> todo{{}};
-  while (!todo.empty()) {
-    const ChoicePath more = std::move(todo.back());
-    todo.pop_back();
+void keep_least(std::optional<Counterexample>& least, const Counterexample& other) {
+  if (!least || other.path < least->path) least = other;
+}
+
+// Adds the alternatives at the choice points that a run passed freely, after the first `fixed` of its path.
+// Paths in `pending` are relative to the first `base` choices.
+void add_alternatives(const Chooser& chooser, std::size_t base, std::size_t fixed,
+                      std::vector<ChoicePath>& pending) {
+  const ChoicePath& taken = chooser.path_taken();
+  for (std::size_t i = fixed; i < taken.size(); ++i) {
+    for (std::uint8_t option = 1; option < chooser.free_option_counts()[i - fixed]; ++option) {
+      ChoicePath alternative(taken.begin() + static_cast<std::ptrdiff_t>(base),
+                             taken.begin() + static_cast<std::ptrdiff_t>(i));
+      alternative.push_back(option);
+      pending.push_back(std::move(alternative));
+    }
+  }
+}
+
+// Plays all events that can follow `path`, which has `events` of them, with all choices made inside them.
+void expand(const Scenario& scenario, const ChoicePath& path, std::size_t events, VisitedStates& visited,
+            Statistics& statistics) {
+  std::vector<ChoicePath> pending{{}};
+  while (!pending.empty()) {
+    const ChoicePath suffix = std::move(pending.back());
+    pending.pop_back();
     Chooser chooser(path);
     World world(scenario, chooser);
     for (std::size_t i = 0; i < events; ++i) world.step();
-    chooser.extend(more);
-    const bool went = world.step();
+    chooser.extend(suffix);
+    const bool stepped = world.step();
     if (!chooser.error().empty()) throw std::logic_error(chooser.error());
-    const ChoicePath& taken = chooser.path_taken();
-    // The alternatives at the choices that this run made freely.
-    const std::size_t fixed = path.size() + more.size();
-    for (std::size_t i = fixed; i < taken.size(); ++i) {
-      for (std::uint8_t other = 1; other < chooser.free_option_counts()[i - fixed]; ++other) {
-        ChoicePath alternative(taken.begin() + static_cast<std::ptrdiff_t>(path.size()),
-                               taken.begin() + static_cast<std::ptrdiff_t>(i));
-        alternative.push_back(other);
-        todo.push_back(std::move(alternative));
-      }
-    }
+    add_alternatives(chooser, path.size(), path.size() + suffix.size(), pending);
     if (world.violation()) {
-      if (!tally.found || taken < tally.found->path) tally.found = {taken, *world.violation()};
-    } else if (!went) {
-      ++(world.truncated() ? tally.cut_off : tally.ends);
+      keep_least(statistics.counterexample, {chooser.path_taken(), *world.violation()});
+    } else if (!stepped) {
+      ++(world.truncated() ? statistics.truncated_states : statistics.terminal_runs);
       continue;
     }
-    ++tally.transitions;
-    tally.sights |= world.coverage();
-    if (went && seen.add(world.fingerprint())) tally.next.push_back(taken);
+    ++statistics.transitions;
+    statistics.coverage |= world.coverage();
+    if (stepped && visited.add(world.fingerprint())) statistics.frontier.push_back(chooser.path_taken());
   }
 }
 
-}  // namespace
-
-std::string name_of(engine::Mutant mutant) { return kMutantNames[static_cast<std::size_t>(mutant)]; }
-
-std::optional<engine::Mutant> mutant_named(const std::string& name) {
-  const auto it = std::find(kMutantNames.begin(), kMutantNames.end(), name);
-  if (it == kMutantNames.end()) return {};
-  return static_cast<engine::Mutant>(it - kMutantNames.begin());
+// Expands all states of one depth on several threads; one result for each thread.
+std::vector<Statistics> expand_layer(const Scenario& scenario, engine::Mutant mutant, unsigned thread_count,
+                                     const std::vector<ChoicePath>& layer, std::size_t events,
+                                     VisitedStates& visited) {
+  constexpr std::size_t kChunkSize = 16;
+  std::vector<Statistics> statistics(thread_count);
+  std::atomic<std::size_t> next_chunk{0};
+  std::vector<std::jthread> threads;
+  for (auto& own : statistics) {
+    threads.emplace_back([&] {
+      const ActiveMutant active(mutant);
+      for (std::size_t from; (from = next_chunk.fetch_add(kChunkSize)) < layer.size();) {
+        const auto to = std::min(from + kChunkSize, layer.size());
+        for (std::size_t i = from; i < to; ++i) expand(scenario, layer[i], events, visited, own);
+      }
+    });
+  }
+  threads.clear();  // joins all
+  return statistics;
 }
 
-void set_mutant([[maybe_unused]] engine::Mutant mutant) {
-#ifdef COMETFOLD_MUTANTS
-  engine::active_mutant = mutant;
-#else
-  if (mutant != engine::Mutant::kNone) throw std::runtime_error("this build has no mutants");
-#endif
+// The labels of the choices on a path.
+std::vector<std::string> labels_of(const Scenario& scenario, engine::Mutant mutant, const ChoicePath& path) {
+  const ActiveMutant active(mutant);
+  std::vector<std::string> labels;
+  Chooser chooser(path);
+  chooser.on_choice = [&](const std::string& label) { labels.push_back(label); };
+  World world(scenario, chooser);
+  bool stepped = true;
+  while (stepped && !chooser.at_end()) stepped = world.step();
+  return labels;
 }
 
-ExplorationResult explore(const Scenario& scenario, engine::Mutant mutant, const ExplorationLimits& effort) {
-  const auto began = std::chrono::steady_clock::now();
+}  // namespace
+
+ExplorationResult explore(const Scenario& scenario, engine::Mutant mutant, const ExplorationLimits& limits) {
+  const auto started_at = std::chrono::steady_clock::now();
   ExplorationResult result;
-  Seen seen;
+  VisitedStates visited;
   std::vector<ChoicePath> layer{{}};
-  std::optional<Found> found;
-  for (std::size_t events = 0; !layer.empty() && !found; ++events) {
-    std::vector<Tally> tallies(effort.threads);
-    std::atomic<std::size_t> next{0};
-    std::vector<std::jthread> threads;
-    for (auto& tally : tallies) {
-      threads.emplace_back([&] {
-        set_mutant(mutant);
-        constexpr std::size_t kChunk = 16;
-        for (std::size_t from; (from = next.fetch_add(kChunk)) < layer.size();) {
-          const auto to = std::min(from + kChunk, layer.size());
-          for (std::size_t i = from; i < to; ++i) expand(scenario, layer[i], events, seen, tally);
-        }
-      });
-    }
-    threads.clear();  // waits for all
+  std::optional<Counterexample> counterexample;
+  for (std::size_t events = 0; !layer.empty() && !counterexample && result.complete; ++events) {
+    auto statistics = expand_layer(scenario, mutant, limits.threads, layer, events, visited);
     layer.clear();
-    for (auto& tally : tallies) {
-      result.transitions += tally.transitions;
-      result.terminal_runs += tally.ends;
-      result.coverage |= tally.sights;
-      result.truncated_states += tally.cut_off;
-      if (tally.found && (!found || tally.found->path < found->path)) found = tally.found;
-      std::move(tally.next.begin(), tally.next.end(), std::back_inserter(layer));
+    for (auto& own : statistics) {
+      result.transitions += own.transitions;
+      result.terminal_runs += own.terminal_runs;
+      result.truncated_states += own.truncated_states;
+      result.coverage |= own.coverage;
+      if (own.counterexample) keep_least(counterexample, *own.counterexample);
+      std::move(own.frontier.begin(), own.frontier.end(), std::back_inserter(layer));
     }
     if (!layer.empty()) result.max_depth = events + 1;
-    if (found) result.counterexample_events = events + 1;
-    if (seen.size() > effort.max_states) {
-      result.complete = false;
-      break;
-    }
+    if (counterexample) result.counterexample_events = events + 1;
+    result.complete = visited.size() <= limits.max_states;
   }
-  result.states = seen.size();
-  result.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - began).count();
-  if (found) {
-    result.violation = found->breach;
-    set_mutant(mutant);
-    Chooser chooser(found->path);
-    chooser.on_choice = [&](const std::string& label) { result.counterexample.push_back(label); };
-    World world(scenario, chooser);
-    while (!chooser.at_end() && world.step()) {
-    }
-    set_mutant(engine::Mutant::kNone);
+  result.states = visited.size();
+  result.seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - started_at).count();
+  if (counterexample) {
+    result.violation = counterexample->violation;
+    result.counterexample = labels_of(scenario, mutant, counterexample->path);
   }
   return result;
 }
 
 std::optional<rules::Violation> replay(const Scenario& scenario, engine::Mutant mutant,
                                        const std::vector<std::string>& trace,
-                                       const std::function<void(const std::string&)>& say, TraceMatch fit) {
-  set_mutant(mutant);
+                                       const std::function<void(const std::string&)>& log, TraceMatch match) {
+  const ActiveMutant active(mutant);
   Chooser chooser(trace);
-  if (say) chooser.on_choice = say;
-  World world(scenario, chooser, say);
-  while (!chooser.at_end() && chooser.error().empty() && world.step()) {
-  }
-  const std::string fault = chooser.error();
-  // What a trace leaves open is played to its plain end, so that a breach by omission shows.
-  while (world.step()) {
-  }
-  set_mutant(engine::Mutant::kNone);
-  if (fit == TraceMatch::kStrict && !fault.empty()) throw std::runtime_error(fault);
+  if (log) chooser.on_choice = log;
+  World world(scenario, chooser, log);
+  bool stepped = true;
+  while (stepped && !chooser.at_end() && chooser.error().empty()) stepped = world.step();
+  const std::string error = chooser.error();
+  // Played to the end, so that a violation by omission shows.
+  while (stepped) stepped = world.step();
+  if (match == TraceMatch::kStrict && !error.empty()) throw std::runtime_error(error);
   return world.violation();
 }
 
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -1,136 +1,207 @@
-// cometfold-explore: every run of small configurations, judged by the five rules.
+// cometfold-explore: plays every run of small configurations and checks the five rules on each.
 #include <CLI/CLI.hpp>
-#include <boost/json.hpp>
 #include <cstdio>
-#include <fstream>
 #include <iostream>
 #include <stdexcept>
 #include <string>
+#include <utility>
+#include <vector>
 
+#include "explore/coverage.h"
 #include "explore/explorer.h"
+#include "explore/mutant_names.h"
+#include "explore/scenario.h"
 #include "explore/trace.h"
-#include "explore/world.h"
 
 namespace {
 
 using namespace cometfold::explore;
 using cometfold::engine::Mutant;
 
-void print_head() {
+struct Options {
+  bool small = false;
+  bool list = false;
+  bool hunt = false;
+  std::string only;
+  std::string mutant = "none";
+  std::string out;
+  std::string replay;
+  ExplorationLimits limits;
+  // Instead of the scenario's; -1 or 0: the scenario's.
+  int faults = -1;
+  std::size_t hosts = 0;
+  std::size_t requests = 0;
+  std::size_t attempts = 0;
+};
+
+void add_options(CLI::App& app, Options& options) {
+  app.add_flag("--small", options.small, "fewer faults at once; ends within a minute");
+  app.add_flag("--list", options.list, "name the scenarios and mutants, and exit");
+  app.add_option("--only", options.only, "explore this scenario alone");
+  app.add_option("--mutant", options.mutant,
+                 "explore an engine with a deliberate fault (where mutants are built in)");
+  app.add_flag("--hunt", options.hunt,
+               "for each mutant, find the scenario and the shortest trace that shows it");
+  app.add_option("--threads", options.limits.threads, "threads")->check(CLI::Range(1U, 64U));
+  app.add_option("--most-states", options.limits.max_states, "give up a scenario beyond so many states");
+  app.add_option("--faults", options.faults, "faults in a run, instead of the scenario's")
+      ->check(CLI::Range(0, 6));
+  app.add_option("--hosts", options.hosts, "hosts, instead of the scenario's")->check(CLI::Range(1, 4));
+  app.add_option("--requests", options.requests, "requests, instead of the scenario's")
+      ->check(CLI::Range(1, 4));
+  app.add_option("--attempts", options.attempts, "attempts of a request, instead of the scenario's")
+      ->check(CLI::Range(1, 6));
+  app.add_option("--out", options.out, "write counterexamples here, as DIR/SCENARIO--MUTANT.jsonl");
+  app.add_option("--replay", options.replay,
+                 "play a counterexample with every event and action; 1 if a rule is broken");
+}
+
+void print_header() {
   std::printf("%-24s %-24s %10s %12s %8s %9s %9s %8s  %s\n", "scenario", "mutant", "states", "transitions",
               "deepest", "ends", "cut off", "seconds", "verdict");
 }
 
-void print_result(const Scenario& s, Mutant mutant, const ExplorationResult& r) {
-  std::string verdict = r.violation ? "BROKEN after " + std::to_string(r.counterexample_events) +
-                                          " events: " + r.violation->rule
-                        : r.complete ? "all rules hold"
-                                     : "no breach, not complete";
-  std::printf("%-24s %-24s %10zu %12zu %8zu %9zu %9zu %8.1f  %s\n", s.name.c_str(), name_of(mutant).c_str(),
-              r.states, r.transitions, r.max_depth, r.terminal_runs, r.truncated_states, r.seconds,
-              verdict.c_str());
+std::string verdict_of(const ExplorationResult& result) {
+  if (result.violation) {
+    return "BROKEN after " + std::to_string(result.counterexample_events) +
+           " events: " + result.violation->rule;
+  }
+  return result.complete ? "all rules hold" : "no breach, not complete";
+}
+
+void print_result(const Scenario& scenario, Mutant mutant, const ExplorationResult& result) {
+  std::printf("%-24s %-24s %10zu %12zu %8zu %9zu %9zu %8.1f  %s\n", scenario.name.c_str(),
+              name_of(mutant).c_str(), result.states, result.transitions, result.max_depth,
+              result.terminal_runs, result.truncated_states, result.seconds, verdict_of(result).c_str());
   std::fflush(stdout);
 }
 
-// What the scenarios were through, with the first that was.
-void print_sights(const std::vector<std::pair<std::string, Coverage>>& seen) {
+// Each goal with the scenarios that reached it.
+void print_coverage(const std::vector<std::pair<std::string, Coverage>>& by_scenario) {
   std::printf("\n%-60s %s\n", "been through", "in");
   for (unsigned i = 0; i < static_cast<unsigned>(CoverageGoal::kCount); ++i) {
-    std::string where;
-    for (const auto& [name, sights] : seen) {
-      if (sights >> i & 1) where += " " + name;
+    const auto goal = static_cast<CoverageGoal>(i);
+    std::string reached_in;
+    for (const auto& [scenario, coverage] : by_scenario) {
+      if ((coverage & coverage_bit(goal)) != 0) reached_in += " " + scenario;
     }
-    std::printf("%-60s%s\n", name_of(static_cast<CoverageGoal>(i)),
-                where.empty() ? " nowhere" : where.c_str());
+    std::printf("%-60s%s\n", name_of(goal), reached_in.empty() ? " nowhere" : reached_in.c_str());
   }
 }
 
+// Returns the exit code: 1 if a rule is broken.
 int run_replay(const std::string& file) {
   const Trace trace = read_trace(file);
-  const auto breach = replay(trace.scenario, trace.mutant, trace.choices,
-                             [](const std::string& line) { std::printf("%s\n", line.c_str()); });
-  std::printf("%s\n", breach ? "" : "no rule is broken");
-  return breach ? 1 : 0;
+  const auto violation = replay(trace.scenario, trace.mutant, trace.choices,
+                                [](const std::string& line) { std::printf("%s\n", line.c_str()); });
+  std::printf("%s\n", violation ? "" : "no rule is broken");
+  return violation ? 1 : 0;
+}
+
+std::vector<Mutant> all_mutants() {
+  std::vector<Mutant> mutants;
+  for (int i = 1; i < cometfold::engine::kMutantCount; ++i) mutants.push_back(static_cast<Mutant>(i));
+  return mutants;
+}
+
+void print_list(const std::vector<Scenario>& all) {
+  for (const auto& scenario : all) {
+    std::printf("%-24s %s\n", scenario.name.c_str(), scenario.description.c_str());
+  }
+  for (const auto mutant : all_mutants()) std::printf("mutant %s\n", name_of(mutant).c_str());
+}
+
+std::vector<Scenario> selected_scenarios(const Options& options) {
+  auto selected = scenarios(options.small);
+  if (!options.only.empty()) {
+    const auto* one = find_scenario(selected, options.only);
+    if (!one) throw std::runtime_error("--only " + options.only + ": no such scenario; --list names them");
+    selected = {Scenario(*one)};
+  }
+  for (auto& scenario : selected) {
+    if (options.faults >= 0) scenario.max_faults = options.faults;
+    if (options.hosts > 0) scenario.host_count = options.hosts;
+    if (options.attempts > 0) scenario.max_attempts = static_cast<double>(options.attempts);
+    if (options.requests > 0) scenario.requests.assign(options.requests, scenario.requests.front());
+  }
+  return selected;
+}
+
+std::vector<Mutant> selected_mutants(const Options& options) {
+  const auto mutant = mutant_named(options.mutant);
+  if (!mutant) {
+    throw std::runtime_error("--mutant " + options.mutant + ": no such mutant; --list names them");
+  }
+  return options.hunt ? all_mutants() : std::vector<Mutant>{*mutant};
+}
+
+void report_counterexample(const Options& options, const Scenario& scenario, Mutant mutant,
+                           const ExplorationResult& result) {
+  const Trace trace{scenario, mutant, result.counterexample, *result.violation};
+  if (!options.out.empty()) {
+    write_trace(options.out + "/" + scenario.name + "--" + name_of(mutant) + ".jsonl", trace);
+  }
+  if (!options.hunt) std::cout << to_text(trace);
+}
+
+// For each mutant the first scenario that shows it. Returns the exit code: 1 if a mutant is not found.
+int run_hunt(const Options& options) {
+  const auto selected = selected_scenarios(options);
+  const auto mutants = selected_mutants(options);
+  bool all_found = true;
+  print_header();
+  for (const auto mutant : mutants) {
+    bool found = false;
+    for (std::size_t i = 0; i < selected.size() && !found; ++i) {
+      const auto result = explore(selected[i], mutant, options.limits);
+      if (!result.violation) continue;
+      found = true;
+      print_result(selected[i], mutant, result);
+      report_counterexample(options, selected[i], mutant, result);
+    }
+    if (!found) std::printf("%-24s %-24s NOT FOUND\n", "-", name_of(mutant).c_str());
+    all_found = all_found && found;
+  }
+  return all_found ? 0 : 1;
+}
+
+// Returns the exit code: 1 if a rule is broken in some scenario.
+int run_exploration(const Options& options) {
+  const auto selected = selected_scenarios(options);
+  const Mutant mutant = selected_mutants(options).front();
+  bool broken = false;
+  std::vector<std::pair<std::string, Coverage>> coverage;
+  print_header();
+  for (const auto& scenario : selected) {
+    const auto result = explore(scenario, mutant, options.limits);
+    coverage.emplace_back(scenario.name, result.coverage);
+    print_result(scenario, mutant, result);
+    if (!result.violation) continue;
+    broken = true;
+    report_counterexample(options, scenario, mutant, result);
+  }
+  print_coverage(coverage);
+  return broken ? 1 : 0;
+}
+
+int run(const Options& options) {
+  if (!options.replay.empty()) return run_replay(options.replay);
+  if (options.list) {
+    print_list(scenarios(options.small));
+    return 0;
+  }
+  return options.hunt ? run_hunt(options) : run_exploration(options);
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
   CLI::App app{"Plays the real engine and connections through every interleaving of small configurations."};
-  bool small = false, list = false, hunt = false;
-  std::string only, file, mutant_name = "none", out;
-  ExplorationLimits effort;
-  int faults = -1;
-  std::size_t hosts = 0, requests = 0, attempts = 0;
-  app.add_flag("--small", small, "fewer troubles at once; ends within a minute");
-  app.add_flag("--list", list, "name the scenarios and mutants, and stop");
-  app.add_option("--only", only, "explore this scenario alone");
-  app.add_option("--mutant", mutant_name,
-                 "explore a deliberately broken engine (where mutants are built in)");
-  app.add_flag("--hunt", hunt, "for each mutant, find the scenario and the shortest trace that shows it");
-  app.add_option("--threads", effort.threads, "threads")->check(CLI::Range(1U, 64U));
-  app.add_option("--most-states", effort.max_states, "give up a scenario beyond so many states");
-  app.add_option("--faults", faults, "troubles in a run, instead of the scenario's")->check(CLI::Range(0, 6));
-  app.add_option("--hosts", hosts, "hosts, instead of the scenario's")->check(CLI::Range(1, 4));
-  app.add_option("--requests", requests, "requests, instead of the scenario's")->check(CLI::Range(1, 4));
-  app.add_option("--attempts", attempts, "attempts of a request, instead of the scenario's")
-      ->check(CLI::Range(1, 6));
-  app.add_option("--out", out, "write counterexamples here, as DIR/SCENARIO--MUTANT.jsonl");
-  app.add_option("--replay", file,
-                 "play a counterexample with every event and action; 1 if a rule is broken");
+  Options options;
+  add_options(app, options);
   CLI11_PARSE(app, argc, argv);
   try {
-    if (!file.empty()) return run_replay(file);
-    auto all = scenarios(small);
-    if (list) {
-      for (const auto& s : all) std::printf("%-24s %s\n", s.name.c_str(), s.description.c_str());
-      for (int m = 1; m < cometfold::engine::kMutantCount; ++m) {
-        std::printf("mutant %s\n", name_of(static_cast<Mutant>(m)).c_str());
-      }
-      return 0;
-    }
-    if (!only.empty()) {
-      const auto* one = find_scenario(all, only);
-      if (!one) throw std::runtime_error("--only " + only + ": no such scenario; --list names them");
-      all = {Scenario(*one)};
-    }
-    for (auto& s : all) {
-      if (faults >= 0) s.max_faults = faults;
-      if (hosts > 0) s.host_count = hosts;
-      if (attempts > 0) s.max_attempts = static_cast<double>(attempts);
-      if (requests > 0) s.requests.assign(requests, s.requests.front());
-    }
-    const auto mutant = mutant_named(mutant_name);
-    if (!mutant) throw std::runtime_error("--mutant " + mutant_name + ": no such mutant; --list names them");
-    std::vector<Mutant> mutants{*mutant};
-    if (hunt) {
-      mutants.clear();
-      for (int m = 1; m < cometfold::engine::kMutantCount; ++m) mutants.push_back(static_cast<Mutant>(m));
-    }
-    print_head();
-    std::size_t missed = 0, broken = 0;
-    std::vector<std::pair<std::string, Coverage>> seen;
-    for (const auto m : mutants) {
-      bool found = false;
-      for (const auto& s : all) {
-        const ExplorationResult r = explore(s, m, effort);
-        seen.emplace_back(s.name, r.coverage);
-        if (!hunt || r.violation) print_result(s, m, r);
-        if (!r.violation) continue;
-        found = true;
-        ++broken;
-        const Trace trace{s, m, r.counterexample, *r.violation};
-        if (!out.empty()) write_trace(out + "/" + s.name + "--" + name_of(m) + ".jsonl", trace);
-        if (!hunt) std::cout << to_text(trace);
-        if (hunt) break;
-      }
-      if (hunt && !found) {
-        ++missed;
-        std::printf("%-24s %-24s NOT FOUND\n", "-", name_of(m).c_str());
-      }
-    }
-    if (!hunt) print_sights(seen);
-    return hunt ? missed > 0 : broken > 0;
+    return run(options);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "cometfold-explore: %s\n", error.what());
     return 2;
--- a/src/explore/scenario.cpp
+++ b/src/explore/scenario.cpp
@@ -1,106 +1,139 @@
 #include "explore/scenario.h"
 
 #include <algorithm>
+#include <utility>
 
 namespace cometfold::explore {
 
 namespace {
 
-const char* letter(Idempotency r) {
-  return r == Idempotency::kIdempotent ? "safe" : r == Idempotency::kIdempotencyKey ? "keyed" : "unsafe";
+const char* scenario_suffix(Idempotency idempotency) {
+  switch (idempotency) {
+    case Idempotency::kIdempotent:
+      return "safe";
+    case Idempotency::kIdempotencyKey:
+      return "keyed";
+    case Idempotency::kNonIdempotent:
+      return "unsafe";
+  }
+  return "";
+}
+
+// Faults of replies and connections, and changes of the host list meanwhile.
+FaultSet connection_and_list_faults() {
+  return {.malformed_reply = true,
+          .connection_loss = true,
+          .error_reply = true,
+          .busy_reply = true,
+          .extra_bytes = true,
+          .connect_refused = true,
+          .partial_write = true,
+          .client_disconnect = true,
+          .host_drain = true,
+          .host_removal = true,
+          .host_replacement = true,
+          .host_restart = true,
+          .list_reload = true};
 }
 
-// What goes wrong with answers and connections, and what the list may say meanwhile.
-FaultSet trouble() {
-  FaultSet m;
-  m.malformed_reply = m.connection_loss = m.error_reply = m.busy_reply = m.extra_bytes = m.connect_refused =
-      m.partial_write = m.client_disconnect = true;
-  m.host_drain = m.host_removal = m.host_replacement = m.host_restart = m.list_reload = true;
-  return m;
+// The real policy with requests of one kind: two of them, and one alone with more faults, shutdown and crash.
+void add_single_kind(std::vector<Scenario>& all, Idempotency idempotency, int faults) {
+  Scenario scenario;
+  scenario.name = std::string("real-") + scenario_suffix(idempotency);
+  scenario.description = "the real policy, two requests of one kind, any fault";
+  scenario.requests = {idempotency, idempotency};
+  scenario.max_faults = faults;
+  scenario.enabled_faults = connection_and_list_faults();
+  all.push_back(scenario);
+
+  scenario.name += "-deep";
+  scenario.description = "the real policy, one request, more faults, shutdown and crash";
+  scenario.requests = {idempotency};
+  scenario.max_faults = faults + 1;
+  scenario.enabled_faults.shutdown = true;
+  scenario.enabled_faults.gateway_crash = true;
+  all.push_back(scenario);
+}
+
+// The real policy on one connection with two kinds of requests, and under other settings of the site.
+void add_other_settings(std::vector<Scenario>& all, int faults) {
+  Scenario scenario;
+  scenario.name = "real-mixed-pipelined";
+  scenario.description =
+      "the real policy, a non-idempotent and an idempotent request on one connection; replies in order, ids "
+      "reused";
+  scenario.requests = {Idempotency::kNonIdempotent, Idempotency::kIdempotent};
+  scenario.shared_connection = true;
+  scenario.max_faults = faults;
+  scenario.enabled_faults = connection_and_list_faults();
+  scenario.enabled_faults.identity_reuse = true;
+  scenario.enabled_faults.shutdown = true;
+  all.push_back(scenario);
+
+  scenario.name = "real-no-cancel";
+  scenario.description = "the real policy where it may neither cancel nor hedge";
+  scenario.requests = {Idempotency::kIdempotent};
+  scenario.shared_connection = false;
+  scenario.hedging_allowed = false;
+  scenario.cancellation_allowed = false;
+  scenario.max_faults = faults + 1;
+  all.push_back(scenario);
+
+  scenario.name = "real-one-at-a-time";
+  scenario.description = "the real policy where it may cancel but not hedge";
+  scenario.cancellation_allowed = true;
+  all.push_back(scenario);
+
+  scenario.name = "real-keyed-cell";
+  scenario.description = "the real policy, a class with idempotency keys whose scope is one host";
+  scenario.requests = {Idempotency::kIdempotencyKey};
+  scenario.idempotency_scope = IdempotencyScope::kCell;
+  scenario.hedging_allowed = true;
+  all.push_back(scenario);
+}
+
+// A policy that may decide anything: the engine's guarantees must hold all the same.
+void add_arbitrary_policy(std::vector<Scenario>& all, int faults, bool small) {
+  Scenario scenario;
+  scenario.real_policy = false;
+  scenario.name = "any-one";
+  scenario.description = "a policy that may decide anything, one request, any fault, shutdown and crash";
+  scenario.requests = {Idempotency::kIdempotent};
+  scenario.max_policy_actions = 1;
+  scenario.max_faults = faults;
+  scenario.enabled_faults = connection_and_list_faults();
+  scenario.enabled_faults.shutdown = true;
+  scenario.enabled_faults.gateway_crash = true;
+  all.push_back(scenario);
+
+  scenario.name = "any-two";
+  scenario.description = "a policy that may decide anything, two requests on one connection, ids reused";
+  scenario.requests = {Idempotency::kIdempotent, Idempotency::kNonIdempotent};
+  scenario.shared_connection = true;
+  scenario.max_policy_actions = small ? 0 : 1;
+  scenario.max_faults = 1;
+  scenario.enabled_faults.gateway_crash = false;
+  scenario.enabled_faults.identity_reuse = true;
+  all.push_back(scenario);
 }
 
 }  // namespace
 
 std::vector<Scenario> scenarios(bool small) {
-  std::vector<Scenario> all;
   const int faults = small ? 2 : 3;
-  const auto add = [&](Scenario s) { all.push_back(std::move(s)); };
-
-  // The real module, two requests of each kind of class, everything that can go wrong.
-  for (const auto repeat :
-       {Idempotency::kIdempotent, Idempotency::kIdempotencyKey, Idempotency::kNonIdempotent}) {
-    Scenario s;
-    s.name = std::string("real-") + letter(repeat);
-    s.description = "the real module, two requests of one kind, any trouble";
-    s.requests = {repeat, repeat};
-    s.max_faults = faults;
-    s.enabled_faults = trouble();
-    add(s);
-    // One request alone can be followed further: more troubles, second copies, stop and crash.
-    s.name += "-deep";
-    s.description = "the real module, one request, more troubles, stop and crash";
-    s.requests = {repeat};
-    s.max_faults = faults + 1;
-    s.enabled_faults.shutdown = s.enabled_faults.gateway_crash = true;
-    add(s);
-  }
-  {
-    Scenario s;
-    s.name = "real-mixed-pipelined";
-    s.description =
-        "the real module, a safe and an unsafe request on one connection; answers in order, ids used again";
-    s.requests = {Idempotency::kNonIdempotent, Idempotency::kIdempotent};
-    s.shared_connection = true;
-    s.max_faults = faults;
-    s.enabled_faults = trouble();
-    s.enabled_faults.identity_reuse = s.enabled_faults.shutdown = true;
-    add(s);
-    s.name = "real-no-cancel";
-    s.description = "the real module where it may neither cancel nor send second copies";
-    s.requests = {Idempotency::kIdempotent};
-    s.shared_connection = false;
-    s.hedging_allowed = s.cancellation_allowed = false;
-    s.max_faults = faults + 1;
-    add(s);
-    s.name = "real-one-at-a-time";
-    s.description = "the real module where it may cancel and not send second copies";
-    s.cancellation_allowed = true;
-    add(s);
-    s.name = "real-keyed-cell";
-    s.description = "the real module, a keyed class whose group is one host";
-    s.requests = {Idempotency::kIdempotencyKey};
-    s.idempotency_scope = IdempotencyScope::kCell;
-    s.hedging_allowed = true;
-    add(s);
-  }
-  // A module that decides anything: the engine must hold its own promises.
-  {
-    Scenario s;
-    s.real_policy = false;
-    s.name = "any-one";
-    s.description = "a module that decides anything, one request, any trouble, stop and crash";
-    s.requests = {Idempotency::kIdempotent};
-    s.max_policy_actions = 1;
-    s.max_faults = faults;
-    s.enabled_faults = trouble();
-    s.enabled_faults.shutdown = s.enabled_faults.gateway_crash = true;
-    add(s);
-    s.name = "any-two";
-    s.description = "a module that decides anything, two requests on one connection, ids used again";
-    s.requests = {Idempotency::kIdempotent, Idempotency::kNonIdempotent};
-    s.shared_connection = true;
-    s.max_policy_actions = small ? 0 : 1;
-    s.max_faults = 1;
-    s.enabled_faults.gateway_crash = false;
-    s.enabled_faults.identity_reuse = true;
-    add(s);
-  }
+  std::vector<Scenario> all;
+  add_single_kind(all, Idempotency::kIdempotent, faults);
+  add_single_kind(all, Idempotency::kIdempotencyKey, faults);
+  add_single_kind(all, Idempotency::kNonIdempotent, faults);
+  add_other_settings(all, faults);
+  add_arbitrary_policy(all, faults, small);
   return all;
 }
 
 const Scenario* find_scenario(const std::vector<Scenario>& all, const std::string& name) {
-  const auto it = std::find_if(all.begin(), all.end(), [&](const auto& s) { return s.name == name; });
-  return it == all.end() ? nullptr : &*it;
+  const auto found =
+      std::find_if(all.begin(), all.end(), [&](const auto& scenario) { return scenario.name == name; });
+  return found == all.end() ? nullptr : &*found;
 }
 
 }  // namespace cometfold::explore
--- a/src/explore/trace.h
+++ b/src/explore/trace.h
@@ -1,5 +1,5 @@
-// A counterexample as a file: JSON lines, the first with the scenario, then one for each choice, the last
-// with the rule broken.
+// A counterexample as a file of JSON lines: the first has the scenario, then one for each choice, the last
+// has the violated rule.
 #pragma once
 
 #include <string>
@@ -7,7 +7,7 @@
 
 #include "engine/faults.h"
 #include "explore/scenario.h"
-#include "rules/rule_monitors.h"
+#include "rules/monitor.h"
 
 namespace cometfold::explore {
 
@@ -15,12 +15,13 @@
   Scenario scenario;
   engine::Mutant mutant = engine::Mutant::kNone;
   std::vector<std::string> choices;
-  rules::Violation violation;  // empty texts if none
+  rules::Violation violation;  // with empty texts if there is none
 };
 
 std::string to_text(const Trace& trace);
+// Throws std::runtime_error if the file can't be written.
 void write_trace(const std::string& path, const Trace& trace);
-// Throws std::runtime_error with the file, the line and what would be right.
+// Throws std::runtime_error with the file, the line and the expected form.
 Trace read_trace(const std::string& path);
 
 }  // namespace cometfold::explore
--- a/src/explore/world.cpp
+++ b/src/explore/world.cpp
@@ -11,8 +11,8 @@
 
 // ---- the run ----
 
-void World::cover(CoverageGoal sight, bool when) {
-  if (when) coverage_ |= Coverage{1} << static_cast<unsigned>(sight);
+void World::cover(CoverageGoal goal, bool reached) {
+  if (reached) coverage_ |= coverage_bit(goal);
 }
 
 std::size_t World::attempts_of(std::uint64_t request) const {
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -12,6 +12,7 @@
 
 #include "engine/engine.h"
 #include "explore/chooser.h"
+#include "explore/coverage.h"
 #include "explore/scenario.h"
 #include "resp/client_link.h"
 #include "resp/front.h"
@@ -20,29 +21,6 @@
 
 namespace cometfold::explore {
 
-// What a run has been through, to tell whether a scenario reaches what it is for.
-enum class CoverageGoal : std::uint8_t {
-  kHedgedAttemptInFlight,
-  kThirdAttempt,
-  kReplyAfterRetry,
-  kAttemptLost,
-  kDrainWhileWaiting,
-  kDrainDuringRetry,
-  kReplacedWhileWaiting,
-  kReplyAtDeadline,
-  kDeadlineBeforeReply,
-  kDisconnectWithAttemptInFlight,
-  kDisconnectAtInstantOfReply,
-  kShutdownWithHedgedAttempt,
-  kCrashWithAttemptInFlight,
-  kIdentityReused,
-  kPolicyThrew,
-  kPolicyActedAfterReply,
-  kCount
-};
-const char* name_of(CoverageGoal sight);
-using Coverage = std::uint32_t;
-
 class World : private resp::Dialer,
               private resp::HostPoolCallbacks,
               public resp::ClientConnectionCallbacks,
@@ -147,7 +125,7 @@
   std::optional<Ms> next_time() const;
   void check_end_state();
   void report(rules::Event event);
-  void cover(CoverageGoal sight, bool when = true);
+  void cover(CoverageGoal goal, bool reached = true);
   std::size_t attempts_of(std::uint64_t request) const;
   bool hedged_attempt_in_flight() const;
   void report_violation(const std::string& rule, const std::string& why);
--- a/tests/explore_test.cpp
+++ b/tests/explore_test.cpp
@@ -1,5 +1,5 @@
-// The explorer: small explorations hold, committed counterexamples are found with their fault and not
-// without.
+// The model checker: small explorations find no violation; the stored counterexamples show theirs with their
+// mutant and not without.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -7,37 +7,39 @@
 #include <set>
 
 #include "explore/explorer.h"
+#include "explore/mutant_names.h"
 #include "explore/trace.h"
 #include "explore/world.h"
 
 namespace cometfold::explore {
 namespace {
 
-TEST(Explore, EveryScenarioHoldsWithOneTrouble) {
-  Coverage all = 0;
-  for (auto s : scenarios(true)) {
-    s.max_faults = 1;
-    const auto r = explore(s, engine::Mutant::kNone, {.threads = 2});
-    EXPECT_FALSE(r.violation) << s.name << ": " << r.violation->rule << ": " << r.violation->description;
-    EXPECT_TRUE(r.complete) << s.name;
-    EXPECT_GT(r.terminal_runs, 10u) << s.name;
-    all |= r.coverage;
+TEST(Explorer, FindsNoViolationWithOneFault) {
+  Coverage reached = 0;
+  for (auto scenario : scenarios(true)) {
+    scenario.max_faults = 1;
+    const auto result = explore(scenario, engine::Mutant::kNone, {.threads = 2});
+    EXPECT_FALSE(result.violation) << scenario.name << ": " << result.violation->rule << ": "
+                                   << result.violation->description;
+    EXPECT_TRUE(result.complete) << scenario.name;
+    EXPECT_GT(result.terminal_runs, 10u) << scenario.name;
+    reached |= result.coverage;
   }
-  // A scenario that never gets where it should proves nothing.
-  for (const auto sight :
+  // A scenario that never reaches its goals proves nothing.
+  for (const auto goal :
        {CoverageGoal::kDrainWhileWaiting, CoverageGoal::kReplacedWhileWaiting,
         CoverageGoal::kDisconnectWithAttemptInFlight, CoverageGoal::kCrashWithAttemptInFlight,
         CoverageGoal::kIdentityReused, CoverageGoal::kPolicyThrew, CoverageGoal::kPolicyActedAfterReply,
         CoverageGoal::kHedgedAttemptInFlight}) {
-    EXPECT_TRUE(all >> static_cast<unsigned>(sight) & 1) << name_of(sight);
+    EXPECT_TRUE(reached & coverage_bit(goal)) << name_of(goal);
   }
 }
 
-TEST(Explore, CountsTheSameWhateverTheThreads) {
-  auto s = scenarios(true).front();
-  s.max_faults = 1;
-  const auto one = explore(s, engine::Mutant::kNone, {.threads = 1});
-  const auto three = explore(s, engine::Mutant::kNone, {.threads = 3});
+TEST(Explorer, CountsTheSameWithAnyNumberOfThreads) {
+  auto scenario = scenarios(true).front();
+  scenario.max_faults = 1;
+  const auto one = explore(scenario, engine::Mutant::kNone, {.threads = 1});
+  const auto three = explore(scenario, engine::Mutant::kNone, {.threads = 3});
   EXPECT_EQ(one.states, three.states);
   EXPECT_EQ(one.max_depth, three.max_depth);
 }
@@ -49,8 +51,8 @@
   return all;
 }
 
-TEST(Traces, EachBreaksItsRuleWithItsFaultAndNoneWithout) {
-  std::set<std::string> shown;
+TEST(Traces, EachShowsItsViolationOnlyWithItsMutant) {
+  std::set<std::string> shown_mutants;
   for (const auto& file : traces()) {
     const auto trace = read_trace(file);
     ASSERT_NE(trace.mutant, engine::Mutant::kNone) << file;
@@ -61,15 +63,15 @@
     const auto without =
         replay(trace.scenario, engine::Mutant::kNone, trace.choices, {}, TraceMatch::kPrefix);
     EXPECT_FALSE(without) << file << ": " << without->description;
-    shown.insert(name_of(trace.mutant));
+    shown_mutants.insert(name_of(trace.mutant));
   }
-  EXPECT_EQ(shown.size(), static_cast<std::size_t>(engine::kMutantCount - 1));
+  EXPECT_EQ(shown_mutants.size(), static_cast<std::size_t>(engine::kMutantCount - 1));
 }
 
-TEST(Traces, ABadFileIsNamedWithItsLine) {
+TEST(Traces, NameFileAndLineOfAnError) {
   const auto path =
       std::filesystem::temp_directory_path() / ("cometfold-trace-" + std::to_string(::getpid()));
-  const auto complaint = [&](const std::string& text) {
+  const auto error_of = [&](const std::string& text) {
     std::ofstream(path) << text;
     try {
       read_trace(path);
@@ -80,11 +82,11 @@
   };
   const std::string head =
       R"({"scenario":"real-safe","faults":1,"hosts":2,"requests":[0],"depth":9,"module_acts":1,"mutant":"none"})";
-  EXPECT_EQ(complaint(head + "\n"), "none");
-  EXPECT_TRUE(complaint("").starts_with(": empty"));
-  EXPECT_TRUE(complaint("x\n").starts_with(":1: "));
-  EXPECT_TRUE(complaint(head + "\n{}\n").starts_with(":2: "));
-  EXPECT_NE(complaint(R"({"scenario":"none such"})").find("no such scenario"), std::string::npos);
+  EXPECT_EQ(error_of(head + "\n"), "none");
+  EXPECT_TRUE(error_of("").starts_with(": empty"));
+  EXPECT_TRUE(error_of("x\n").starts_with(":1: "));
+  EXPECT_TRUE(error_of(head + "\n{}\n").starts_with(":2: "));
+  EXPECT_NE(error_of(R"({"scenario":"none such"})").find("no such scenario"), std::string::npos);
   std::ofstream(path) << head << "\n"
                       << R"({"choice":"no such event"})"
                       << "\n";
