--- /dev/null
+++ b/src/explore/simulated_gateway.h
@@ -0,0 +1,33 @@
+// The gateway under test in a world: all that a crash loses. Only for the files of World.
+#pragma once
+
+#include <cstdint>
+#include <map>
+#include <memory>
+
+#include "engine/engine.h"
+#include "explore/arbitrary_policy.h"
+#include "explore/recording_policy.h"
+#include "explore/world.h"
+#include "resp/client_link.h"
+#include "resp/front.h"
+#include "resp/host_pool.h"
+
+namespace cometfold::explore {
+
+struct World::Gateway {
+  Gateway(World& world, const AdmissionSettings& settings);
+
+  ArbitraryPolicy* arbitrary_policy = nullptr;  // null if the scenario has the real policy
+  std::unique_ptr<RecordingPolicy> policy;
+  resp::HostPool pool;
+  engine::Engine engine;
+  resp::RespHandler handler;
+  resp::ClientTotals totals;
+  std::map<std::uint64_t, std::shared_ptr<resp::ClientConnection>> clients;  // by connection
+
+ private:
+  std::unique_ptr<RecordingPolicy> make_policy(World& world, const AdmissionSettings& settings);
+};
+
+}  // namespace cometfold::explore
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -1,5 +1,5 @@
 // One gateway's real engine, host pool, client connections and RESP2 front end between simulated clients,
-// hosts and streams, under simulated time. Every free decision is the chooser's.
+// hosts and streams, under simulated time. The chooser takes every free decision.
 #pragma once
 
 #include <functional>
@@ -31,11 +31,13 @@
   World(const Scenario& scenario, Chooser& chooser, Log log = {});
   ~World() override;
 
-  // One event, chosen. False if nothing can happen any more, or the depth is reached.
+  // Plays one event, as chosen. False if nothing can happen any more, a rule is violated or the run is at
+  // `Scenario::max_events`.
   bool step();
-  // The first rule broken so far, or a promise of the engine's own; empty if none.
+  // The first violation of a rule or of a guarantee of the engine.
   const std::optional<rules::Violation>& violation() const { return violation_; }
-  bool truncated() const { return truncated_; }  // the depth ended it, not the world
+  bool truncated() const { return truncated_; }  // ended by `Scenario::max_events`
+  // Identifies the state.
   std::uint64_t fingerprint() const;
   Coverage coverage() const { return coverage_; }
 
@@ -45,38 +47,49 @@
   class RecordingPolicy;
   struct Connection;
   struct Client;
-  struct Gateway;  // the gateway: all that a crash takes with it
-  enum ReplyKind : std::size_t;
-  enum HostChange : std::size_t;
-  // Something that can happen next. `text` names it, with {c} for the connection, {r} for its request, {h}
-  // for its host and {n} for `n`.
+  struct Gateway;
+  // What a host may do with a complete request.
+  enum ReplyKind : std::size_t {
+    kValidReply,
+    kErrorReply,
+    kBusyReply,
+    kMalformedReply,
+    kMalformedReplyAndMore,
+    kValidReplyAndMore,
+    kCloseWithoutReply,
+    kTruncatedReply
+  };
+  // What may happen to host 1 on the host list.
+  enum HostChange : std::size_t { kHostDrains, kHostRestarted, kHostRemoved, kHostReplaced };
+  // Something that can happen next. In `label`, {c} stands for the connection, {r} for its request, {h} for
+  // its host and {n} for `number`.
   struct Step {
     const char* label;
     bool is_fault;
     void (World::*apply)(const Step&);
     Connection* connection = nullptr;
-    std::size_t number = 0;
+    std::size_t number = 0;  // of the request or client from 1, or a ReplyKind or HostChange
     std::size_t client = 0;
   };
 
   // resp::Dialer
-  std::unique_ptr<resp::Stream> dial(const resp::Address& at, Ms timeout,
-                                     resp::StreamCallbacks& events) override;
+  std::unique_ptr<resp::Stream> dial(const resp::Address& address, Ms timeout,
+                                     resp::StreamCallbacks& callbacks) override;
   bool free_descriptor() override { return false; }
-  // resp::HostEvents
+  // resp::HostPoolCallbacks
   void on_attempt_end(Ms now, engine::AttemptId attempt, Outcome outcome, std::string_view value,
                       std::string_view report) override;
   std::optional<Ms> may_write(Ms now, engine::AttemptId attempt, bool begun) override;
-  // resp::ClientOwner, resp::Replies
-  resp::CommandResult on_command(Ms now, resp::ResponseHandle ticket, std::span<const resp::Item> words,
+  // resp::ClientConnectionCallbacks, resp::ReplySink
+  resp::CommandResult on_command(Ms now, resp::ResponseHandle response, std::span<const resp::Item> words,
                                  Ms waited) override;
   void on_reply_pending(std::uint64_t identity) override;
   void on_reply_flushed(std::uint64_t identity) override;
-  void on_client_disconnected(Ms now, std::uint64_t name) override;
-  void on_closed(std::uint64_t id) override;
-  void send_reply(Ms now, resp::ResponseHandle ticket, std::string_view reply) override;
-  void send_error(Ms now, resp::ResponseHandle ticket, std::string_view why) override;
-  // The hosts here give short values only.
+  void on_client_disconnected(Ms now, std::uint64_t request_id) override;
+  void on_closed(std::uint64_t connection) override;
+  void send_reply(Ms now, resp::ResponseHandle response, std::string_view reply) override;
+  void send_error(Ms now, resp::ResponseHandle response, std::string_view error) override;
+  // The simulated hosts reply with short values only.
   void start_value(Ms, resp::ResponseHandle, std::size_t) override {
     report_violation("the explorer", "a long value");
   }
@@ -85,69 +98,74 @@
 
   void start_gateway();
   void update_hosts(HostListUpdate kind, std::vector<HostEntry> entries);
-  void collect_steps(std::vector<Step>& all);
-  void collect_client_steps(std::vector<Step>& all);
-  void collect_connection_steps(std::vector<Step>& all);
-  void collect_reply_steps(std::vector<Step>& all, Connection* conn);
-  void collect_host_list_steps(std::vector<Step>& all);
-  void collect_timer_steps(std::vector<Step>& all);
-  std::string label(const Step& option) const;
+  void collect_steps(std::vector<Step>& steps);
+  void collect_client_steps(std::vector<Step>& steps);
+  void collect_connection_steps(std::vector<Step>& steps);
+  void collect_steps_of(std::vector<Step>& steps, Connection* connection);
+  void collect_reply_steps(std::vector<Step>& steps, Connection* connection);
+  void collect_host_list_steps(std::vector<Step>& steps);
+  void collect_timer_steps(std::vector<Step>& steps);
+  std::string label(const Step& step) const;
 
-  // What options do.
-  void send_request(const Step& o);
-  void close_client(const Step& o);
-  void run_posted(const Step& o);
-  void make_writable(const Step& o);
-  void complete_connect(const Step& o);
-  void fail_connect(const Step& o);
-  void stall_peer(const Step& o);
-  void read_connection(const Step& o);
-  void send_extra_bytes(const Step& o);
-  void close_by_host(const Step& o);
-  void reply_by_host(const Step& o);
-  void change_host(const Step& o);
-  void reload_list(const Step& o);
-  void crash_gateway(const Step& o);
-  void begin_shutdown(const Step& o);
-  void drain_clients(const Step& o);
-  void fail_remaining(const Step& o);
-  void run_timers(const Step& o);
-  void advance_time(const Step& o);
+  // The steps' effects.
+  void send_request(const Step& step);
+  void close_client(const Step& step);
+  void run_posted(const Step& step);
+  void make_writable(const Step& step);
+  void complete_connect(const Step& step);
+  void fail_connect(const Step& step);
+  void stall_peer(const Step& step);
+  void read_connection(const Step& step);
+  void send_extra_bytes(const Step& step);
+  void close_by_host(const Step& step);
+  void reply_by_host(const Step& step);
+  void change_host(const Step& step);
+  void reload_list(const Step& step);
+  void crash_gateway(const Step& step);
+  void begin_shutdown(const Step& step);
+  void drain_clients(const Step& step);
+  void fail_remaining(const Step& step);
+  void run_timers(const Step& step);
+  void advance_time(const Step& step);
 
-  void connect_client(std::size_t i);
-  void deliver(Connection& conn, const std::string& bytes);
-  void close_by_peer(Connection& conn);
-  void receive_at_host(Connection& conn);
-  void receive_at_client(Connection& conn);
-  void end_attempt(Connection& conn, bool never_ran);
+  void connect_client(std::size_t client_index);
+  void deliver(Connection& connection, const std::string& bytes);
+  void close_by_peer(Connection& connection);
+  void receive_at_host(Connection& connection);
+  void receive_at_client(Connection& connection);
+  void end_attempt(Connection& connection, bool never_executed);
   bool has_open_requests() const;
-  bool has_immediate_event() const;
+  bool has_immediate_event() const;  // time does not pass before it
   std::optional<Ms> next_time() const;
   void check_end_state();
+  void check_monitors();
+  void receive_reply(Client& client, const resp::Frame& frame);
+  bool id_of_first_request_in_use() const;
+  void cover_host_change(HostChange change);
   void report(rules::Event event);
   void cover(CoverageGoal goal, bool reached = true);
   std::size_t attempts_of(std::uint64_t request) const;
   bool hedged_attempt_in_flight() const;
-  void report_violation(const std::string& rule, const std::string& why);
+  void report_violation(const std::string& rule, const std::string& description);
   void log(const std::string& text);
 
   Scenario scenario_;
   AdmissionSettings settings_;
   Chooser& chooser_;
   Log log_;
-  Ms now_ = 14'400'000;
+  Ms now_ = 14'400'000;  // far from zero, as a real clock is
   std::vector<Step> next_steps_;
   std::size_t step_count_ = 0;
   int faults_left_ = 0;
   bool truncated_ = false;
   Coverage coverage_ = 0;
-  std::map<std::uint64_t, std::size_t> attempts_written_;  // whole, of each request
+  std::map<std::uint64_t, std::size_t> attempts_written_;  // completely, of each request
   std::map<std::uint64_t, Ms> deadlines_;
-  std::map<std::uint64_t, Ms> answered_at_;  // requests, by their clients
+  std::map<std::uint64_t, Ms> answered_at_;  // the reply has reached the client
   rules::RuleMonitors monitors_;
   std::size_t violations_read_ = 0;
   std::optional<rules::Violation> violation_;
-  engine::Digest policy_input_;  // all that the module has been told
+  engine::Digest policy_input_;  // all calls that the policy got since the gateway's start
   std::vector<HostEntry> hosts_;
   std::vector<std::shared_ptr<Connection>> connections_;
   std::vector<Client> clients_;
@@ -155,7 +173,8 @@
   std::uint64_t last_connection_id_ = 0;
   std::uint32_t incarnation_ = 0;  // of the gateway
   bool draining_clients_ = false;
-  std::set<std::pair<std::uint64_t, std::uint64_t>> replied_;  // places at the front end
+  std::set<std::pair<std::uint64_t, std::uint64_t>>
+      replied_;  // connection and sequence of each reply delivered
 };
 
 }  // namespace cometfold::explore
