--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -27,9 +27,7 @@
   }
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+int run(int argc, char** argv) {
   CLI::App app{"Asks running gateways, over their operators' listeners."};
   app.set_version_flag("--version", "cometfold-ctl " COMETFOLD_VERSION);
   app.require_subcommand(1);
@@ -41,9 +39,15 @@
   members->add_option("--timeout", options.timeout_seconds, "seconds to wait for the answer")
       ->check(CLI::Range(0.1, 600.0));
   CLI11_PARSE(app, argc, argv);
+  show_members(options);
+  return 0;
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
   try {
-    show_members(options);
-    return 0;
+    return run(argc, argv);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "cometfold-ctl: %s\n", error.what());
     return 1;
--- a/src/cli/operators_client.cpp
+++ b/src/cli/operators_client.cpp
@@ -14,7 +14,7 @@
 namespace beast = boost::beast;
 namespace http = boost::beast::http;
 
-constexpr std::uint64_t kMaxBodyBytes = 64 * 1024 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{64} * 1024 * 1024;
 constexpr int kHttp11 = 11;
 
 std::string text_of(const std::string& address, const std::string& problem, const std::string& remedy) {
--- a/src/ops/handover_state.h
+++ b/src/ops/handover_state.h
@@ -31,7 +31,7 @@
 
 // Further customers are left out; those with a ceiling go first, then the most recently active.
 constexpr std::size_t kMaxHandedCustomers = 20'000;
-constexpr std::size_t kMaxHandoverBytes = 8 * 1024 * 1024;  // of the text
+constexpr std::size_t kMaxHandoverBytes = std::size_t{8} * 1024 * 1024;  // of the text
 
 // Without a line feed. `plans` by index.
 std::string encode_handover(const HandoverSnapshot& state, const HandoverNames& names,
