--- a/emulators/cluster/check.cpp
+++ b/emulators/cluster/check.cpp
@@ -226,7 +226,7 @@
     const auto settings =
         std::find_if(history_.begin(), history_.end(), [](auto& l) { return text(l, "what") == "settings"; });
     if (settings == history_.end()) return breach("the history has no settings to judge the rules by");
-    const auto config = net::read_config(settings->at("config"));
+    const auto config = net::parse_config(settings->at("config"));
     std::vector<Timed> events;
     std::map<std::uint64_t, std::pair<std::uint64_t, double>> at_gateway;  // request to process, and when
     for (const auto& line : history_) {
--- a/emulators/cluster/main.cpp
+++ b/emulators/cluster/main.cpp
@@ -12,7 +12,7 @@
 
 using namespace cometfold::emulators::cluster;
 namespace json = boost::json;
-using cometfold::net::Level;
+using cometfold::net::LogLevel;
 using cometfold::net::log_event;
 
 json::array figures(const std::vector<double>& all) {
@@ -22,8 +22,8 @@
 }
 
 int tell(const std::string& name, const Verdict& v) {
-  for (const auto& b : v.breaches) log_event(Level::kWarning, "breach", {{"schedule", name}, {"why", b}});
-  log_event(v.breaches.empty() ? Level::kInfo : Level::kWarning, "verdict",
+  for (const auto& b : v.breaches) log_event(LogLevel::kWarning, "breach", {{"schedule", name}, {"why", b}});
+  log_event(v.breaches.empty() ? LogLevel::kInfo : LogLevel::kWarning, "verdict",
             {{"schedule", name},
              {"good", v.breaches.empty()},
              {"agreed_after_ms", std::round(v.agreed_after)},
@@ -76,7 +76,7 @@
     file.open(history);
     if (!file) throw std::runtime_error(history + ": can't be written");
   }
-  log_event(Level::kInfo, "run",
+  log_event(LogLevel::kInfo, "run",
             {{"schedule", schedule.name}, {"gateways", schedule.gateways}, {"seed", schedule.seed}});
   play(schedule, program, logs, [&](const Line& line) {
     lines.push_back(line);
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -1,5 +1,7 @@
 #include "net/admin_server.h"
 
+#include <algorithm>
+#include <array>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
 #include <chrono>
@@ -16,128 +18,129 @@
 
 namespace {
 
-constexpr std::size_t kMostCallers = 24;
-constexpr std::uint32_t kMostHead = 8 * 1024;
-constexpr std::uint64_t kMostBody = 16 * 1024;
-constexpr auto kWholeCall = std::chrono::seconds(5);  // for the whole of a call, and for its answer
-constexpr auto kAcceptAgain = std::chrono::milliseconds(20);
+constexpr std::size_t kMaxConnections = 24;
+constexpr std::uint32_t kMaxHeaderBytes = 8 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = 16 * 1024;
+constexpr std::size_t kReadAheadBytes = 1024;
+constexpr int kBacklog = 128;
+constexpr int kHttp11 = 11;
+constexpr auto kCallTimeout = std::chrono::seconds(5);  // to read a call, and to write its response
+constexpr auto kLingerTimeout = std::chrono::milliseconds(500);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
-// One connection: a call is read, answered, and that is all.
-class AdminServer::Caller : public std::enable_shared_from_this<Caller> {
+// Reads one call, answers it and closes.
+class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Caller(AdminServer& owner, tcp::socket socket) : owner_(owner), stream_(std::move(socket)) {
-    parser_.header_limit(kMostHead);
-    parser_.body_limit(kMostBody);
+  Connection(AdminServer& owner, tcp::socket socket) : owner_(owner), stream_(std::move(socket)) {
+    parser_.header_limit(kMaxHeaderBytes);
+    parser_.body_limit(kMaxBodyBytes);
   }
 
   void start() {
-    stream_.expires_after(kWholeCall);
+    stream_.expires_after(kCallTimeout);
     http::async_read(
         stream_, buffer_, parser_,
-        [self = shared_from_this()](beast::error_code error, std::size_t) { self->came(error); });
+        [self = shared_from_this()](beast::error_code error, std::size_t) { self->on_read(error); });
   }
-  bool unfinished() const { return !answering_; }
+  bool is_reading() const { return !responding_; }
   void close() { stream_.close(); }
 
  private:
-  void came(beast::error_code error) {
+  void on_read(beast::error_code error) {
     if (error == http::error::end_of_stream || error == beast::error::timeout ||
         error == asio::error::operation_aborted || error == asio::error::connection_reset) {
-      return done();
+      return finish();
     }
-    if (error) return answer({400, "not a call in HTTP/1.1: " + error.message() + "\n"});
+    if (error) return respond({400, "not a call in HTTP/1.1: " + error.message() + "\n"});
     const auto& call = parser_.get();
-    answer(ops::handle_call(owner_.gateway_, std::string(call.method_string()), std::string(call.target())));
+    respond(ops::handle_call(owner_.gateway_, std::string(call.method_string()), std::string(call.target())));
   }
 
-  void answer(ops::CallResponse given) {
-    answering_ = true;
-    response_.version(11);
-    response_.result(static_cast<unsigned>(given.status));
-    response_.set(http::field::content_type, given.type);
+  void respond(ops::CallResponse response) {
+    responding_ = true;
+    response_.version(kHttp11);
+    response_.result(static_cast<unsigned>(response.status));
+    response_.set(http::field::content_type, response.type);
     response_.set(http::field::cache_control, "no-store");
     response_.keep_alive(false);
-    response_.body() = std::move(given.body);
+    response_.body() = std::move(response.body);
     response_.prepare_payload();
-    stream_.expires_after(kWholeCall);
+    stream_.expires_after(kCallTimeout);
     http::async_write(stream_, response_, [self = shared_from_this()](beast::error_code error, std::size_t) {
-      if (error) return self->done();
+      if (error) return self->finish();
       self->linger();
     });
   }
 
-  // Danger: closing with bytes unread sends a reset, which may destroy the answer on its way.
+  // Closing a socket with bytes unread sends a reset, which may overtake the response.
   void linger() {
     error_code ignored;
     stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
-    stream_.expires_after(std::chrono::milliseconds(500));
-    drain();
+    stream_.expires_after(kLingerTimeout);
+    discard_input();
   }
-  void drain() {
-    stream_.async_read_some(asio::buffer(rest_),
+  void discard_input() {
+    stream_.async_read_some(asio::buffer(discarded_),
                             [self = shared_from_this()](beast::error_code error, std::size_t) {
-                              error ? self->done() : self->drain();
+                              if (error) return self->finish();
+                              self->discard_input();
                             });
   }
 
-  void done() {
+  void finish() {
     stream_.close();
-    owner_.callers_.remove(shared_from_this());
+    owner_.connections_.remove(shared_from_this());
   }
 
   AdminServer& owner_;
   beast::tcp_stream stream_;
-  beast::flat_static_buffer<kMostHead + 1024> buffer_;
+  beast::flat_static_buffer<kMaxHeaderBytes + kReadAheadBytes> buffer_;
   http::request_parser<http::string_body> parser_;
   http::response<http::string_body> response_;
-  std::array<char, 512> rest_;
-  bool answering_ = false;
+  std::array<char, 512> discarded_;
+  bool responding_ = false;
 };
 
 AdminServer::AdminServer(asio::io_context& io, ops::GatewayOperations& gateway)
-    : io_(io), gateway_(gateway), acceptor_(io), again_(io) {}
+    : io_(io), gateway_(gateway), acceptor_(io), accept_timer_(io) {}
 AdminServer::~AdminServer() = default;
 
-void AdminServer::listen(const tcp::endpoint& at) {
-  acceptor_.open(at.protocol());
+void AdminServer::listen(const tcp::endpoint& address) {
+  acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
-  acceptor_.listen(128);
+  acceptor_.bind(address);
+  acceptor_.listen(kBacklog);
   accept();
 }
 
-// Danger: callers that say nothing would keep an operator out. The one unfinished for longest gives way; a
-// call that has come whole is answered in the same turn of the loop, so none of those is ever among them.
-void AdminServer::make_room() {
-  if (callers_.size() < kMostCallers) return;
-  for (const auto& caller : callers_) {
-    if (!caller->unfinished()) continue;
-    const auto going = caller;
-    going->close();
-    callers_.remove(going);
-    return;
-  }
-  const auto oldest = callers_.front();
-  oldest->close();
-  callers_.pop_front();
+// Connections that send nothing must not keep an operator out. The oldest of those that are still read from
+// is closed; a complete call is answered in the same turn of the loop, so it is never among them.
+void AdminServer::evict_one_at_limit() {
+  if (connections_.size() < kMaxConnections) return;
+  auto it = std::find_if(connections_.begin(), connections_.end(),
+                         [](const auto& connection) { return connection->is_reading(); });
+  if (it == connections_.end()) it = connections_.begin();
+  const auto evicted = *it;
+  evicted->close();
+  connections_.erase(it);
 }
 
 void AdminServer::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {  // out of descriptors: it waits in the kernel
-      make_room();
-      again_.expires_after(kAcceptAgain);
-      again_.async_wait([this](error_code stopped) {
-        if (!stopped) accept();
+    if (error) {  // out of descriptors: the connection waits in the queue
+      evict_one_at_limit();
+      accept_timer_.expires_after(kAcceptRetryDelay);
+      accept_timer_.async_wait([this](error_code cancelled) {
+        if (!cancelled) accept();
       });
       return;
     }
-    make_room();
-    callers_.push_back(std::make_shared<Caller>(*this, std::move(socket)));
-    callers_.back()->start();
+    evict_one_at_limit();
+    connections_.push_back(std::make_shared<Connection>(*this, std::move(socket)));
+    connections_.back()->start();
     accept();
   });
 }
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,4 +1,4 @@
-// Where operators call: HTTP/1.1, one call a connection, in the gateway's event loop.
+// The operators' HTTP/1.1 server: one call on each connection, in the gateway's event loop.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -12,25 +12,25 @@
 
 class AdminServer {
  public:
-  // `gateway` must outlast the server.
+  // `gateway` must outlive the server.
   AdminServer(boost::asio::io_context& io, ops::GatewayOperations& gateway);
   ~AdminServer();
 
-  // Throws boost::system::system_error if the address can't be had.
-  void listen(const boost::asio::ip::tcp::endpoint& at);
+  // Throws boost::system::system_error if the address can't be used.
+  void listen(const boost::asio::ip::tcp::endpoint& address);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  std::size_t connections() const { return callers_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
-  class Caller;
+  class Connection;
   void accept();
-  void make_room();
+  void evict_one_at_limit();
 
   boost::asio::io_context& io_;
   ops::GatewayOperations& gateway_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer again_;
-  std::list<std::shared_ptr<Caller>> callers_;  // in the order in which they came
+  boost::asio::steady_timer accept_timer_;
+  std::list<std::shared_ptr<Connection>> connections_;  // oldest first
 };
 
 }  // namespace cometfold::net
--- /dev/null
+++ b/src/net/client_server.cpp
@@ -0,0 +1,337 @@
+#include "net/client_server.h"
+
+#include <netinet/in.h>
+#include <netinet/tcp.h>
+#include <sys/socket.h>
+
+#include <algorithm>
+#include <cerrno>
+#include <chrono>
+#include <optional>
+#include <utility>
+
+#include "net/log.h"
+#include "net/tcp_stream.h"
+
+namespace cometfold::net {
+namespace asio = boost::asio;
+using asio::ip::tcp;
+using boost::system::error_code;
+
+namespace {
+
+constexpr int kBacklog = 1024;
+// If one connection in so many is silent, they are not clients that have only just connected.
+constexpr std::size_t kManySilentDivisor = 4;
+constexpr auto kSweepInterval = std::chrono::milliseconds(100);  // finds a disconnected client within 0.3 s
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(5);
+constexpr auto kDisconnectCheckInterval = std::chrono::milliseconds(20);
+
+// Milliseconds since the last bytes were received on a connection, or since it was made.
+std::optional<Ms> time_since_last_receive(int socket) {
+  tcp_info info{};
+  socklen_t size = sizeof info;
+  if (::getsockopt(socket, IPPROTO_TCP, TCP_INFO, &info, &size) != 0) return {};
+  return info.tcpi_last_data_recv;
+}
+
+bool is_out_of_descriptors(const error_code& error) {
+  return error == asio::error::no_descriptors || error.value() == ENFILE;
+}
+
+bool is_queue_empty(const error_code& error) {
+  return error == asio::error::would_block || error == asio::error::try_again;
+}
+
+// The next one in the queue may still be there.
+bool has_left_queue(const error_code& error) {
+  return error == asio::error::connection_aborted || error == asio::error::interrupted;
+}
+
+}  // namespace
+
+ClientServer::ClientServer(asio::io_context& io, Clock& clock, ClientServerCallbacks& callbacks,
+                           const ClientLimits& limits)
+    : io_(io),
+      clock_(clock),
+      callbacks_(callbacks),
+      max_connections_(limits.max_connections),
+      max_unused_connections_(limits.max_unused_connections),
+      totals_{.max_unsent_bytes = limits.max_unsent_bytes, .max_buffered_bytes = limits.max_buffered_bytes},
+      acceptor_(io),
+      accept_timer_(io),
+      disconnect_check_timer_(io),
+      sweep_timer_(io) {}
+ClientServer::~ClientServer() = default;
+
+// ---- the listener ----
+
+void ClientServer::listen(const tcp::endpoint& address) {
+  error_code ignored;
+  acceptor_.close(ignored);  // of an earlier attempt
+  acceptor_.open(address.protocol());
+  acceptor_.set_option(tcp::acceptor::reuse_address(true));
+  acceptor_.bind(address);
+  acceptor_.listen(kBacklog);
+  start_accepting();
+}
+
+void ClientServer::adopt(int listening_socket) {
+  sockaddr_storage address{};
+  socklen_t size = sizeof address;
+  if (::getsockname(listening_socket, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
+    throw boost::system::system_error(errno, boost::system::system_category(), "the socket taken over");
+  }
+  acceptor_.assign(address.ss_family == AF_INET6 ? tcp::v6() : tcp::v4(), listening_socket);
+}
+
+void ClientServer::start_accepting() {
+  has_started_ = true;
+  acceptor_.non_blocking(true);
+  // Without this option the library's accept blocks in the kernel after ECONNABORTED or EPROTO.
+  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));
+  accept();
+  sweep();
+}
+
+void ClientServer::release_listener() {
+  is_shut_down_ = true;
+  error_code ignored;
+  acceptor_.close(ignored);  // the other process's descriptor keeps the socket and its queue
+  accept_timer_.cancel();
+}
+
+void ClientServer::set_limits(const ClientLimits& limits) {
+  max_connections_ = limits.max_connections;
+  max_unused_connections_ = limits.max_unused_connections;
+  totals_.max_unsent_bytes = limits.max_unsent_bytes;
+  totals_.max_buffered_bytes = limits.max_buffered_bytes;
+}
+
+void ClientServer::accept() {
+  if (is_shut_down_ || !acceptor_.is_open()) return;
+  acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code error) {
+    if (error == asio::error::operation_aborted || is_shut_down_) return;
+    if (error) {
+      accept_later();
+    } else {
+      accept_one();
+    }
+  });
+}
+
+void ClientServer::accept_later() {
+  if (!queue_delayed_since_) queue_delayed_since_ = clock_.now();
+  accept_timer_.expires_after(kAcceptRetryDelay);
+  accept_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
+  });
+}
+
+bool ClientServer::has_space() { return connections_.size() < max_connections_ || evict_one(); }
+
+// At the limit a connection is evicted, but not before somebody waits in the queue; where none can be evicted
+// the new one stays in the queue.
+void ClientServer::accept_one() {
+  if (!has_space()) return accept_later();
+  error_code error;
+  tcp::socket socket(io_);
+  acceptor_.accept(socket, error);
+  if (!error) {
+    on_accepted(std::move(socket));
+    return accept();
+  }
+  if (is_queue_empty(error)) queue_delayed_since_.reset();
+  if (is_queue_empty(error) || has_left_queue(error)) return accept();
+  log_line("accept failed", error.message());
+  if (is_out_of_descriptors(error)) evict_one();
+  accept_later();
+}
+
+void ClientServer::on_accepted(tcp::socket socket) {
+  error_code ignored;
+  socket.non_blocking(true, ignored);
+  socket.set_option(tcp::no_delay(true), ignored);
+  const auto id = ++last_id_;
+  const auto connection = std::make_shared<resp::ClientConnection>(*this, totals_, id, clock_.now());
+  connections_.emplace(id, connection);
+  if (queue_delayed_since_) account_for_wait(socket, *connection);
+  if (draining_) connection->close_after_next_reply();
+  connection->start(std::make_unique<TcpStream>(std::move(socket), clock_, *connection));
+  if (is_shut_down_) connection->start_draining(clock_.now());
+  evict_excess_unused();
+}
+
+// The deadline of a request runs while its connection waits in the queue.
+void ClientServer::account_for_wait(tcp::socket& socket, resp::ClientConnection& connection) {
+  error_code error;
+  if (socket.available(error) == 0 || error) return;
+  const Ms now = clock_.now();
+  const Ms max_wait = now - *queue_delayed_since_;
+  const Ms received_ago = time_since_last_receive(socket.native_handle()).value_or(max_wait);
+  connection.set_arrival_bound(now - std::min(received_ago, max_wait));
+}
+
+// ---- replies ----
+
+resp::ClientConnection* ClientServer::find(ResponseHandle handle) {
+  const auto it = connections_.find(handle.connection);
+  return it == connections_.end() ? nullptr : it->second.get();
+}
+
+void ClientServer::send_reply(Ms now, ResponseHandle handle, std::string_view reply) {
+  if (auto* connection = find(handle)) connection->send_reply(now, handle.sequence, reply);
+}
+
+void ClientServer::send_error(Ms now, ResponseHandle handle, std::string_view reason) {
+  if (auto* connection = find(handle)) connection->send_error(now, handle.sequence, reason);
+}
+
+void ClientServer::start_value(Ms now, ResponseHandle handle, std::size_t size) {
+  if (auto* connection = find(handle)) connection->start_value(now, handle.sequence, size);
+}
+
+bool ClientServer::append_value(Ms now, ResponseHandle handle, std::string_view bytes) {
+  auto* connection = find(handle);
+  return !connection || connection->append_value(now, handle.sequence, bytes);
+}
+
+void ClientServer::finish_value(Ms now, ResponseHandle handle) {
+  if (auto* connection = find(handle)) connection->finish_value(now, handle.sequence);
+}
+
+bool ClientServer::client_disconnected(ResponseHandle handle) {
+  auto* connection = find(handle);
+  return !connection || connection->client_disconnected();
+}
+
+resp::CommandResult ClientServer::on_command(Ms, ResponseHandle handle, std::span<const resp::Item> words,
+                                             Ms waited) {
+  return callbacks_.on_command(handle, words, waited);
+}
+
+void ClientServer::on_client_disconnected(Ms, std::uint64_t name) { callbacks_.on_client_disconnected(name); }
+
+// ---- eviction ----
+
+bool ClientServer::may_evict(const resp::ClientConnection& connection) {
+  return may_close(resp::CloseReason::kEvicted, connection.state(clock_.now()));
+}
+
+// Clients that keep a connection after one request would use up the descriptors of their own machine, where
+// this gateway does not see the failures. So few are kept, those used last.
+void ClientServer::evict_excess_unused() {
+  ConnectionPtr oldest;
+  std::size_t unused_count = 0;
+  for (const auto& [id, connection] : connections_) {
+    if (!connection->has_replied() || !connection->is_idle()) continue;
+    ++unused_count;
+    if (!oldest || connection->last_used() < oldest->last_used()) oldest = connection;
+  }
+  if (unused_count > max_unused_connections_ && may_evict(*oldest)) {
+    oldest->close(clock_.now(), resp::CloseReason::kEvicted);
+  }
+}
+
+// If only idle connections were evicted, those that send nothing or half a command would keep others out.
+// Where they are many the oldest of them goes first: a usual client sends at once, so it is never the oldest.
+bool ClientServer::evict_one() {
+  ConnectionPtr best;
+  ConnectionPtr oldest_silent;
+  std::size_t silent_count = 0;
+  for (const auto& [id, connection] : connections_) {
+    const int priority = connection->eviction_priority();
+    if (priority == 0) continue;
+    const bool is_silent = connection->is_silent();
+    silent_count += is_silent ? 1 : 0;
+    const bool is_oldest_silent =
+        is_silent && (!oldest_silent || connection->last_used() < oldest_silent->last_used());
+    const bool is_best =
+        !best || priority > best->eviction_priority() ||
+        (priority == best->eviction_priority() && connection->last_used() < best->last_used());
+    if ((!is_oldest_silent && !is_best) || !may_evict(*connection)) continue;
+    if (is_oldest_silent) oldest_silent = connection;
+    if (is_best) best = connection;
+  }
+  if (!best) return false;
+  const bool are_many_silent = silent_count * kManySilentDivisor > max_connections_;
+  const auto& evicted = oldest_silent && are_many_silent ? oldest_silent : best;
+  evicted->close(clock_.now(), resp::CloseReason::kEvicted);
+  return true;
+}
+
+// ---- checks ----
+
+// Nothing is read from a connection whose reads are paused, so its end has to be looked for: attempts that
+// begin later than 0.1 s after it are wasted.
+void ClientServer::on_reads_paused() {
+  if (std::exchange(disconnect_check_scheduled_, true)) return;
+  disconnect_check_timer_.expires_after(kDisconnectCheckInterval);
+  disconnect_check_timer_.async_wait([this](error_code cancelled) {
+    if (cancelled) return;
+    disconnect_check_scheduled_ = false;
+    const auto connections = connections_;  // a check may close some
+    for (const auto& [id, connection] : connections) connection->check_disconnected(clock_.now());
+  });
+}
+
+void ClientServer::sweep() {
+  const auto connections = connections_;  // may close some
+  for (const auto& [id, connection] : connections) connection->close_if_timed_out(clock_.now());
+  sweep_timer_.expires_after(kSweepInterval);
+  sweep_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) sweep();
+  });
+}
+
+// ---- shutdown ----
+
+void ClientServer::shut_down() {
+  if (is_shut_down_) return;
+  is_shut_down_ = true;
+  accept_timer_.cancel();
+  close_idle();
+  accept_queue();
+}
+
+// Closing the listener would reset connections that the kernel has accepted already, so those are served
+// first. At the limit they wait for others to close, and the listener with them.
+void ClientServer::accept_queue() {
+  error_code error;
+  while (has_started_ && acceptor_.is_open() && !error) {
+    if (!has_space()) {
+      error = asio::error::no_descriptors;
+      break;
+    }
+    tcp::socket socket(io_);
+    acceptor_.accept(socket, error);
+    if (!error) on_accepted(std::move(socket));
+    if (has_left_queue(error)) error.clear();
+  }
+  if (!error || is_queue_empty(error)) {
+    acceptor_.close(error);
+    return;
+  }
+  if (!queue_delayed_since_) queue_delayed_since_ = clock_.now();
+  accept_timer_.expires_after(kAcceptRetryDelay);
+  accept_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept_queue();
+  });
+}
+
+void ClientServer::set_draining(bool on) {
+  draining_ = on;
+  if (!on) return;
+  for (const auto& [id, connection] : connections_) connection->close_after_next_reply();
+}
+
+void ClientServer::close_idle() {
+  const auto connections = connections_;  // may close some
+  for (const auto& [id, connection] : connections) connection->start_draining(clock_.now());
+}
+
+std::size_t ClientServer::connection_count() const {
+  return connections_.size() + (is_shut_down_ && acceptor_.is_open() ? 1 : 0);
+}
+
+}  // namespace cometfold::net
--- /dev/null
+++ b/src/net/client_server.h
@@ -0,0 +1,125 @@
+// The listener for clients and the table of their connections.
+#pragma once
+
+#include <boost/asio.hpp>
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <span>
+#include <string_view>
+#include <unordered_map>
+
+#include "net/clock.h"
+#include "resp/client_link.h"
+#include "resp/front.h"
+
+namespace cometfold::net {
+
+using resp::ResponseHandle;
+
+class ClientServerCallbacks {
+ public:
+  virtual ~ClientServerCallbacks() = default;
+  // A well-framed command, which arrived up to `waited` milliseconds ago.
+  virtual resp::CommandResult on_command(ResponseHandle handle, std::span<const resp::Item> words,
+                                         Ms waited) = 0;
+  virtual void on_client_disconnected(std::uint64_t name) = 0;
+  virtual void on_client_writable(std::uint64_t name) = 0;
+  // See resp::ClientConnectionCallbacks.
+  virtual void on_reply_pending(std::uint64_t identity) = 0;
+  virtual void on_reply_flushed(std::uint64_t identity) = 0;
+};
+
+struct ClientLimits {
+  std::size_t max_connections = 512;
+  std::size_t max_unused_connections = 256;  // without a request after a reply
+  // Over all connections.
+  std::size_t max_unsent_bytes = 24 * 1024 * 1024;    // of replies
+  std::size_t max_buffered_bytes = 24 * 1024 * 1024;  // of commands; beyond that large ones are rejected
+};
+
+class ClientServer : public resp::ReplySink, public resp::ClientConnectionCallbacks {
+ public:
+  ClientServer(boost::asio::io_context& io, Clock& clock, ClientServerCallbacks& callbacks,
+               const ClientLimits& limits);
+  ~ClientServer() override;
+
+  // Both throw boost::system::system_error.
+  void listen(const boost::asio::ip::tcp::endpoint& address);
+  // Takes ownership of a socket that listens already. Nobody is accepted before `start_accepting`.
+  void adopt(int listening_socket);
+  void start_accepting();
+  bool has_listener() const { return acceptor_.is_open(); }
+  int listening_socket() { return acceptor_.native_handle(); }
+  boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
+  // Accepts nobody any more and leaves the queue to another process that has the same socket.
+  void release_listener();
+  void set_limits(const ClientLimits& limits);
+  const resp::ClientTotals& totals() const { return totals_; }
+
+  void send_reply(Ms now, ResponseHandle handle, std::string_view reply) override;
+  void send_error(Ms now, ResponseHandle handle, std::string_view reason) override;
+  void start_value(Ms now, ResponseHandle handle, std::size_t size) override;
+  bool append_value(Ms now, ResponseHandle handle, std::string_view bytes) override;
+  void finish_value(Ms now, ResponseHandle handle) override;
+  bool client_disconnected(ResponseHandle handle) override;
+
+  // Accepts nobody any more but those in the queue; connections close once all their requests are answered.
+  void shut_down();
+  // Those that are open, and one more while the queue of an ended listener is not empty yet.
+  std::size_t connection_count() const;
+
+  // While draining, connections close after their next reply, new ones too.
+  void set_draining(bool on);
+  // Closes connections without an unanswered request; the others close after their replies.
+  void close_idle();
+
+  // Frees a descriptor: closes the connection with the least to lose. False if none may be closed.
+  bool evict_one();
+
+ private:
+  using ConnectionPtr = std::shared_ptr<resp::ClientConnection>;
+
+  resp::CommandResult on_command(Ms now, ResponseHandle handle, std::span<const resp::Item> words,
+                                 Ms waited) override;
+  void on_reply_pending(std::uint64_t identity) override { callbacks_.on_reply_pending(identity); }
+  void on_reply_flushed(std::uint64_t identity) override { callbacks_.on_reply_flushed(identity); }
+  void on_client_disconnected(Ms now, std::uint64_t name) override;
+  void on_client_writable(Ms, std::uint64_t name) override { callbacks_.on_client_writable(name); }
+  void on_closed(std::uint64_t id) override { connections_.erase(id); }
+  void on_reads_paused() override;
+
+  resp::ClientConnection* find(ResponseHandle handle);
+  bool has_space();
+  void accept();
+  void accept_later();
+  void accept_one();
+  void on_accepted(boost::asio::ip::tcp::socket socket);
+  void account_for_wait(boost::asio::ip::tcp::socket& socket, resp::ClientConnection& connection);
+  void accept_queue();
+  void sweep();
+  void evict_excess_unused();
+  bool may_evict(const resp::ClientConnection& connection);
+
+  boost::asio::io_context& io_;
+  Clock& clock_;
+  ClientServerCallbacks& callbacks_;
+  std::size_t max_connections_;
+  std::size_t max_unused_connections_;
+  resp::ClientTotals totals_;
+  boost::asio::ip::tcp::acceptor acceptor_;
+  boost::asio::steady_timer accept_timer_;
+  boost::asio::steady_timer disconnect_check_timer_;
+  boost::asio::steady_timer sweep_timer_;
+  std::unordered_map<std::uint64_t, ConnectionPtr> connections_;
+  std::uint64_t last_id_ = 0;
+  // New connections may have been in the queue since then; none: they were accepted at once.
+  std::optional<Ms> queue_delayed_since_;
+  bool has_started_ = false;
+  bool is_shut_down_ = false;
+  bool draining_ = false;
+  bool disconnect_check_scheduled_ = false;
+};
+
+}  // namespace cometfold::net
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -1,4 +1,4 @@
-// What a gateway is told at its start: the environment and the JSON file that it names.
+// The configuration that a gateway starts with: the environment and the JSON file that it names.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -8,56 +8,58 @@
 #include <functional>
 #include <map>
 #include <optional>
-#include <stdexcept>
 #include <string>
-#include <string_view>
 #include <vector>
 
 #include "cometfold/admission_controller.h"
+#include "net/config_error.h"
+#include "net/gateway_settings.h"
 #include "net/host_list.h"
-#include "net/own_settings.h"
 
 namespace cometfold::net {
 
-struct ConfigError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 struct Config {
   std::string name;
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> admin;  // where operators call
+  std::optional<boost::asio::ip::tcp::endpoint> admin;  // where operators call; none: nowhere
   std::uint64_t seed = 0;
-  std::size_t sockets = 1024;
-  std::size_t memory_mb = 192;
-  HostList known;
+  std::size_t max_descriptors = 1024;
+  std::size_t memory_limit_mb = 192;
+  HostList cached_hosts;
 
-  std::string settings_text;  // as they came, to tell whether they changed
+  std::string settings_text;  // as it was read; equal texts are equal settings
   AdmissionSettings settings;
-  // What the sockets need of the settings beside the module's own part.
-  std::vector<std::string> class_names, plan_names, zones, kinds, report_names;
-  Ms conn_idle_ms = 0;
+  // By number, as in `settings`.
+  std::vector<std::string> class_names;
+  std::vector<std::string> plan_names;
+  std::vector<std::string> zones;
+  std::vector<std::string> host_kinds;
+  Ms connection_idle_timeout_ms = 0;
   Ms connect_timeout_ms = 0;
-  std::size_t max_open = 0;
-  OwnSettings own;
-  std::map<std::string, RequestBounds> bounds;  // of classes that have some, by name
-  std::string handover;  // where a second process of this gateway finds the first; empty: nowhere
+  std::size_t max_open_requests = 0;
+
+  GatewaySettings gateway_settings;
+  std::map<std::string, RequestBounds> attempt_bounds;  // by name, of classes that have limits of their own
+  std::string
+      handover_path;  // of the socket where a second process of this gateway finds the first; or empty
 };
 
-// Throws ConfigError with one plain line.
-Config read_config(const boost::json::value& json);
-Config read_config_file(const std::string& path);
-// `variable` gives an environment variable's text, or null.
-Config load_config(const std::function<const char*(const char*)>& variable);
-// The file again, while the program runs. Danger: the environment is as old as the process, so here the file
-// alone says where discovery is.
-Config reload_config(const std::function<const char*(const char*)>& variable);
-
-// Proves the limits in the gateway's own settings against this configuration, and puts them where they are
-// used. Throws ConfigError, with a line for each thing wrong and nothing changed.
-void use_limits(Config& config);
-// The bounds of these classes, by their order.
-std::vector<RequestBounds> bounds_of(const Config& config, const std::vector<std::string>& classes);
+// The text of an environment variable, or null.
+using GetVariable = std::function<const char*(const char* name)>;
+
+// All throw ConfigError.
+Config parse_config(const boost::json::value& json);
+Config load_config_file(const std::string& path);
+Config load_config(const GetVariable& get_variable);
+// For a running process: its environment is as old as itself, so the address of discovery comes from the
+// file.
+Config reload_config(const GetVariable& get_variable);
+
+// Proves the limits in the gateway's own settings against this configuration and applies them to it. Throws
+// ConfigError, with a line for each problem and nothing changed.
+void apply_attempt_limits(Config& config);
+// In the order of `class_names`.
+std::vector<RequestBounds> bounds_of(const Config& config, const std::vector<std::string>& class_names);
 
 }  // namespace cometfold::net
--- a/src/net/decision_log.h
+++ b/src/net/decision_log.h
@@ -1,5 +1,5 @@
-// Tells of each request what the module decided on its arrival, one line each: what a report on quotas over
-// many gateways is counted from (tools/count_quotas.py). Off unless our own settings ask for it.
+// A line for each request with the decision on its arrival, from which tools/count_quotas.py counts quotas
+// over many gateways. Off without `[log] decisions` in the gateway's own settings.
 #pragma once
 
 #include <functional>
@@ -9,35 +9,36 @@
 
 namespace cometfold::net {
 
-// Stands before a module and changes nothing of what goes in or comes out. `module` and `settings` must
-// outlast it. `write` gets, at the start, what a plan and a class are: "plan=P rate=R burst=B pays=W cost=C
-// earns=E ceiling=H ceilingburst=I open=O" and "class=K worth=W aim=MS deadline=MS"; then of each request
-// "customer=C plan=P class=K units=U spread=S sent" or, in place of the last word, "refused=CAUSE".
+// A decorator of an admission policy, which changes nothing of what goes in or comes out. `policy` and
+// `settings` must outlive it. `write` gets, at the start, what a plan and a class are: "plan=P rate=R burst=B
+// pays=W cost=C earns=E ceiling=H ceilingburst=I open=O" and "class=K worth=W aim=MS deadline=MS"; then of
+// each request "customer=C plan=P class=K units=U spread=S sent" or, in place of the last word,
+// "refused=CAUSE".
 class DecisionLog : public engine::AdmissionPolicy {
  public:
   using Write = std::function<void(const std::string& line)>;
-  DecisionLog(engine::AdmissionPolicy& module, const AdmissionSettings& settings, Write write)
-      : module_(module), settings_(settings), write_(std::move(write)) {}
+  DecisionLog(engine::AdmissionPolicy& policy, const AdmissionSettings& settings, Write write)
+      : policy_(policy), settings_(settings), write_(std::move(write)) {}
 
   void start(Ms now, ActionSink& out) override;
   void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries,
                     ActionSink& out) override {
-    module_.on_host_list(now, kind, entries, out);
+    policy_.on_host_list(now, kind, entries, out);
   }
   void on_request(Ms now, const Request& request, ActionSink& out) override;
   void on_attempt_end(Ms now, const AttemptResult& end, ActionSink& out) override {
-    module_.on_attempt_end(now, end, out);
+    policy_.on_attempt_end(now, end, out);
   }
   void on_stream_started(Ms now, RequestId request, std::uint32_t attempt, ActionSink& out) override {
-    module_.on_stream_started(now, request, attempt, out);
+    policy_.on_stream_started(now, request, attempt, out);
   }
   void on_client_disconnected(Ms now, RequestId request, ActionSink& out) override {
-    module_.on_client_disconnected(now, request, out);
+    policy_.on_client_disconnected(now, request, out);
   }
-  void on_timer(Ms now, std::uint64_t token, ActionSink& out) override { module_.on_timer(now, token, out); }
+  void on_timer(Ms now, std::uint64_t token, ActionSink& out) override { policy_.on_timer(now, token, out); }
 
  private:
-  engine::AdmissionPolicy& module_;
+  engine::AdmissionPolicy& policy_;
   const AdmissionSettings& settings_;
   Write write_;
 };
--- a/src/net/departed_hosts.h
+++ b/src/net/departed_hosts.h
@@ -1,5 +1,5 @@
-// Hosts that this gateway was told are leaving or have left, kept for a process that takes its place: that
-// one's list may be older. Pure.
+// Hosts that discovery reported to this gateway as draining or removed, kept for a process that takes its
+// place, as that one's list may be older. Without I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,35 +14,35 @@
 
 class DepartedHosts {
  public:
-  // Of so many the last are kept: a list that is older than that is not of this deployment.
-  static constexpr std::size_t kMost = 8192;
+  // The most recent ones are kept; no list in use is old enough to miss more departures.
+  static constexpr std::size_t kMaxHosts = 8192;
 
-  // `boot_unix_ms`: of the process that leaves, as discovery has it.
-  void note(HostId host, std::optional<double> boot_ms) {
-    if (departed_.insert_or_assign(host, boot_ms).second) order_.push_back(host);
-    while (order_.size() > kMost) {
-      departed_.erase(order_.front());
+  // `boot_unix_ms`: of the process that departs, as discovery has it.
+  void insert(HostId host, std::optional<double> boot_unix_ms) {
+    if (boot_times_.insert_or_assign(host, boot_unix_ms).second) order_.push_back(host);
+    while (order_.size() > kMaxHosts) {
+      boot_times_.erase(order_.front());
       order_.pop_front();
     }
   }
-  // Whether this process of it is among them.
-  bool holds(HostId host, std::optional<double> boot_ms) const {
-    const auto it = departed_.find(host);
-    return it != departed_.end() && it->second == boot_ms;
+  // Whether this process of the host is among them.
+  bool contains(HostId host, std::optional<double> boot_unix_ms) const {
+    const auto it = boot_times_.find(host);
+    return it != boot_times_.end() && it->second == boot_unix_ms;
   }
-  // It takes requests again.
-  void forget(HostId host) {
-    if (departed_.erase(host) > 0) std::erase(order_, host);
+  void erase(HostId host) {
+    if (boot_times_.erase(host) > 0) std::erase(order_, host);
   }
+  // Oldest first.
   std::vector<DepartedHost> list() const {
-    std::vector<DepartedHost> all;
-    for (const HostId host : order_) all.push_back({host, departed_.at(host)});
-    return all;
+    std::vector<DepartedHost> hosts;
+    for (const HostId host : order_) hosts.push_back({host, boot_times_.at(host)});
+    return hosts;
   }
 
  private:
-  std::unordered_map<HostId, std::optional<double>> departed_;
-  std::deque<HostId> order_;  // by when each was noted first
+  std::unordered_map<HostId, std::optional<double>> boot_times_;
+  std::deque<HostId> order_;  // by when each was inserted first
 };
 
 }  // namespace cometfold::net
--- a/src/net/event_log.cpp
+++ b/src/net/event_log.cpp
@@ -8,14 +8,17 @@
 #include <memory>
 #include <string>
 
-#include "net/line_bound.h"
 #include "net/log.h"
+#include "net/log_rate_limiter.h"
 
 namespace cometfold::net {
 
 namespace {
 
-// Where all lines of the log go: the library's own sink waits for whoever reads.
+constexpr double kBurstLines = 500;
+constexpr double kLinesPerSecond = 5;
+
+// Writes without blocking, unlike the library's own sinks.
 class LogSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
@@ -27,27 +30,27 @@
 };
 
 spdlog::logger& logger() {
-  static const auto made = [] {
+  static const auto instance = [] {
     auto logger = std::make_shared<spdlog::logger>("events", std::make_shared<LogSink>());
     logger->set_pattern(R"({"time":"%Y-%m-%dT%H:%M:%S.%e%z","level":"%l",%v})");
     return logger;
   }();
-  return *made;
+  return *instance;
 }
 
 }  // namespace
 
-void log_event(Level level, std::string_view event, boost::json::object fields) {
-  static LineBound bound(500, 5);
-  const auto since = std::chrono::steady_clock::now().time_since_epoch();
-  const auto held_back = bound.take(std::chrono::duration<double, std::milli>(since).count());
-  if (!held_back) return;
+void log_event(LogLevel level, std::string_view event, boost::json::object fields) {
+  static LogRateLimiter limiter(kBurstLines, kLinesPerSecond);
+  const auto now = std::chrono::steady_clock::now().time_since_epoch();
+  const auto dropped = limiter.admit(std::chrono::duration<double, std::milli>(now).count());
+  if (!dropped) return;
   boost::json::object line{{"event", event}};
-  if (*held_back > 0) line["left_out_before"] = *held_back;
+  if (*dropped > 0) line["left_out_before"] = *dropped;
   for (auto& [key, value] : fields) line[key] = std::move(value);
   const std::string text = boost::json::serialize(line);
-  // The pattern has the outer braces.
-  logger().log(level == Level::kInfo ? spdlog::level::info : spdlog::level::warn,
+  // The logger's pattern has the outer braces.
+  logger().log(level == LogLevel::kInfo ? spdlog::level::info : spdlog::level::warn,
                std::string_view(text).substr(1, text.size() - 2));
 }
 
--- a/src/net/event_log.h
+++ b/src/net/event_log.h
@@ -1,14 +1,16 @@
-// The structured log of the newer parts: one JSON object a line on standard error, bounded by rate.
+// The structured log of events: one JSON object a line on standard error, limited by rate.
 #pragma once
 
 #include <boost/json.hpp>
+#include <cstdint>
 #include <string_view>
 
 namespace cometfold::net {
 
-enum class Level { kInfo, kWarning };
+enum class LogLevel : std::uint8_t { kInfo, kWarning };
 
-// {"time":...,"level":...,"event":EVENT, ...fields}
-void log_event(Level level, std::string_view event, boost::json::object fields);
+// {"time":...,"level":...,"event":EVENT, ...fields}. Never blocks: a line that can't be written now is
+// dropped.
+void log_event(LogLevel level, std::string_view event, boost::json::object fields);
 
 }  // namespace cometfold::net
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,73 +1,76 @@
-// One gateway on sockets: the engine between clients and hosts, fed by discovery. What is owed to whom is the
-// engine's, what is decided is the module's; here they meet sockets, the clock and the event loop.
+// One gateway on sockets. The engine keeps the requests, the admission module decides; here they are wired to
+// clients, hosts, discovery, operators, peers and the event loop.
 #pragma once
 
 #include <boost/asio.hpp>
 #include <cstdint>
 #include <functional>
-#include <map>
 #include <memory>
+#include <optional>
+#include <span>
 #include <string>
 #include <string_view>
 #include <vector>
 
 #include "engine/engine.h"
 #include "engine/module.h"
+#include "net/active_config.h"
 #include "net/admin_server.h"
-#include "net/clients.h"
+#include "net/client_server.h"
 #include "net/clock.h"
 #include "net/config.h"
 #include "net/decision_log.h"
-#include "net/departed_hosts.h"
 #include "net/discovery.h"
-#include "net/handover.h"
-#include "net/hosts.h"
+#include "net/host_registry.h"
 #include "net/peers.h"
 #include "net/processor_server.h"
+#include "net/shutdown_sequence.h"
+#include "net/upgrade_coordinator.h"
+#include "net/upstream_hosts.h"
 #include "resp/front.h"
-#include "settings/numbering.h"
 
 namespace cometfold::net {
 
-class Gateway : private ClientEvents,
+class Gateway : private ClientServerCallbacks,
                 private HostPoolCallbacks,
                 private DiscoveryCallbacks,
+                private UpgradeCallbacks,
                 private ops::GatewayOperations {
  public:
-  // `on_stopped` is called once, when all is settled after `begin_shutdown`.
+  // `on_stopped` is called once, when all is settled after `stop`. `io` and `clock` must outlive the gateway.
   Gateway(boost::asio::io_context& io, Clock& clock, Config config, std::function<void()> on_stopped);
   ~Gateway() override;
 
   void start();
-  // A planned stop: serves on for as long as clients may still come, then settles all that it has taken.
+  // A planned stop: serves on for as long as clients may still come, then settles all that it has accepted.
   void stop();
-  // A new configuration: what it names anew is used from now on, and work in flight goes on. Throws, with
-  // nothing changed, if it can't be taken.
+  // Uses a new configuration from now on; requests in flight go on. Throws, with nothing changed, if the
+  // configuration can't be used.
   void reload(const Config& config);
-  // A new configuration that could not be read.
-  void reload_failed() { ++load_errors_; }
-  // Where clients connect; what was asked for until there is a listening socket.
+  // Counts a new configuration that could not be read.
+  void on_reload_failed() { ++reload_errors_; }
+  // Where clients connect; the configured address until there is a listening socket.
   boost::asio::ip::tcp::endpoint address() const {
-    return clients_.has_socket() ? clients_.address() : config_.listen;
+    return clients_.has_listener() ? clients_.address() : config_.get().listen;
   }
   // Null if there is none.
   const extproc::Processor* processor() const { return processor_ ? &processor_->processor() : nullptr; }
 
  private:
-  resp::CommandResult on_command(ResponseHandle ticket, std::span<const resp::Item> words,
+  // ClientServerCallbacks
+  resp::CommandResult on_command(ResponseHandle handle, std::span<const resp::Item> words,
                                  Ms waited) override;
-  void on_unsent(std::uint64_t identity) override { front_.on_reply_pending(identity); }
-  void on_sent(std::uint64_t identity) override { front_.on_reply_flushed(identity); }
-  void on_client_gone(std::uint64_t name) override;
-  void on_room(std::uint64_t name) override { engine_.on_client_writable(clock_.now(), name); }
+  void on_reply_pending(std::uint64_t identity) override { command_handler_.on_reply_pending(identity); }
+  void on_reply_flushed(std::uint64_t identity) override { command_handler_.on_reply_flushed(identity); }
+  void on_client_disconnected(std::uint64_t name) override {
+    engine_.on_client_disconnected(clock_.now(), name);
+  }
+  void on_client_writable(std::uint64_t name) override { engine_.on_client_writable(clock_.now(), name); }
+
+  // HostPoolCallbacks
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                       std::string_view report) override;
-  void on_host_list(const HostList& list) override;
-
-  void on_value_started(Ms now, AttemptId attempt, std::size_t size) override {
-    engine_.on_value_started(now, attempt, size);
-    arm_timer();
-  }
+  void on_value_started(Ms now, AttemptId attempt, std::size_t size) override;
   bool on_value_chunk(Ms now, AttemptId attempt, std::string_view bytes) override {
     return engine_.on_value_chunk(now, attempt, bytes);
   }
@@ -75,70 +78,62 @@
   std::optional<Ms> may_write(Ms now, AttemptId attempt, bool begun) override {
     return engine_.may_write(now, attempt, begun);
   }
+
+  // DiscoveryCallbacks
+  void on_host_list(const HostList& list) override;
+  void apply_host_list(const HostList& list, HostListUpdate kind);
+  void on_host_ready(HostId host, const boost::asio::ip::tcp::endpoint& address, Ms started_at);
+
+  // UpgradeCallbacks
+  void on_serving() override;
+  void on_state_received(const std::string& state) override;
+  void on_predecessor_exited(bool with_state) override;
+  void on_second_process(bool is_running) override;
+  void on_stopped_while_serving() override { stop(); }
+  void on_stopped_before_serving() override { on_stopped_(); }
+  void hand_over();
+
+  // ops::GatewayOperations
   bool ready() const override;
   std::string metrics() override;
   std::optional<std::string> members() override;
   void set_draining(bool on) override;
-  void take_settings(const Config& config, const settings::NumberedSettings& numbered);
-  void open_to_clients();
-  void open_after_end();
-  void listen_after_end();
-  void open_to_proxies();
-  void take_over(const std::string& state);
-  void drop_departed(const std::vector<DepartedHost>& hosts);
-  void decline();
-  void on_predecessor_gone();
-  void hand_over();
-  // One of two processes has half of what both may have.
-  void share_limits(bool shared);
 
-  std::vector<HostEntry> entries(const HostList& list);
-  Ms start_of(HostId id, const DiscoveredHost& target, const HostList& list);
-  void apply(const HostList& list, HostListUpdate kind);
+  void apply_settings(const Config& config, const settings::NumberedSettings& numbered);
+  void apply_limits();
+  void log_ignored_changes(const Config& config) const;
+
   void arm_timer();
-  void run_due();
-  void await_stopped();
+  void run_timers();
 
   Clock& clock_;
-  Config config_;
-  engine::ControllerPolicy module_;
+  ActiveConfig config_;
+  engine::ControllerPolicy policy_;
   DecisionLog decision_log_;
-  Clients clients_;
-  Hosts hosts_;
+  ClientServer clients_;
+  UpstreamHosts hosts_;
   engine::Engine engine_;
-  resp::RespHandler front_;
-  std::unique_ptr<ProcessorServer> processor_;
+  resp::RespHandler command_handler_;
+  std::unique_ptr<ProcessorServer> processor_;  // null: there is none
   Discovery discovery_;
+  HostRegistry host_registry_;
   std::function<void()> on_stopped_;
+  ShutdownSequence shutdown_;
 
   boost::asio::steady_timer timer_;
-  Ms timer_at_ = 0;  // when it is set to; 0: not set
-
-  struct Known {
-    std::string uid;
-    std::optional<double> boot_ms;
-    Ms started_at = 0;
-  };
-  std::map<HostId, Known> known_;
-  DepartedHosts departed_;
-  boost::asio::steady_timer stop_timer_, drain_timer_;
-  std::unique_ptr<AdminServer> admin_;
-  std::unique_ptr<Peers> peers_;              // null: it knows of no others
-  std::unique_ptr<Predecessor> predecessor_;  // until it has ended
-  std::unique_ptr<Handover> handover_;
-  boost::asio::steady_timer ready_timer_, proxies_timer_, listen_timer_;
-  bool open_ = false;       // clients are accepted here, or were
-  bool told_ = false;       // discovery has spoken, or had its time to
-  bool handed_to_ = false;  // a process before this one had the clients
+  Ms timer_at_ = 0;  // when `timer_` expires; 0: not armed
+
+  boost::asio::steady_timer drain_timer_;
+  boost::asio::steady_timer ready_timer_;
+  std::unique_ptr<AdminServer> admin_;  // null: there is none
+  std::unique_ptr<UpgradeCoordinator> upgrade_;
+  std::unique_ptr<Peers> peers_;      // null: there are none
+  bool discovery_contacted_ = false;  // discovery has sent a list, or had its time to
   bool handed_over_ = false;
-  bool declining_ = false;                 // told to end before clients were this process's
-  bool sharing_ = false;                   // with another process of this gateway
-  std::vector<std::string> class_labels_;  // by number; of withdrawn classes too
-  std::uint64_t loads_ = 0, load_errors_ = 0;
-  bool draining_ = false;
+  bool shares_limits_ = false;  // with another process of this gateway
+  bool draining_ = false;       // as an operator asked
+  std::uint64_t reloads_ = 0;
+  std::uint64_t reload_errors_ = 0;
 };
 
-// A host's number, from its uid alone: the same at every gateway and after every restart.
-HostId host_number(std::string_view uid);
-
 }  // namespace cometfold::net
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -23,8 +23,8 @@
 constexpr Ms kDrainMargin = 450;
 
 constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
-// Of the memory, one part each for request bodies, for replies not sent yet, and for command buffers. Attempts
-// hold copies of bodies, so the sum stays well below the limit.
+// Of the memory, one part each for request bodies, for replies not sent yet, and for command buffers.
+// Attempts hold copies of bodies, so the sum stays well below the limit.
 constexpr std::size_t kMemoryParts = 8;
 
 std::size_t usable_descriptors(const Config& config) {
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -16,15 +16,16 @@
 
 namespace {
 
-constexpr std::size_t kRead = 32 * 1024;
-constexpr auto kSweep = std::chrono::milliseconds(250);
-constexpr auto kAcceptAgain = std::chrono::milliseconds(5);
+constexpr std::size_t kReadBufferBytes = 32 * 1024;
+constexpr int kBacklog = 1024;
+constexpr auto kSweepInterval = std::chrono::milliseconds(250);
+constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(5);
 
 }  // namespace
 
 class GrpcListener::Connection : public resp::StreamCallbacks, private http2::SessionEvents {
  public:
-  Connection(GrpcListener& owner, std::uint64_t id, Ms now) : owner_(owner), id_(id), heard_at_(now) {
+  Connection(GrpcListener& owner, std::uint64_t id, Ms now) : owner_(owner), id_(id), last_received_at_(now) {
     http2::SessionEvents& self = *this;
     calls_.emplace(owner.limits_.calls, owner.methods_, self, now);
   }
@@ -36,45 +37,47 @@
   }
 
   void on_connected(Ms, bool) override {}
-  void on_read(Ms now, std::size_t bytes, bool ended) override {
+  void on_read(Ms now, std::size_t bytes, bool closed_by_peer) override {
     reading_ = false;
     if (closed_) return;
     if (bytes > 0) {
-      heard_at_ = now;
-      pinged_ = false;
-      in_feed_ = true;
-      ending_ = !calls_->session().feed(now, {buffer_.data(), bytes}) || ending_;
-      in_feed_ = false;
+      last_received_at_ = now;
+      ping_sent_ = false;
+      in_session_ = true;
+      const bool is_valid = calls_->session().feed(now, {buffer_.data(), bytes});
+      session_failed_ = session_failed_ || !is_valid;
+      in_session_ = false;
       flush();
     }
-    if (ended) close();
+    if (closed_by_peer) close();
     read();
-    owner_.after_();
+    owner_.on_activity_();
   }
-  void on_writable(Ms, bool ok) override {
+  void on_writable(Ms, bool is_open) override {
     blocked_ = false;
     if (closed_) return;
-    if (!ok) return close();
+    if (!is_open) return close();
     flush();
-    owner_.after_();
+    owner_.on_activity_();
   }
   void on_posted(Ms) override {
-    flush_asked_ = false;
+    flush_posted_ = false;
     flush();
-    owner_.after_();
+    owner_.on_activity_();
   }
 
   void sweep(Ms now) {
     calls_->sweep(now);
     const auto& limits = owner_.limits_;
-    // Danger: a client that does not read would keep all that it has asked for here for ever.
-    if (blocked_ && now - progress_at_ > limits.answer_ms) return close();
-    if (!calls_->session().began() && now - heard_at_ > limits.answer_ms) return close();
-    if (now - heard_at_ <= limits.silent_ms) return;
-    if (!pinged_) {
-      pinged_ = true;
+    const Ms silence = now - last_received_at_;
+    // A client that does not read would keep its replies in memory.
+    if (blocked_ && now - last_written_at_ > limits.response_timeout_ms) return close();
+    if (!calls_->session().began() && silence > limits.response_timeout_ms) return close();
+    if (silence <= limits.silence_timeout_ms) return;
+    if (!ping_sent_) {
+      ping_sent_ = true;
       calls_->session().ping();
-    } else if (now - heard_at_ > limits.silent_ms + limits.answer_ms) {
+    } else if (silence > limits.silence_timeout_ms + limits.response_timeout_ms) {
       close();
     }
   }
@@ -87,20 +90,20 @@
   void close() {
     if (closed_) return;
     closed_ = true;
-    stream_->close();  // and kept: its last events may still come
-    // Now, not when the stream's last event lets go of this: whoever serves the calls may be gone by then.
+    stream_->close();  // not destroyed: its last callbacks may still come
+    // Not left to the destructor, which runs after those: the services may have been destroyed by then.
     calls_.reset();
-    owner_.connections_.erase(id_);  // the stream's last event still holds this
+    owner_.connections_.erase(id_);
   }
 
  private:
   void on_output() override {
-    if (in_feed_ || flush_asked_ || blocked_ || closed_) return;
-    flush_asked_ = true;
+    if (in_session_ || flush_posted_ || blocked_ || closed_) return;
+    flush_posted_ = true;
     stream_->post();
   }
   std::unique_ptr<http2::StreamEvents> on_request(Ms, http2::Stream&, http2::HeaderBlock) override {
-    return {};  // the calls' own
+    return {};  // handled by http2::grpc::Connection
   }
 
   void read() {
@@ -109,59 +112,66 @@
     stream_->read(buffer_);
   }
 
-  // Danger: writing may end calls, and so lead to more to write.
+  // Writing may end calls, and so produce more output.
   void flush() {
-    if (closed_ || blocked_ || in_feed_) return;
-    in_feed_ = true;
+    if (closed_ || blocked_ || in_session_) return;
+    in_session_ = true;
     auto& session = calls_->session();
     for (auto bytes = session.output(); !bytes.empty(); bytes = session.output()) {
       const auto written = stream_->write(bytes);
       if (written.disconnected) {
-        in_feed_ = false;
+        in_session_ = false;
         return close();
       }
       session.consumed(written.bytes);
-      if (written.bytes > 0 || !blocked_) progress_at_ = owner_.clock_.now();
+      if (written.bytes > 0 || !blocked_) last_written_at_ = owner_.clock_.now();
       if (written.blocked) {
         blocked_ = true;
         stream_->await_writable();
         break;
       }
     }
-    in_feed_ = false;
-    if (!blocked_ && (ending_ || session.done())) return close();
+    in_session_ = false;
+    if (!blocked_ && (session_failed_ || session.done())) return close();
     read();
   }
 
   GrpcListener& owner_;
   std::uint64_t id_;
   std::unique_ptr<resp::Stream> stream_;
-  std::string buffer_ = std::string(kRead, '\0');
-  Ms heard_at_, progress_at_ = 0;
-  bool reading_ = false, blocked_ = false, in_feed_ = false, flush_asked_ = false, ending_ = false;
-  bool pinged_ = false, closed_ = false;
-  std::optional<http2::grpc::Connection> calls_;  // until `close`
+  std::string buffer_ = std::string(kReadBufferBytes, '\0');
+  Ms last_received_at_;
+  Ms last_written_at_ = 0;
+  bool reading_ = false;
+  bool blocked_ = false;     // the socket takes no more output now
+  bool in_session_ = false;  // the session's output is flushed at the end of the call
+  bool flush_posted_ = false;
+  bool session_failed_ = false;
+  bool ping_sent_ = false;
+  bool closed_ = false;
+  std::optional<http2::grpc::Connection> calls_;  // none after `close`
 };
 
 GrpcListener::GrpcListener(asio::io_context& io, Clock& clock, http2::grpc::Methods& methods,
-                           const GrpcLimits& limits, std::function<void()> after)
+                           const GrpcLimits& limits, std::function<void()> on_activity)
     : io_(io),
       clock_(clock),
       methods_(methods),
       limits_(limits),
-      after_(std::move(after)),
+      on_activity_(std::move(on_activity)),
       acceptor_(io),
-      retry_accept_(io),
+      accept_timer_(io),
       sweep_timer_(io) {}
 GrpcListener::~GrpcListener() { close_all(); }
 
-void GrpcListener::listen(const tcp::endpoint& at) {
-  acceptor_.open(at.protocol());
+void GrpcListener::listen(const tcp::endpoint& address) {
+  acceptor_.open(address.protocol());
   acceptor_.set_option(tcp::acceptor::reuse_address(true));
-  acceptor_.bind(at);
-  acceptor_.listen(1024);
+  acceptor_.bind(address);
+  acceptor_.listen(kBacklog);
   acceptor_.non_blocking(true);
-  acceptor_.set_option(asio::socket_base::enable_connection_aborted(true));  // see Clients::begin
+  acceptor_.set_option(
+      asio::socket_base::enable_connection_aborted(true));  // see ClientServer::start_accepting
   accept();
   sweep();
 }
@@ -170,23 +180,27 @@
   if (draining_ || !acceptor_.is_open()) return;
   acceptor_.async_wait(tcp::acceptor::wait_read, [this](error_code error) {
     if (error == asio::error::operation_aborted || draining_) return;
-    error ? accept_later() : accept_one();
+    if (error) {
+      accept_later();
+    } else {
+      accept_one();
+    }
   });
 }
 
 void GrpcListener::accept_one() {
   error_code error;
   tcp::socket socket(io_);
-  if (connections_.size() < limits_.connections) {
+  if (connections_.size() < limits_.max_connections) {
     acceptor_.accept(socket, error);
     if (!error) {
       socket.non_blocking(true, error);
       socket.set_option(tcp::no_delay(true), error);
       const auto id = ++last_id_;
-      const auto made = std::make_shared<Connection>(*this, id, clock_.now());
-      connections_.emplace(id, made);
-      made->start(std::make_unique<TcpStream>(std::move(socket), clock_, *made));
-      if (announced_) made->announce_drain();
+      const auto connection = std::make_shared<Connection>(*this, id, clock_.now());
+      connections_.emplace(id, connection);
+      connection->start(std::make_unique<TcpStream>(std::move(socket), clock_, *connection));
+      if (drain_announced_) connection->announce_drain();
       return accept();
     }
     if (error == asio::error::would_block || error == asio::error::try_again ||
@@ -199,26 +213,26 @@
 }
 
 void GrpcListener::accept_later() {
-  retry_accept_.expires_after(kAcceptAgain);
-  retry_accept_.async_wait([this](error_code stopped) {
-    if (!stopped) accept();
+  accept_timer_.expires_after(kAcceptRetryDelay);
+  accept_timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) accept();
   });
 }
 
 void GrpcListener::sweep() {
-  const auto all = connections_;  // a sweep may close some
-  for (const auto& [id, c] : all) c->sweep(clock_.now());
-  after_();
-  sweep_timer_.expires_after(kSweep);
+  const auto connections = connections_;  // a sweep may close some
+  for (const auto& [id, connection] : connections) connection->sweep(clock_.now());
+  on_activity_();
+  sweep_timer_.expires_after(kSweepInterval);
   sweep_timer_.async_wait([this](error_code error) {
     if (!error) sweep();
   });
 }
 
 void GrpcListener::announce_drain() {
-  if (announced_) return;
-  announced_ = true;
-  for (const auto& [id, c] : connections_) c->announce_drain();
+  if (drain_announced_) return;
+  drain_announced_ = true;
+  for (const auto& [id, connection] : connections_) connection->announce_drain();
 }
 
 void GrpcListener::drain() {
@@ -226,14 +240,14 @@
   draining_ = true;
   error_code ignored;
   acceptor_.close(ignored);
-  retry_accept_.cancel();
-  const auto all = connections_;
-  for (const auto& [id, c] : all) c->drain();
+  accept_timer_.cancel();
+  const auto connections = connections_;  // may close some
+  for (const auto& [id, connection] : connections) connection->drain();
 }
 
 void GrpcListener::close_all() {
-  const auto all = connections_;
-  for (const auto& [id, c] : all) c->close();
+  const auto connections = connections_;  // may close some
+  for (const auto& [id, connection] : connections) connection->close();
 }
 
 }  // namespace cometfold::net
--- a/src/net/grpc_listener.h
+++ b/src/net/grpc_listener.h
@@ -14,29 +14,31 @@
 namespace cometfold::net {
 
 struct GrpcLimits {
-  std::size_t connections = 64;  // more wait in the kernel
-  Ms silent_ms = 15'000;         // a connection that says nothing for so long is asked whether it is there
-  Ms answer_ms = 10'000;         // ... and has so long to say so, to begin, or to take what waits for it
+  std::size_t max_connections = 64;  // more wait in the kernel's queue
+  // A connection from which nothing is received for so long is pinged.
+  Ms silence_timeout_ms = 15'000;
+  // For the answer to a ping, the start of HTTP/2, and for the client to read what is sent.
+  Ms response_timeout_ms = 10'000;
   http2::grpc::ServerLimits calls;
 };
 
 class GrpcListener {
  public:
-  // `after` is called when a connection's events have been dealt with.
+  // `on_activity` is called when a connection's events have been handled.
   GrpcListener(boost::asio::io_context& io, Clock& clock, http2::grpc::Methods& methods,
-               const GrpcLimits& limits, std::function<void()> after);
+               const GrpcLimits& limits, std::function<void()> on_activity);
   ~GrpcListener();
 
-  // Throws if the address can't be had.
-  void listen(const boost::asio::ip::tcp::endpoint& at);
+  // Throws boost::system::system_error if the address can't be used.
+  void listen(const boost::asio::ip::tcp::endpoint& address);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Tells all clients that the end is near; what they still begin is served.
+  // Sends a first GOAWAY to all clients; calls that they still begin are served.
   void announce_drain();
-  // No new calls; connections close when those that are open have ended.
+  // No new calls; connections close when their calls have ended.
   void drain();
   void close_all();
-  std::size_t connections() const { return connections_.size(); }
+  std::size_t connection_count() const { return connections_.size(); }
 
  private:
   class Connection;
@@ -50,12 +52,14 @@
   Clock& clock_;
   http2::grpc::Methods& methods_;
   GrpcLimits limits_;
-  std::function<void()> after_;
+  std::function<void()> on_activity_;
   boost::asio::ip::tcp::acceptor acceptor_;
-  boost::asio::steady_timer retry_accept_, sweep_timer_;
+  boost::asio::steady_timer accept_timer_;
+  boost::asio::steady_timer sweep_timer_;
   std::unordered_map<std::uint64_t, std::shared_ptr<Connection>> connections_;
   std::uint64_t last_id_ = 0;
-  bool announced_ = false, draining_ = false, waiting_ = false;
+  bool drain_announced_ = false;
+  bool draining_ = false;
 };
 
 }  // namespace cometfold::net
--- a/src/net/host_registry.cpp
+++ b/src/net/host_registry.cpp
@@ -36,8 +36,8 @@
 HostRegistry::HostRegistry(Clock& clock, Names names, ReadyCallback on_ready)
     : clock_(clock), names_(names), on_ready_(std::move(on_ready)) {}
 
-// When a host that is new here started, on this clock. A cold host that is taken for a warm one is overloaded,
-// so doubt is resolved towards a recent start:
+// When a host that is new here started, on this clock. A cold host that is taken for a warm one is
+// overloaded, so doubt is resolved towards a recent start:
 // - a delta reports recent changes: if the start that it gives is long ago, or missing, either the clocks of
 //   discovery and this machine disagree, or the delta was long under way;
 // - this machine's wall clock may have been stepped before this process started: a start before the moment at
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -8,37 +8,38 @@
 #include <cstdint>
 #include <string>
 
-#include "net/line_bound.h"
+#include "net/log_rate_limiter.h"
 
 namespace cometfold::net {
 
 namespace {
 
-constexpr std::size_t kLongestLogLine = PIPE_BUF;  // so much a pipe takes whole, or says that it has no room
-constexpr double kBurst = 2000, kLinesASecond = 10;
+// A pipe takes so many bytes as a whole, or none of them.
+constexpr std::size_t kMaxLineBytes = PIPE_BUF;
+constexpr double kBurstLines = 2000;
+constexpr double kLinesPerSecond = 10;
 
 }  // namespace
 
-// Danger: a write to a pipe whose reader has stopped waits for it, and the whole gateway would stand still
-// with all that it owes, for want of somebody who reads its log.
+// A write to a pipe that nobody reads would block the event loop, and all requests with it.
 bool write_log(std::string_view line) {
-  pollfd look{STDERR_FILENO, POLLOUT, 0};
-  if (::poll(&look, 1, 0) <= 0 || (look.revents & POLLOUT) == 0) return false;
-  std::string text(line.substr(0, kLongestLogLine));
+  pollfd request{STDERR_FILENO, POLLOUT, 0};
+  if (::poll(&request, 1, 0) <= 0 || (request.revents & POLLOUT) == 0) return false;
+  std::string text(line.substr(0, kMaxLineBytes));
   if (text.size() < line.size()) text.back() = '\n';
   return ::write(STDERR_FILENO, text.data(), text.size()) > 0;
 }
 
-void log_line(std::string_view what, std::string_view detail) {
-  static LineBound bound(kBurst, kLinesASecond);
-  static std::uint64_t left_out = 0;
-  const auto since = std::chrono::steady_clock::now().time_since_epoch();
-  const auto held_back = bound.take(std::chrono::duration<double, std::milli>(since).count());
-  if (!held_back) return;
-  left_out += *held_back;
-  std::string text = std::string(what) + (detail.empty() ? "" : ": ") + std::string(detail) + "\n";
-  if (left_out > 0) text = std::to_string(left_out) + " lines were left out\n" + text;
-  left_out = write_log(text) ? 0 : left_out + 1;
+void log_line(std::string_view event, std::string_view detail) {
+  static LogRateLimiter limiter(kBurstLines, kLinesPerSecond);
+  static std::uint64_t dropped = 0;
+  const auto now = std::chrono::steady_clock::now().time_since_epoch();
+  const auto limited = limiter.admit(std::chrono::duration<double, std::milli>(now).count());
+  if (!limited) return;
+  dropped += *limited;
+  std::string text = std::string(event) + (detail.empty() ? "" : ": ") + std::string(detail) + "\n";
+  if (dropped > 0) text = std::to_string(dropped) + " lines were left out\n" + text;
+  dropped = write_log(text) ? 0 : dropped + 1;
 }
 
 }  // namespace cometfold::net
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -1,4 +1,4 @@
-// The real api gateway: environment, signals, the event loop and the exit code.
+// The gateway's program: command line, environment, signals, the event loop and the exit code.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -22,19 +22,19 @@
 using namespace cometfold::net;
 namespace extproc = cometfold::extproc;
 
-// The soft limit on descriptors may lie under what the configuration grants.
-void raise_descriptor_limit(std::size_t sockets) {
+// The soft limit on descriptors may be lower than what the configuration allows.
+void raise_descriptor_limit(std::size_t descriptors) {
   rlimit limit{};
   if (getrlimit(RLIMIT_NOFILE, &limit) != 0) return;
-  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, sockets));
+  limit.rlim_cur = std::min<rlim_t>(limit.rlim_max, std::max<rlim_t>(limit.rlim_cur, descriptors));
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// A batch is what one handler finds: all commands of one read, or all timers that are due. Taking several
-// handlers for one batch would need a look for more after each, which is a system call.
+// A batch is what one handler processes: all commands of one read, or all timers that have expired. Batches
+// of several handlers would cost a system call after each to look for more.
 //
-// Danger: an exception out of one handler would end the program and lose all that it has taken. The tables
-// stay whole, each request keeps the timer of its deadline, and the loop goes on.
+// An exception of one handler must not lose the requests of all others: the tables stay consistent, and each
+// request keeps the timer of its deadline.
 void run(boost::asio::io_context& io, Clock& clock) {
   while (!io.stopped()) {
     try {
@@ -48,88 +48,89 @@
   }
 }
 
-const char* variable(const char* name) { return std::getenv(name); }
+const char* get_variable(const char* name) { return std::getenv(name); }
 
-// What the command line asks for; by default what the platform starts.
+// The command line. Without options the program serves.
 struct Options {
-  std::string settings;
-  std::string check;
-  bool outcomes = false;
+  std::string settings_path;
+  std::string config_path;  // to be checked
+  bool print_outcomes = false;
 };
 
-// With the gateway's own settings, if there are some, and their limits proved.
-Config with_own_settings(Config config, const Options& options) {
-  if (!options.settings.empty()) config.own = read_own_settings(options.settings);
-  use_limits(config);
+// Adds the gateway's own settings, if there are some, and proves their limits.
+Config with_gateway_settings(Config config, const Options& options) {
+  if (!options.settings_path.empty()) config.gateway_settings = load_gateway_settings(options.settings_path);
+  apply_attempt_limits(config);
   return config;
 }
 
-// SIGHUP: the files have changed. Danger: a file that can't be read must not end a gateway that serves.
+// SIGHUP: the files have changed. A file that can't be used must not end a process that serves.
 void await_reload(boost::asio::signal_set& hangups, Gateway& gateway, const Options& options) {
-  hangups.async_wait([&](boost::system::error_code error, int) {
-    if (error) return;
+  hangups.async_wait([&](boost::system::error_code cancelled, int) {
+    if (cancelled) return;
     await_reload(hangups, gateway, options);
     try {
-      gateway.reload(with_own_settings(reload_config(variable), options));
+      gateway.reload(with_gateway_settings(reload_config(get_variable), options));
       log_line("configuration read again");
-    } catch (const std::exception& bad) {
-      gateway.reload_failed();
-      log_line("the new configuration is bad, the old one is kept", bad.what());
+    } catch (const std::exception& error) {
+      gateway.on_reload_failed();
+      log_line("the new configuration is bad, the old one is kept", error.what());
     }
   });
 }
 
 int check_config(const Options& options) {
   try {
-    const Config config = with_own_settings(read_config_file(options.check), options);
-    if (config.own.processor_at) extproc::check(config.own.processor, processor_names(config));
-    std::printf("%s: good: %zu classes, %zu plans, %zu hosts known\n", options.check.c_str(),
-                config.class_names.size(), config.plan_names.size(), config.known.hosts.size());
+    const Config config = with_gateway_settings(load_config_file(options.config_path), options);
+    if (config.gateway_settings.processor_address) {
+      extproc::check(config.gateway_settings.processor, processor_names(config));
+    }
+    std::printf("%s: good: %zu classes, %zu plans, %zu hosts known\n", options.config_path.c_str(),
+                config.class_names.size(), config.plan_names.size(), config.cached_hosts.hosts.size());
     return 0;
-  } catch (const std::exception& bad) {
-    std::fprintf(stderr, "%s\n", bad.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 1;
   }
 }
 
 int print_outcomes(const Options& options) {
   try {
-    OwnSettings own;
-    if (!options.settings.empty()) own = read_own_settings(options.settings);
-    std::printf("%s", extproc::outcome_table(own.processor.not_run).c_str());
+    GatewaySettings settings;
+    if (!options.settings_path.empty()) settings = load_gateway_settings(options.settings_path);
+    std::printf("%s", extproc::outcome_table(settings.processor.not_run).c_str());
     return 0;
-  } catch (const std::exception& bad) {
-    std::fprintf(stderr, "%s\n", bad.what());
+  } catch (const std::exception& error) {
+    std::fprintf(stderr, "%s\n", error.what());
     return 1;
   }
 }
 
-// Signals that come while it exists wait until it is gone. Danger: ignored until there is something to
-// reload, the signal of a configuration that is written while this process starts would be lost, and with it
-// the address where discovery is from now on.
-class HeldSignals {
+// Signals that arrive during its lifetime stay pending until its end, so that none is lost before handlers
+// are installed: the configuration may be rewritten while this process starts.
+class BlockedSignals {
  public:
-  HeldSignals() {
-    sigset_t held;
-    sigemptyset(&held);
-    sigaddset(&held, SIGHUP);
-    sigaddset(&held, SIGTERM);
-    sigaddset(&held, SIGINT);
-    pthread_sigmask(SIG_BLOCK, &held, &before_);
+  BlockedSignals() {
+    sigset_t blocked;
+    sigemptyset(&blocked);
+    sigaddset(&blocked, SIGHUP);
+    sigaddset(&blocked, SIGTERM);
+    sigaddset(&blocked, SIGINT);
+    pthread_sigmask(SIG_BLOCK, &blocked, &previous_mask_);
   }
-  ~HeldSignals() { pthread_sigmask(SIG_SETMASK, &before_, nullptr); }
-  HeldSignals(const HeldSignals&) = delete;
-  HeldSignals& operator=(const HeldSignals&) = delete;
+  ~BlockedSignals() { pthread_sigmask(SIG_SETMASK, &previous_mask_, nullptr); }
+  BlockedSignals(const BlockedSignals&) = delete;
+  BlockedSignals& operator=(const BlockedSignals&) = delete;
 
  private:
-  sigset_t before_;
+  sigset_t previous_mask_;
 };
 
 int serve(const Options& options) {
   std::signal(SIGPIPE, SIG_IGN);
-  auto held = std::make_optional<HeldSignals>();
-  const Config config = with_own_settings(load_config(variable), options);
-  raise_descriptor_limit(config.sockets);
+  auto blocked = std::make_optional<BlockedSignals>();
+  const Config config = with_gateway_settings(load_config(get_variable), options);
+  raise_descriptor_limit(config.max_descriptors);
   boost::asio::io_context io(1);
   Clock clock;
   Gateway gateway(io, clock, config, [&io] { io.stop(); });
@@ -139,10 +140,10 @@
   });
   boost::asio::signal_set hangups(io, SIGHUP);
   await_reload(hangups, gateway, options);
-  held.reset();
+  blocked.reset();
   gateway.start();
-  const auto at = gateway.address();
-  log_line("ready: " + config.name, at.address().to_string() + ":" + std::to_string(at.port()));
+  const auto address = gateway.address();
+  log_line("ready: " + config.name, address.address().to_string() + ":" + std::to_string(address.port()));
   run(io, clock);
   log_line("stopped", config.name);
   return 0;
@@ -157,13 +158,14 @@
         "An api gateway between RESP2 clients and hosts. Without arguments it serves as EDGE_NAME, "
         "EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONFIG say."};
     app.set_version_flag("--version", "cometfold " COMETFOLD_VERSION);
-    app.add_option("--settings", options.settings, "the gateway's own settings, as deploy/cometfold.toml");
-    app.add_option("--check-config", options.check, "say whether a configuration is good, and end");
-    app.add_flag("--outcomes", options.outcomes, "print how a proxy's reports are read, and end");
+    app.add_option("--settings", options.settings_path,
+                   "the gateway's own settings, as deploy/cometfold.toml");
+    app.add_option("--check-config", options.config_path, "say whether a configuration is good, and end");
+    app.add_flag("--outcomes", options.print_outcomes, "print how a proxy's reports are read, and end");
     CLI11_PARSE(app, argc, argv);
   }
-  if (options.outcomes) return print_outcomes(options);
-  if (!options.check.empty()) return check_config(options);
+  if (options.print_outcomes) return print_outcomes(options);
+  if (!options.config_path.empty()) return check_config(options);
   try {
     return serve(options);
   } catch (const std::exception& error) {
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -1,10 +1,8 @@
-// The other gateways of this one's cluster: membership on a UDP socket, in the gateway's event loop. Requests
-// go first: a turn of the loop reads a bounded number of datagrams.
+// Membership in the cluster of gateways, on a UDP socket in the gateway's event loop.
 #pragma once
 
 #include <array>
 #include <boost/asio.hpp>
-#include <cstdint>
 #include <optional>
 #include <string>
 #include <vector>
@@ -12,15 +10,17 @@
 #include "membership/membership.h"
 #include "membership/wire.h"
 #include "net/clock.h"
+#include "net/peer_change_log.h"
+#include "net/peer_report.h"
 #include "ops/figures.h"
 
 namespace cometfold::net {
 
-// [peers] in the gateway's own settings; without an address to listen at there are none.
+// [peers] in the gateway's own settings; without an address to listen on there are none.
 struct PeerSettings {
   std::optional<boost::asio::ip::udp::endpoint> listen;
-  std::optional<boost::asio::ip::udp::endpoint> advertise;  // where others reach it, if not there
-  std::vector<std::string> seeds;
+  std::optional<boost::asio::ip::udp::endpoint> advertise;  // where others reach it; none: at `listen`
+  std::vector<std::string> seeds;                           // addresses and ports
   std::string cluster = "cometfold";
   membership::MembershipSettings membership;
   bool operator==(const PeerSettings& other) const {
@@ -33,43 +33,36 @@
  public:
   Peers(boost::asio::io_context& io, Clock& clock, const PeerSettings& settings, const std::string& name);
 
-  // An address that another process still holds, as at an upgrade, is waited for; any other reason not to get
-  // it throws boost::system::system_error.
+  // Waits for an address that another process still holds, as during an upgrade. Throws
+  // boost::system::system_error if the address can't be used for another reason.
   void start();
   void leave();
 
-  // Who is there, as one JSON object.
+  // The members, as one JSON object.
   std::string members();
-  ops::PeerMetrics figures();
+  ops::PeerMetrics metrics();
 
  private:
-  struct Traffic {
-    std::uint64_t in = 0, out = 0, bytes_in = 0, bytes_out = 0, unsent = 0;
-    std::uint64_t foreign = 0, version = 0, spoilt = 0, malformed = 0;
-  };
-  void open();
+  void bind_later();
   void await_datagrams();
   void read_datagrams();
-  void take(const std::string& datagram);
-  void after();
-  void arm();
-  void note(const membership::MembershipEvent& change);
-  void tell_changes();
+  bool read_datagram();
+  void send(const membership::OutgoingMessage& outgoing);
+  void process_output();
+  void arm_timer();
 
   Clock& clock_;
   PeerSettings settings_;
   std::string name_;
   boost::asio::ip::udp::socket socket_;
-  boost::asio::steady_timer timer_, tell_timer_, bind_timer_;
+  boost::asio::steady_timer tick_timer_;
+  boost::asio::steady_timer bind_timer_;
   membership::Membership membership_;
-  Traffic traffic_;
+  PeerChangeLog change_log_;
+  PeerTraffic traffic_;
   std::array<char, 2048> buffer_;
-  boost::asio::ip::udp::endpoint from_;
-  Ms armed_for_ = 0;
-  bool telling_ = false, started_ = false;
-  // Of the members, since it was last told.
-  std::array<std::uint64_t, 4> became_{};
-  std::array<std::vector<std::string>, 4> names_;
+  Ms tick_at_ = 0;  // when `tick_timer_` expires; 0: not armed
+  bool bind_wait_logged_ = false;
 };
 
 }  // namespace cometfold::net
--- a/src/net/processor_server.h
+++ b/src/net/processor_server.h
@@ -1,5 +1,4 @@
-// The external processor on sockets: its listener, its settings as the gateway's configuration has them, and
-// when it has something to do.
+// The external processor on sockets: its listener, and its settings from the gateway's configuration.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -18,14 +17,16 @@
 
 class ProcessorServer : private http2::grpc::Methods {
  public:
-  // `after` is called when the engine may have something new to do. Throws extproc::SettingsError.
+  // `on_activity` is called when the engine may have something new to do. Throws extproc::SettingsError.
   ProcessorServer(boost::asio::io_context& io, Clock& clock, engine::Engine& engine, const Config& config,
-                  std::function<void()> after);
+                  std::function<void()> on_activity);
 
-  void listen();
+  // `retry_while_in_use`: an earlier process may hold the address for a moment yet; proxies reconnect. Throws
+  // boost::system::system_error if the address can't be used.
+  void listen(bool retry_while_in_use);
   GrpcListener& listener() { return listener_; }
   extproc::Processor& processor() { return processor_; }
-  // Throws extproc::SettingsError and keeps what it has.
+  // Throws extproc::SettingsError, with nothing changed.
   void reload(const Config& config, extproc::Names names);
   void run_due(Ms now) { processor_.run_due(now); }
 
@@ -34,9 +35,10 @@
     return path == extproc::kProcess ? &processor_ : nullptr;
   }
 
-  boost::asio::ip::tcp::endpoint at_;
+  boost::asio::ip::tcp::endpoint address_;
   extproc::Processor processor_;
   GrpcListener listener_;
+  boost::asio::steady_timer retry_timer_;
 };
 
 }  // namespace cometfold::net
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -1,4 +1,4 @@
-// A line for each step of each request: taken, sent, written, ended, answered, and why. Off without
+// A line for each step of each request: accepted, sent, written, ended, answered, and why. Off without
 // `[log] requests` in the gateway's own settings.
 #pragma once
 
@@ -8,7 +8,7 @@
 
 namespace cometfold::net {
 
-// One step as `name=value` words; times in milliseconds of the program's clock.
-std::string to_line(const engine::RequestEvent& step);
+// One event as `name=value` words; times in milliseconds of the program's clock.
+std::string to_line(const engine::RequestEvent& event);
 
 }  // namespace cometfold::net
--- /dev/null
+++ b/src/net/shutdown_sequence.cpp
@@ -0,0 +1,66 @@
+#include "net/shutdown_sequence.h"
+
+#include <chrono>
+#include <cstddef>
+#include <utility>
+
+#include "net/log.h"
+
+namespace cometfold::net {
+namespace asio = boost::asio;
+using boost::system::error_code;
+
+namespace {
+
+// After a handover: idle connections have been closed by then, so one that is still quiet holds half a
+// command.
+constexpr auto kHandedOverGracePeriod = std::chrono::milliseconds(2600);
+constexpr Ms kLastReplyTime = 150;  // for clients to read their last replies
+constexpr auto kPollInterval = std::chrono::milliseconds(10);
+
+}  // namespace
+
+ShutdownSequence::ShutdownSequence(asio::io_context& io, Clock& clock, engine::Engine& engine,
+                                   ClientServer& clients, std::function<void()> on_finished)
+    : clock_(clock), engine_(engine), clients_(clients), on_finished_(std::move(on_finished)), timer_(io) {}
+
+void ShutdownSequence::start(bool handed_over, ProcessorServer* processor) {
+  processor_ = processor;
+  if (processor_) processor_->listener().announce_drain();
+  if (handed_over) {
+    timer_.expires_after(kHandedOverGracePeriod);
+  } else {
+    timer_.expires_after(kDrainGracePeriod);
+  }
+  timer_.async_wait([this, handed_over](error_code cancelled) {
+    if (cancelled) return;
+    close_clients(handed_over);
+    await_settled();
+  });
+}
+
+void ShutdownSequence::close_clients(bool handed_over) {
+  if (handed_over) {
+    clients_.close_idle();
+  } else {
+    clients_.shut_down();
+  }
+  if (processor_) processor_->listener().drain();
+}
+
+void ShutdownSequence::await_settled() {
+  const Ms now = clock_.now();
+  const Ms deadline = *engine_.shutdown_deadline();
+  if (engine_.unanswered_count() > 0 && now >= deadline) engine_.fail_all(now);
+  const std::size_t proxies = processor_ ? processor_->listener().connection_count() : 0;
+  if (clients_.connection_count() + proxies == 0 || now >= deadline + kLastReplyTime) {
+    if (processor_) log_line("external processor", extproc::to_text(processor_->processor().totals()));
+    return on_finished_();
+  }
+  timer_.expires_after(kPollInterval);
+  timer_.async_wait([this](error_code cancelled) {
+    if (!cancelled) await_settled();
+  });
+}
+
+}  // namespace cometfold::net
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -13,21 +13,20 @@
 
 namespace {
 
-bool blocked(const error_code& error) {
+bool would_block(const error_code& error) {
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-// The kernel has no memory for it now. The connection is whole.
-bool starved(const error_code& error) {
+// The kernel has no memory for the bytes now; the connection is not affected.
+bool is_out_of_kernel_memory(const error_code& error) {
   return error == asio::error::no_buffer_space || error == asio::error::no_memory;
 }
 
-constexpr auto kWriteAgain = std::chrono::milliseconds(5);
+constexpr auto kWriteRetryDelay = std::chrono::milliseconds(5);
 
-// Danger: the library hands on the EINTR of its synchronous calls, and it would look like a broken
-// connection.
+// Boost.Asio returns EINTR from its synchronous calls; it does not mean that the connection has failed.
 template <class Call>
-std::size_t uninterrupted(error_code& error, Call&& call) {
+std::size_t retry_interrupted(error_code& error, Call&& call) {
   std::size_t bytes = 0;
   do {
     error.clear();
@@ -38,87 +37,87 @@
 
 }  // namespace
 
-bool TcpStream::connect(const tcp::endpoint& at, Ms timeout) {
+bool TcpStream::connect(const tcp::endpoint& address, Ms timeout) {
   error_code error;
-  socket_.open(at.protocol(), error);
+  socket_.open(address.protocol(), error);
   if (error) return false;
   socket_.non_blocking(true, error);
   socket_.set_option(tcp::no_delay(true), error);
-  timer_ = std::make_unique<asio::steady_timer>(socket_.get_executor());
-  timer_->expires_after(std::chrono::microseconds(static_cast<std::int64_t>(timeout * 1000)));
-  timer_->async_wait([this, keep = events_.shared_from_this()](error_code stopped) {
-    if (!stopped && timer_) connected(false);
+  connect_timer_ = std::make_unique<asio::steady_timer>(socket_.get_executor());
+  connect_timer_->expires_after(std::chrono::microseconds(static_cast<std::int64_t>(timeout * 1000)));
+  connect_timer_->async_wait([this, keep = callbacks_.shared_from_this()](error_code cancelled) {
+    if (!cancelled && connect_timer_) on_connect_finished(false);
   });
-  socket_.async_connect(at, [this, keep = events_.shared_from_this()](error_code failed) {
-    if (timer_) connected(!failed);
+  socket_.async_connect(address, [this, keep = callbacks_.shared_from_this()](error_code failed) {
+    if (connect_timer_) on_connect_finished(!failed);
   });
   return true;
 }
 
-void TcpStream::connected(bool up) {
-  timer_.reset();
-  events_.on_connected(clock_.now(), up);
+void TcpStream::on_connect_finished(bool connected) {
+  connect_timer_.reset();
+  callbacks_.on_connected(clock_.now(), connected);
 }
 
 resp::Stream::WriteResult TcpStream::write(std::string_view bytes) {
   error_code error;
-  const auto n = uninterrupted(
+  const auto written = retry_interrupted(
       error, [&] { return socket_.write_some(asio::buffer(bytes.data(), bytes.size()), error); });
-  starved_ = starved(error);
-  const bool later = starved_ || blocked(error);
-  return {n, later, error && !later};
+  out_of_kernel_memory_ = is_out_of_kernel_memory(error);
+  const bool blocked = out_of_kernel_memory_ || would_block(error);
+  return {written, blocked, error && !blocked};
 }
 
 void TcpStream::await_writable() {
-  if (starved_) return await_memory();
-  socket_.async_wait(tcp::socket::wait_write, [this, keep = events_.shared_from_this()](error_code error) {
-    events_.on_writable(clock_.now(), !error);
+  if (out_of_kernel_memory_) return await_kernel_memory();
+  socket_.async_wait(tcp::socket::wait_write, [this, keep = callbacks_.shared_from_this()](error_code error) {
+    callbacks_.on_writable(clock_.now(), !error);
   });
 }
 
-// The socket says that it is writable, so a wait for that would spin.
-void TcpStream::await_memory() {
-  const auto timer = std::make_shared<asio::steady_timer>(socket_.get_executor(), kWriteAgain);
-  timer->async_wait([this, timer, keep = events_.shared_from_this()](error_code error) {
-    events_.on_writable(clock_.now(), !error);
+// The socket counts as writable meanwhile, so waiting for that would spin.
+void TcpStream::await_kernel_memory() {
+  const auto timer = std::make_shared<asio::steady_timer>(socket_.get_executor(), kWriteRetryDelay);
+  timer->async_wait([this, timer, keep = callbacks_.shared_from_this()](error_code error) {
+    callbacks_.on_writable(clock_.now(), !error);
   });
 }
 
-// Danger: an asynchronous read takes bytes out of the socket some turns before it tells of them. A connection
-// that is closed or used anew in between looks quiet and is not: a request taken in is lost, noise is taken
-// for an answer. So the wait is asynchronous and the read is not.
-void TcpStream::read(std::span<char> space) {
-  space_ = space;
+// The wait is asynchronous and the read is not: an asynchronous read takes bytes out of the socket some turns
+// of the loop before its handler runs, and a connection that is closed or reused in between would lose them.
+void TcpStream::read(std::span<char> buffer) {
+  read_buffer_ = buffer;
   await_readable();
 }
 
 void TcpStream::await_peer_close() {
-  only_end_ = true;
+  awaiting_close_only_ = true;
   await_readable();
 }
 
 void TcpStream::await_readable() {
-  if (std::exchange(awaiting_, true)) return;
-  socket_.async_wait(tcp::socket::wait_read, [this, keep = events_.shared_from_this()](error_code error) {
-    awaiting_ = false;
-    readable(error);
+  if (std::exchange(awaiting_readable_, true)) return;
+  socket_.async_wait(tcp::socket::wait_read, [this, keep = callbacks_.shared_from_this()](error_code error) {
+    awaiting_readable_ = false;
+    on_readable(error);
   });
 }
 
-void TcpStream::readable(error_code error) {
-  if (only_end_ && !error && !peer_closed()) return;  // what has come stays where it is
+void TcpStream::on_readable(error_code error) {
+  if (awaiting_close_only_ && !error && !peer_closed()) return;
   std::size_t bytes = 0;
-  if (!error && !only_end_) {
-    bytes = uninterrupted(
-        error, [&] { return socket_.read_some(asio::buffer(space_.data(), space_.size()), error); });
+  if (!error && !awaiting_close_only_) {
+    bytes = retry_interrupted(error, [&] {
+      return socket_.read_some(asio::buffer(read_buffer_.data(), read_buffer_.size()), error);
+    });
   }
-  if (blocked(error)) return await_readable();  // nothing was there after all
-  events_.on_read(clock_.now(), bytes, only_end_ || error);
+  if (would_block(error)) return await_readable();  // a spurious wake-up
+  callbacks_.on_read(clock_.now(), bytes, awaiting_close_only_ || error);
 }
 
 void TcpStream::post() {
   asio::post(socket_.get_executor(),
-             [this, keep = events_.shared_from_this()] { events_.on_posted(clock_.now()); });
+             [this, keep = callbacks_.shared_from_this()] { callbacks_.on_posted(clock_.now()); });
 }
 
 std::size_t TcpStream::unread_bytes() {
@@ -129,29 +128,29 @@
 bool TcpStream::is_quiet() {
   error_code error;
   peek(error);
-  return blocked(error);
+  return would_block(error);
 }
 
 std::size_t TcpStream::peek(error_code& error) {
   char byte;
-  return uninterrupted(
+  return retry_interrupted(
       error, [&] { return socket_.receive(asio::buffer(&byte, 1), tcp::socket::message_peek, error); });
 }
 
 bool TcpStream::peer_closed() {
-  pollfd look{socket_.native_handle(), POLLIN | POLLRDHUP, 0};
-  const int found = ::poll(&look, 1, 0);
-  if (found == 0) return false;
-  if (found > 0 && (look.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0) return true;
+  pollfd request{socket_.native_handle(), POLLIN | POLLRDHUP, 0};
+  const int ready = ::poll(&request, 1, 0);
+  if (ready == 0) return false;
+  if (ready > 0 && (request.revents & (POLLRDHUP | POLLHUP | POLLERR | POLLNVAL)) != 0) return true;
   error_code error;
-  return peek(error) == 0 && !blocked(error);
+  return peek(error) == 0 && !would_block(error);
 }
 
-// Linux sends what is due at once when the option is set. It does not last: the next write ends it.
+// Linux sends a delayed acknowledgement when the option is set, and clears the option with the next write.
 void TcpStream::send_pending_ack() {
-  const asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK> at_once(true);
+  const asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK> quick_ack(true);
   error_code ignored;
-  socket_.set_option(at_once, ignored);
+  socket_.set_option(quick_ack, ignored);
 }
 
 void TcpStream::shutdown_send() {
@@ -160,18 +159,18 @@
 }
 
 void TcpStream::close() {
-  timer_.reset();
+  connect_timer_.reset();
   error_code ignored;
   socket_.close(ignored);
 }
 
-std::unique_ptr<resp::Stream> TcpDialer::dial(const resp::Address& at, Ms timeout,
-                                              resp::StreamCallbacks& events) {
+std::unique_ptr<resp::Stream> TcpDialer::dial(const resp::Address& address, Ms timeout,
+                                              resp::StreamCallbacks& callbacks) {
   error_code error;
-  const auto ip = asio::ip::make_address(at.ip, error);
+  const auto ip = asio::ip::make_address(address.ip, error);
   if (error) return nullptr;
-  auto stream = std::make_unique<TcpStream>(tcp::socket(io_), clock_, events);
-  if (!stream->connect({ip, at.port}, timeout)) return nullptr;
+  auto stream = std::make_unique<TcpStream>(tcp::socket(io_), clock_, callbacks);
+  if (!stream->connect({ip, address.port}, timeout)) return nullptr;
   return stream;
 }
 
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -1,4 +1,4 @@
-// `resp::Stream` on a TCP socket in the event loop, and the dialler that makes them.
+// `resp::Stream` on a TCP socket in the event loop, and the dialer that makes them.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -13,16 +13,17 @@
 
 class TcpStream : public resp::Stream {
  public:
-  // `events` must be owned by a shared_ptr by the time of the first call that waits for something.
-  TcpStream(boost::asio::ip::tcp::socket socket, Clock& clock, resp::StreamCallbacks& events)
-      : socket_(std::move(socket)), clock_(clock), events_(events) {}
+  // `callbacks` must be owned by a shared_ptr by the time of the first call that waits for something; it is
+  // kept alive until that has ended.
+  TcpStream(boost::asio::ip::tcp::socket socket, Clock& clock, resp::StreamCallbacks& callbacks)
+      : socket_(std::move(socket)), clock_(clock), callbacks_(callbacks) {}
 
-  // False if there is no socket to be had. Else `on_connected` comes.
-  bool connect(const boost::asio::ip::tcp::endpoint& at, Ms timeout);
+  // False if no socket can be opened. Else `on_connected` follows within `timeout` milliseconds.
+  bool connect(const boost::asio::ip::tcp::endpoint& address, Ms timeout);
 
   WriteResult write(std::string_view bytes) override;
   void await_writable() override;
-  void read(std::span<char> space) override;
+  void read(std::span<char> buffer) override;
   void await_peer_close() override;
   void post() override;
   std::size_t unread_bytes() override;
@@ -33,35 +34,36 @@
   void close() override;
 
  private:
-  void connected(bool up);
-  void await_memory();
+  void on_connect_finished(bool connected);
+  void await_kernel_memory();
   void await_readable();
-  // Looks at the next byte and leaves it; how many there are, 0 or 1.
+  // Leaves the next byte unread; returns 1 if there is one.
   std::size_t peek(boost::system::error_code& error);
-  void readable(boost::system::error_code error);
+  void on_readable(boost::system::error_code error);
 
   boost::asio::ip::tcp::socket socket_;
   Clock& clock_;
-  resp::StreamCallbacks& events_;
-  std::unique_ptr<boost::asio::steady_timer> timer_;  // while connecting
-  std::span<char> space_;                             // to read into
-  bool awaiting_ = false;                             // that something comes
-  bool only_end_ = false;                             // and it stays unread
-  bool starved_ = false;                              // the last write found no memory in the kernel
+  resp::StreamCallbacks& callbacks_;
+  std::unique_ptr<boost::asio::steady_timer> connect_timer_;  // while connecting
+  std::span<char> read_buffer_;
+  bool awaiting_readable_ = false;
+  bool awaiting_close_only_ = false;   // what is received stays unread
+  bool out_of_kernel_memory_ = false;  // at the last write
 };
 
 class TcpDialer : public resp::Dialer {
  public:
   TcpDialer(boost::asio::io_context& io, Clock& clock) : io_(io), clock_(clock) {}
-  std::unique_ptr<resp::Stream> dial(const resp::Address& at, Ms timeout,
-                                     resp::StreamCallbacks& events) override;
-  bool free_descriptor() override { return make_room_ && make_room_(); }
-  void set_make_room(std::function<bool()> make_room) { make_room_ = std::move(make_room); }
+  std::unique_ptr<resp::Stream> dial(const resp::Address& address, Ms timeout,
+                                     resp::StreamCallbacks& callbacks) override;
+  bool free_descriptor() override { return free_one_ && free_one_(); }
+  // `free_one` frees a descriptor, and returns false if it can't.
+  void set_descriptor_source(std::function<bool()> free_one) { free_one_ = std::move(free_one); }
 
  private:
   boost::asio::io_context& io_;
   Clock& clock_;
-  std::function<bool()> make_room_;
+  std::function<bool()> free_one_;
 };
 
 }  // namespace cometfold::net
--- a/src/net/upgrade_coordinator.cpp
+++ b/src/net/upgrade_coordinator.cpp
@@ -26,10 +26,9 @@
   predecessor_ = Predecessor::find(io, path);
   successor_listener_ = std::make_unique<SuccessorListener>(
       io, path,
-      SuccessorListener::Callbacks{
-          .listening_socket = [this] { return clients_.listening_socket(); },
-          .on_successor_started = [this] { callbacks_.on_second_process(true); },
-          .on_successor_exited = [this] { callbacks_.on_second_process(false); }});
+      SuccessorListener::Callbacks{.listening_socket = [this] { return clients_.listening_socket(); },
+                                   .on_successor_started = [this] { callbacks_.on_second_process(true); },
+                                   .on_successor_exited = [this] { callbacks_.on_second_process(false); }});
 }
 
 void UpgradeCoordinator::start(const tcp::endpoint& address) {
@@ -101,8 +100,8 @@
   }
 }
 
-// The predecessor may have handed over just now. If this process ended without asking, connections that wait in
-// the listening socket's queue would be lost with it.
+// The predecessor may have handed over just now. If this process ended without asking, connections that wait
+// in the listening socket's queue would be lost with it.
 void UpgradeCoordinator::stop_before_serving() {
   if (!predecessor_ || !clients_.has_listener()) return callbacks_.on_stopped_before_serving();
   if (std::exchange(is_stopping_, true)) return;
--- a/src/net/upgrade_coordinator.h
+++ b/src/net/upgrade_coordinator.h
@@ -22,8 +22,8 @@
   virtual void on_predecessor_exited(bool with_state) = 0;
   // Another process of this gateway has started or ended.
   virtual void on_second_process(bool is_running) = 0;
-  // `stop_before_serving` was called, but the predecessor had handed over already: this process serves and has
-  // to shut down. Called after `on_serving`.
+  // `stop_before_serving` was called, but the predecessor had handed over already: this process serves and
+  // has to shut down. Called after `on_serving`.
   virtual void on_stopped_while_serving() = 0;
   // `stop_before_serving` was called, and this process can end.
   virtual void on_stopped_before_serving() = 0;
--- a/tests/decision_log_test.cpp
+++ b/tests/decision_log_test.cpp
@@ -1,4 +1,4 @@
-// The decision log: a line for each request, nothing changed of what the module hears and decides.
+// The decision log: a line for each request, and no effect on the decisions.
 #include "net/decision_log.h"
 
 #include <gtest/gtest.h>
@@ -16,23 +16,24 @@
 using cometfold::testing::plain_settings;
 using cometfold::testing::Recorder;
 
-TEST(DecisionLog, TellsWhatPlansAreAndWhatBecameOfEachRequestAndChangesNothing) {
-  auto s = plain_settings();
-  s.plans[0].over_quota_cost = 1.5;
-  s.plans[0].ceiling_rate = s.plans[0].ceiling_burst = 0;
+TEST(DecisionLog, LogsPlansClassesAndDecisionsWithoutChangingThem) {
+  auto settings = plain_settings();
+  settings.plans[0].over_quota_cost = 1.5;
+  settings.plans[0].ceiling_rate = 0;
+  settings.plans[0].ceiling_burst = 0;
   std::vector<std::string> lines;
-  engine::ControllerPolicy plain(s, 7), logged(s, 7);
-  DecisionLog log(logged, s, [&](const std::string& line) { lines.push_back(line); });
+  engine::ControllerPolicy plain(settings, 7), logged(settings, 7);
+  DecisionLog log(logged, settings, [&](const std::string& line) { lines.push_back(line); });
   const HostEntry list[] = {host(1), host(2)};
   Recorder without, with;
-  const auto play = [&](engine::AdmissionPolicy& module, Recorder& out) {
-    module.start(0, out);
-    module.on_host_list(0, HostListUpdate::kSnapshot, list, out);
+  const auto play = [&](engine::AdmissionPolicy& policy, Recorder& out) {
+    policy.start(0, out);
+    policy.on_host_list(0, HostListUpdate::kSnapshot, list, out);
     for (RequestId id = 1; id <= 12; ++id) {
-      module.on_request(10, {.id = id, .customer = 0xab, .expires_at = 4000, .units = 1, .gateway_count = 2},
+      policy.on_request(10, {.id = id, .customer = 0xab, .expires_at = 4000, .units = 1, .gateway_count = 2},
                         out);
     }
-    module.on_timer(100, ~std::uint64_t{0}, out);
+    policy.on_timer(100, ~std::uint64_t{0}, out);
   };
   play(plain, without);
   play(log, with);
@@ -46,14 +47,16 @@
   EXPECT_EQ(lines[0], "plan=0 rate=4 burst=8 pays=1 cost=1.5 earns=0 ceiling=0 ceilingburst=0 open=0");
   EXPECT_EQ(lines[1], "class=0 worth=1 aim=1000 deadline=4000");
   EXPECT_EQ(lines[2], "customer=ab plan=0 class=0 units=1 spread=2 sent");
-  int sent = 0, refused = 0;
+  int sent = 0;
+  int rejected = 0;
   for (std::size_t i = 2; i < lines.size(); ++i) {
     const std::string last = lines[i].substr(lines[i].rfind(' ') + 1);
-    sent += last == "sent", refused += last.starts_with("refused=");
+    sent += last == "sent";
+    rejected += last.starts_with("refused=");
   }
   EXPECT_EQ(sent, static_cast<int>(with.count(Act::kSend)));
-  EXPECT_EQ(refused, static_cast<int>(with.count(Act::kRefuse)));
-  EXPECT_GT(refused, 0);
+  EXPECT_EQ(rejected, static_cast<int>(with.count(Act::kRefuse)));
+  EXPECT_GT(rejected, 0);
 }
 
 }  // namespace
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -12,7 +12,7 @@
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-TEST(Serving, TheValueAndTheWordsPassUnchanged) {
+TEST(Serving, ForwardsArgumentsAndValueUnchanged) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -36,14 +36,14 @@
   EXPECT_EQ(client.reply(), value);
 }
 
-TEST(Serving, AnIdleHostConnectionIsUsedAgainAndABusyOneIsNot) {
+TEST(Serving, ReusesOnlyIdleHostConnections) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto a = program.client(), b = program.client();
   a.send(query(1));
   auto first = host.accept();
   first.command();
-  b.send(query(2));  // the first connection owes an answer
+  b.send(query(2));  // the first connection has a request in flight
   auto second = host.accept();
   second.command();
   first.send(served("one"));
@@ -57,7 +57,7 @@
   EXPECT_EQ(b.reply(), "two");
 }
 
-TEST(Serving, AnIdThatAnotherOpenRequestHasIsAnError) {
+TEST(Serving, RejectsTheIdOfAnotherRequestInFlight) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto a = program.client(), b = program.client();
@@ -70,13 +70,13 @@
   at.send(served("a"));
   EXPECT_EQ(a.reply(), "a");
   let_rest();
-  b.send(query(9));  // and free again once that is answered
+  b.send(query(9));  // free again once that is answered
   EXPECT_EQ(at.command().at(2), id(9));
   at.send(served("b"));
   EXPECT_EQ(b.reply(), "b");
 }
 
-TEST(Serving, PipelinedAnswersComeInTheOrderOfTheCommands) {
+TEST(Serving, AnswersPipelinedCommandsInOrder) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -87,7 +87,7 @@
   auto& of_one = straight ? first : second;
   auto& of_two = straight ? second : first;
   of_two.send(served("two"));
-  EXPECT_TRUE(client.quiet(50));  // nothing may overtake the first answer
+  EXPECT_TRUE(client.quiet(50));  // replies keep the order of commands
   of_one.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "+PONG");
@@ -95,8 +95,8 @@
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
 }
 
-// Found by the explorer: the engine has given the answer, but it waits behind another on its connection.
-TEST(Serving, AnIdIsTakenUntilItsAnswerIsOut) {
+// The engine has produced the reply, but it waits behind another on its connection.
+TEST(Serving, KeepsAnIdInUseUntilItsReplyIsSent) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client(), other = program.client();
@@ -120,7 +120,7 @@
   EXPECT_EQ(other.reply(), "again");
 }
 
-TEST(Serving, HalfARequestWaitsForItsRest) {
+TEST(Serving, WaitsForTheRestOfAnIncompleteRequest) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client(), other = program.client();
@@ -128,7 +128,7 @@
   client.send(text.substr(0, text.size() - 1));
   other.send(command({"PING"}));
   EXPECT_EQ(other.reply(), "+PONG");
-  EXPECT_FALSE(host.waiting(20));  // nothing goes out before the last byte is in
+  EXPECT_FALSE(host.waiting(20));  // nothing is forwarded before the last byte is received
   client.send(text.substr(text.size() - 1));
   auto at = host.accept();
   at.command();
@@ -136,7 +136,7 @@
   EXPECT_EQ(client.reply(), "whole");
 }
 
-TEST(Input, BadRequestsAreNamedAndReachNoHost) {
+TEST(Input, InvalidRequestsAreRejectedAndNotForwarded) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   const std::string rest = "t=team,d=900,units=1,spread=2,first=0";
@@ -170,7 +170,7 @@
   EXPECT_FALSE(host.waiting(20));
 }
 
-TEST(Input, ABrokenFrameIsNamedAndEndsItsConnectionAlone) {
+TEST(Input, AFramingErrorClosesOnlyItsOwnConnection) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto good = program.client();
@@ -184,7 +184,7 @@
   EXPECT_EQ(good.reply(), "+PONG");
 }
 
-TEST(Hosts, OneThatBreaksAfterTheLastByteMayHaveRunAnUnsafeRequest) {
+TEST(Hosts, ANonIdempotentRequestIsNotRetriedAfterItWasWrittenInFull) {
   Listener host, other, discovery;
   Program program(config(known({target("s-1", host.port()), target("s-2", other.port())}), discovery.port()));
   auto client = program.client();
@@ -193,11 +193,11 @@
   auto at = (first ? host : other).accept();
   at.command();
   at.reset();
-  EXPECT_EQ(client.reply().substr(0, 4), "-ERR");  // a failure: no refusal, no second attempt
+  EXPECT_EQ(client.reply().substr(0, 4), "-ERR");  // a failure: no rejection, no second attempt
   EXPECT_FALSE((first ? other : host).waiting(20));
 }
 
-TEST(Hosts, AMalformedReplyIsABrokenAttempt) {
+TEST(Hosts, AMalformedReplyFailsTheAttempt) {
   for (const std::string bad :
        {"*1\r\n$-1\r\n", "$3\r\nabc\r\n", "+OK\r\n", "*3\r\n*1\r\n", "what\r\n", "*1\r\n$1\r\nx\r\n",
         "*2\r\n$1\r\nx\r\n$-1\r\n", "*4\r\n$1\r\nx\r\n$-1\r\n$-1\r\n$-1\r\n",
@@ -212,7 +212,7 @@
     auto at = (first ? host : other).accept();
     at.command();
     at.send(bad);
-    auto again = (first ? other : host).accept();  // a safe request goes to the other host
+    auto again = (first ? other : host).accept();  // an idempotent request goes to the other host
     again.command();
     again.send(served("good"));
     EXPECT_EQ(client.reply(), "good") << bad;
@@ -220,7 +220,7 @@
   }
 }
 
-TEST(Hosts, ARefusedConnectNeverRanSoEvenUnsafeGoesToAnother) {
+TEST(Hosts, ANonIdempotentRequestIsRetriedAfterARefusedConnect) {
   Listener gone, host, discovery;
   Program program(config(known({target("s-1", gone.port()), target("s-2", host.port())}), discovery.port()));
   gone.close();
@@ -236,7 +236,7 @@
   }
 }
 
-TEST(Hosts, OneThatClosesAnIdleConnectionIsAskedOnANewOne) {
+TEST(Hosts, AnIdleConnectionThatTheHostClosesIsReplaced) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -246,7 +246,7 @@
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   at.close();
-  client.send(command({"PING"}));  // the end has come to the program before what follows
+  client.send(command({"PING"}));  // the close reaches the program before what follows
   EXPECT_EQ(client.reply(), "+PONG");
   client.send(query(2));
   auto next = host.accept();
@@ -255,7 +255,7 @@
   EXPECT_EQ(client.reply(), "two");
 }
 
-TEST(Hosts, ASilentOneCostsTheClientNoAnswer) {
+TEST(Hosts, ARequestToASilentHostFailsBeforeItsDeadline) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -263,14 +263,14 @@
   auto at = host.accept();
   at.command();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(at.ends());  // given up by closing
+  EXPECT_TRUE(at.ends());  // cancelled by closing
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");  // and nothing more came for the request
 }
 
-// Churn, seed 5: a tenth of the requests to six of nine hosts were never answered. Each shut its host out
-// until its deadline, none was asked elsewhere in time, and what hosts were left looked full.
-TEST(Hosts, OneRequestThatIsNeverAnsweredGoesElsewhereAndItsHostStaysInUse) {
+// A request without an answer is retried at another host in time, and does not exclude its host until its
+// deadline.
+TEST(Hosts, AnUnansweredRequestIsRetriedElsewhereAndItsHostStaysInUse) {
   Listener hosts[2], discovery;
   Program program(
       config(known({target("s-1", hosts[0].port()), target("s-2", hosts[1].port())}), discovery.port()));
@@ -282,7 +282,7 @@
   std::vector<std::pair<int, Peer>> links;
   bool elsewhere = false, in_use = false;
   for (unsigned round = 1; round <= 200 && !(elsewhere && in_use); ++round) {
-    constexpr unsigned kAtOnce = 4;  // as many as have room beside the one that hangs
+    constexpr unsigned kAtOnce = 4;  // as many as the host accepts beside the unanswered one
     for (unsigned i = 0; i < kAtOnce; ++i) client.send(query(round * kAtOnce + i));
     for (unsigned answers = 0; answers < kAtOnce;) {
       for (int at : {0, 1}) {
@@ -309,7 +309,7 @@
   EXPECT_EQ(unlucky.reply(), "v");
 }
 
-TEST(Clients, OneThatGoesAwayHasItsAttemptCalledOff) {
+TEST(Clients, ADisconnectCancelsTheAttempt) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -320,13 +320,13 @@
   EXPECT_TRUE(at.ends());
 }
 
-TEST(Clients, ASlowReaderIsBoundedAndHoldsNobodyElseUp) {
+TEST(Clients, ASlowReaderIsLimitedAndDelaysNoOther) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto slow = program.client(), other = program.client();
-  constexpr unsigned kCommands = 2000;  // 120 MB of answers, if they were all taken in
+  constexpr unsigned kCommands = 2000;  // 120 MB of replies, if all were buffered
   const std::string ping = command({"PING", std::string(60000, 'p')});
-  // The program stops taking commands in long before all are sent: so they are sent beside the reading.
+  // The program stops reading commands long before all are sent, so they are sent by a thread.
   std::thread sender([&] {
     for (unsigned i = 0; i < kCommands; ++i) slow.send(ping);
   });
@@ -338,7 +338,7 @@
   sender.join();
 }
 
-TEST(Clients, AtTheCapOfDescriptorsNewOnesAreStillAnswered) {
+TEST(Clients, NewOnesAreServedAtTheDescriptorLimit) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 64;
@@ -363,9 +363,9 @@
   EXPECT_EQ(client.reply(), "ok");
 }
 
-// Incident r52497a: clients that asked once and kept their connection used up what their side may open to one
-// gateway, a third of its descriptors, and 2,200 of 7,800 tries never got here.
-TEST(Clients, FewAreKeptUnusedAndTheOneUsedLastStays) {
+// Clients that send one request and keep their connection must not use up the connections that their side may
+// open to one gateway, a third of its descriptors (incident r52497a).
+TEST(Clients, UnusedConnectionsAreLimitedAndTheMostRecentlyUsedStays) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 240;
@@ -387,7 +387,7 @@
   EXPECT_EQ(clients.back().reply(), "+PONG");
 }
 
-TEST(Clients, OneThatSendsNothingButMistakesIsClosed) {
+TEST(Clients, AConnectionWithOnlyErrorsIsClosed) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -398,25 +398,26 @@
   EXPECT_TRUE(client.ends());
 }
 
-TEST(Clients, TheSilentTheHalfAndTheIdleAreClosedAndOneThatIsOwedAnAnswerIsNot) {
+TEST(Clients, OnlyConnectionsWithoutARequestInFlightTimeOut) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
-  auto silent = program.client(), half = program.client(), idle = program.client(), owed = program.client();
-  half.send(query(1).substr(0, 30));
+  auto silent = program.client(), partial = program.client(), idle = program.client();
+  auto waiting = program.client();
+  partial.send(query(1).substr(0, 30));
   idle.send(command({"PING"}));
   EXPECT_EQ(idle.reply(), "+PONG");
-  owed.send(query(2));
+  waiting.send(query(2));
   auto at = host.accept();
   at.command();
   EXPECT_TRUE(silent.ends());
-  EXPECT_TRUE(half.ends());
+  EXPECT_TRUE(partial.ends());
   EXPECT_TRUE(idle.ends());
   at.send(served("two"));
-  EXPECT_EQ(owed.reply(), "two");
+  EXPECT_EQ(waiting.reply(), "two");
 }
 
-// At the cap those that say nothing give way, not those that ask.
-TEST(Clients, SilentAndHalfOnesKeepNobodyOut) {
+// At the limit silent connections are evicted, not those with requests.
+TEST(Clients, SilentAndIncompleteConnectionsAreEvictedForNewOnes) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 64;
@@ -441,7 +442,7 @@
 
 // ---- discovery ----
 
-TEST(Discovery, ARestartServesFromTheKnownListAndWatchesFromItsVersion) {
+TEST(Discovery, ARestartServesFromTheCachedListAndWatchesFromItsVersion) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto agent = discovery.accept();  // and silent
@@ -454,7 +455,7 @@
   EXPECT_EQ(client.reply(), "ok");
 }
 
-TEST(Discovery, NotReadyBeforeAnyHostIsKnown) {
+TEST(Discovery, IsNotReadyBeforeAHostIsListed) {
   Listener host, discovery;
   Program program(config(known({}), discovery.port()));
   auto client = program.client();
@@ -470,7 +471,7 @@
   }
 }
 
-TEST(Discovery, LinesMayBeCutAnywhereAndAWatchGoesOnFromTheVersionLastHeard) {
+TEST(Discovery, LinesMayBeSplitAnywhereAndAWatchResumesFromTheLastVersion) {
   Listener host, next, discovery;
   Program program(config(known({target("s-1", host.port(), "leaving")}), discovery.port()));
   auto agent = discovery.accept();
@@ -482,13 +483,13 @@
   EXPECT_NE(watch_head(again).find("since=9 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
-  auto at = next.accept();  // the first one leaves
+  auto at = next.accept();  // the first one drains
   at.command();
   at.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
 }
 
-TEST(Discovery, AMalformedLineIsLoggedAndTheWatchResumedFromAKnownVersion) {
+TEST(Discovery, AMalformedLineIsLoggedAndTheWatchResumesFromTheLastVersion) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   int since = 7;
@@ -504,9 +505,9 @@
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
-TEST(Discovery, ADrainTakesBackWhatStillWaitsForAConnection) {
+TEST(Discovery, ADrainCancelsAttemptsThatWaitForAConnection) {
   Listener full(0), discovery;
-  std::vector<Fd> fill;  // connects that fill the queue: further ones get no answer
+  std::vector<Fd> fill;  // connections that fill the queue: further ones are not accepted
   for (int i = 0; i < 4; ++i) {
     fill.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const auto at = loopback(full.port());
@@ -522,13 +523,13 @@
   EXPECT_EQ(other.reply(), "+PONG");
   EXPECT_TRUE(client.quiet(50));
   chunk(agent, list(8, false, {target("s-1", full.port(), "leaving")}) + "\n");
-  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // never ran, and nobody else to ask
+  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // never ran, and there is no other host
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
-// ---- the stop ----
+// ---- shutdown ----
 
-TEST(Stop, WhatIsOutIsAnsweredAndNewcomersAreServedMeanwhile) {
+TEST(Stop, RequestsInFlightAndNewConnectionsAreServed) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -536,7 +537,7 @@
   auto at = host.accept();
   at.command();
   program.terminate();
-  auto late = program.client();  // connections go on coming for a while
+  auto late = program.client();  // connections still come for a while
   late.send(query(2));
   auto next = host.accept();
   next.command();
@@ -549,7 +550,7 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Stop, CommandsHeldBackBehindAFullPipelineAreAnsweredBeforeTheEnd) {
+TEST(Stop, CommandsBehindAFullPipelineAreAnswered) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -574,7 +575,7 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(Stop, WhatNobodyAnswersIsFailedBeforeTheProgramIsKilled) {
+TEST(Stop, UnansweredRequestsFailBeforeTheProgramIsKilled) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -10,7 +10,7 @@
 #include "extproc/mapper.h"
 #include "limits/attempt_limits.h"
 #include "net/config.h"
-#include "net/own_settings.h"
+#include "net/gateway_settings.h"
 #include "support.h"
 
 namespace cometfold::testing {
@@ -40,11 +40,11 @@
   std::ofstream(path) << text;
   std::string all;
   try {
-    const auto own = net::read_own_settings(path);
+    const auto own = net::load_gateway_settings(path);
     for (const auto& r : limits::prove(own.limits, site).errors) {
       all += r.to_text().substr(path.string().size() + 1) + "\n";
     }
-  } catch (const net::OwnSettingsError& error) {
+  } catch (const net::GatewaySettingsError& error) {
     all = std::string(error.what()).substr(path.string().size() + 1) + "\n";
   }
   std::filesystem::remove(path);
--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -1,4 +1,4 @@
-// What a list says, leaves out or does not know, and what must not be made of it: on the real program.
+// What lists of hosts contain and omit, and what the program concludes from that.
 #include <chrono>
 #include <cstdlib>
 #include <string>
@@ -15,7 +15,7 @@
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// A target of its own zone and start; `boot_unix_ms` below 0: not told.
+// A host with a zone and a start; `boot_ms` below 0: not listed.
 std::string target_in(const std::string& uid, int port, const std::string& zone, double boot_ms = 0,
                       const std::string& state = "active") {
   boost::json::object o{{"uid", uid},          {"endpoint", "127.0.0.1:" + std::to_string(port)},
@@ -34,38 +34,39 @@
   return conf;
 }
 
-// The first attempt of a keyed request is out at `first` when a list takes that host away.
-void expect_no_repeat_after(const std::string& listed_then, const std::string& zone, Listener& first,
-                            Listener& second, Listener& discovery, Program& program) {
+// The first attempt of a request with an idempotency key is in flight at `first` when a list removes that
+// host.
+void expect_no_retry_after(const std::string& next_list, const std::string& zone, Listener& first,
+                           Listener& second, Listener& discovery, Program& program) {
   auto watch = discovery.accept();
   watch_head(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
   auto at = first.accept();
   at.command();
-  chunk(watch, listed_then + "\n");
+  chunk(watch, next_list + "\n");
   std::this_thread::sleep_for(200ms);
   at.reset();
   EXPECT_EQ(client.reply(), "-ERR failed") << zone;
-  EXPECT_FALSE(second.waiting(300)) << "a host of another group than " << zone << " got the repeat";
+  EXPECT_FALSE(second.waiting(300)) << "a host of another zone than " << zone << " got the retry";
 }
 
-TEST(ListTerms, AHostThatAWholeListLeavesOutStaysInItsZone) {
+TEST(HostLists, AHostThatASnapshotOmitsStaysInItsZone) {
   Listener first, second, discovery;
   Program program(keyed_by_zone(known({target_in("s-1", first.port(), "b")}), discovery.port()));
-  expect_no_repeat_after(list(8, true, {target_in("s-2", second.port(), "a")}), "b", first, second, discovery,
-                         program);
+  expect_no_retry_after(list(8, true, {target_in("s-2", second.port(), "a")}), "b", first, second, discovery,
+                        program);
 }
 
-TEST(ListTerms, ZonesThatTheSettingsDoNotNameAreNotOneZone) {
+TEST(HostLists, UnknownZonesAreNotOneZone) {
   Listener first, second, discovery;
   Program program(keyed_by_zone(known({target_in("s-1", first.port(), "x")}), discovery.port()));
   const auto leaves = target_in("s-1", first.port(), "x", 0, "leaving");
-  expect_no_repeat_after(list(8, false, {target_in("s-2", second.port(), "y"), leaves}), "x", first, second,
-                         discovery, program);
+  expect_no_retry_after(list(8, false, {target_in("s-2", second.port(), "y"), leaves}), "x", first, second,
+                        discovery, program);
 }
 
-// Two hosts that answer by themselves, and what they were asked.
+// Two emulated hosts, which count their requests.
 class Hosts {
  public:
   Hosts() : thread_([this] { io_.run(); }) {}
@@ -75,20 +76,20 @@
   }
   HostEmulator& first() { return first_; }
   HostEmulator& second() { return second_; }
-  // So many requests, some at a time. Danger: where one is out at a time, and takes no longer than a busy
-  // machine may hold it up, all go to the host whose last answers happened to be quicker.
-  void ask(Program& program, int requests) {
+  // Sends so many requests, several at a time: single ones would all go to the host whose last replies were
+  // quicker by chance.
+  void send_requests(Program& program, int requests) {
     auto client = program.client();
-    for (int i = 0; i < requests; i += kAtATime) {
-      std::string several;
-      for (int n = 0; n < kAtATime; ++n) several += query(++last_);
-      client.send(several);
-      for (int n = 0; n < kAtATime; ++n) client.reply();
+    for (int i = 0; i < requests; i += kConcurrency) {
+      std::string commands;
+      for (int n = 0; n < kConcurrency; ++n) commands += query(++last_);
+      client.send(commands);
+      for (int n = 0; n < kConcurrency; ++n) client.reply();
     }
   }
 
  private:
-  static constexpr int kAtATime = 4;
+  static constexpr int kConcurrency = 4;
   boost::asio::io_context io_;
   boost::asio::executor_work_guard<boost::asio::io_context::executor_type> work_{io_.get_executor()};
   HostEmulator first_{io_, Behaviour{.mean_ms = 20}, 1}, second_{io_, Behaviour{.mean_ms = 20}, 2};
@@ -101,39 +102,40 @@
       .count();
 }
 
-// A host that starts while this machine's wall clock is wrong is cold all the same, and warm in time.
-class AfterAStep : public ::testing::TestWithParam<int> {};
+// A host that starts while this machine's wall clock is wrong still warms up from a cold start.
+class WallClockStep : public ::testing::TestWithParam<int> {};
 
-TEST_P(AfterAStep, AHostThatHasJustStartedIsColdAndWarmsUp) {
-  for (const bool before_the_start : {false, true}) {
+TEST_P(WallClockStep, ANewHostIsColdAndWarmsUp) {
+  for (const bool before_start : {false, true}) {
     Hosts hosts;
     Listener discovery;
     FaultPlan plan;
     auto conf = config(known({target("s-1", hosts.first().port())}), discovery.port());
     conf["settings"].as_object()["rules"].as_object()["warm_after_ms"] = 6000.0;
-    if (before_the_start) plan.step_wall_clock(GetParam());
+    if (before_start) plan.step_wall_clock(GetParam());
     Program program(conf, plan.environment());
     auto watch = discovery.accept();
     watch_head(watch);
-    // Some seconds can only be told from a late list where discovery has said before that there is nothing
+    // A step of seconds can be told from a late list only after discovery has confirmed that there is nothing
     // new.
     if (std::abs(GetParam()) < 30) chunk(watch, "\n");
     std::this_thread::sleep_for(100ms);
     plan.step_wall_clock(GetParam());
     chunk(watch, list(8, false, {target_in("s-2", hosts.second().port(), "a", unix_ms())}) + "\n");
     std::this_thread::sleep_for(100ms);
-    hosts.ask(program, 100);
+    hosts.send_requests(program, 100);
     EXPECT_LT(hosts.second().received(), 36u) << "half of the requests went to a host that had just started";
     std::this_thread::sleep_for(6s);
     const auto cold = hosts.second().received();
-    hosts.ask(program, 100);
+    hosts.send_requests(program, 100);
     EXPECT_GT(hosts.second().received() - cold, 25u) << "a host never warms up";
   }
 }
-INSTANTIATE_TEST_SUITE_P(Seconds, AfterAStep, ::testing::Values(3600, -3600, 5, -5));
+INSTANTIATE_TEST_SUITE_P(Seconds, WallClockStep, ::testing::Values(3600, -3600, 5, -5));
 
-// Two hosts, a gateway that watches one address of discovery, and the address that it is moved to.
-class Move {
+// Two hosts, a gateway that watches one address of discovery, and the address that its configuration changes
+// to.
+class AddressChange {
  public:
   Hosts hosts;
   Listener discovery, moved;
@@ -142,52 +144,52 @@
   Program program{conf};
   Peer watch = discovery.accept();
 
-  Move() { watch_head(watch); }
+  AddressChange() { watch_head(watch); }
   // The first call at the new address.
-  Peer move() {
+  Peer reload_with_new_address() {
     conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
     program.reload(boost::json::serialize(conf));
     return moved.accept();
   }
 };
 
-// A whole list at the old address has left a host out; the new address has not heard of it yet.
-TEST(ListTerms, AHostLeftOutBeforeAMoveStaysGoneWhereTheNewAddressLags) {
-  Move m;
-  chunk(m.watch, list(8, true, {m.two}) + "\n");
+// A snapshot at the old address has omitted a host; the new address lags behind.
+TEST(HostLists, AHostOmittedBeforeAnAddressChangeStaysRemovedWhileTheNewAddressLags) {
+  AddressChange change;
+  chunk(change.watch, list(8, true, {change.two}) + "\n");
   std::uint64_t before = 0;
   do {  // until the list has been read
-    before = m.hosts.first().received();
-    m.hosts.ask(m.program, 20);
-  } while (m.hosts.first().received() != before);
-  auto fetch = m.move();
-  whole_list(fetch, list(9, true, {m.one, m.two}));
-  auto follow = m.moved.accept();
+    before = change.hosts.first().received();
+    change.hosts.send_requests(change.program, 20);
+  } while (change.hosts.first().received() != before);
+  auto fetch = change.reload_with_new_address();
+  whole_list(fetch, list(9, true, {change.one, change.two}));
+  auto follow = change.moved.accept();
   watch_head(follow);
-  m.hosts.ask(m.program, 20);
-  EXPECT_EQ(m.hosts.first().received(), before);
+  change.hosts.send_requests(change.program, 20);
+  EXPECT_EQ(change.hosts.first().received(), before);
 }
 
-// The new address's list has been read; the old one's last word, written before, has not.
-TEST(ListTerms, TheLastWordOfTheOldAddressIsHeardBehindTheNewOnesList) {
-  Move m;
-  m.hosts.ask(m.program, 20);
-  auto fetch = m.move();
+// The new address's snapshot has been read; the old one's last change, written before, has not.
+TEST(HostLists, TheOldAddressIsReadUntilAfterTheNewSnapshot) {
+  AddressChange change;
+  change.hosts.send_requests(change.program, 20);
+  auto fetch = change.reload_with_new_address();
   while (!fetch.line().empty()) {  // the call's head
   }
   {
-    const Stopped stopped(m.program);
-    const auto both = list(9, true, {m.one, m.two});
+    const Stopped stopped(change.program);
+    const auto both = list(9, true, {change.one, change.two});
     fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(both.size()) + "\r\n\r\n" + both);
     std::this_thread::sleep_for(20ms);
-    chunk(m.watch, list(10, false, {target("s-1", m.hosts.first().port(), "leaving")}) + "\n");
+    chunk(change.watch, list(10, false, {target("s-1", change.hosts.first().port(), "leaving")}) + "\n");
   }
-  auto follow = m.moved.accept();  // both have been handled
+  auto follow = change.moved.accept();  // both have been handled
   watch_head(follow);
   std::this_thread::sleep_for(300ms);
-  const auto before = m.hosts.first().received();
-  m.hosts.ask(m.program, 20);
-  EXPECT_EQ(m.hosts.first().received(), before) << "the old address told a drain, and nobody listened";
+  const auto before = change.hosts.first().received();
+  change.hosts.send_requests(change.program, 20);
+  EXPECT_EQ(change.hosts.first().received(), before) << "a drain reported by the old address was lost";
 }
 
 }  // namespace
--- a/tests/net_support.h
+++ b/tests/net_support.h
@@ -28,7 +28,7 @@
       : emulators::Program(COMETFOLD_PROGRAM, conf, std::move(arguments), std::move(environment)) {}
 };
 
-// A gateway's process that is held up: stopped, and let on when this goes out of scope.
+// Stops a gateway's process for the lifetime of this object.
 class Stopped {
  public:
   explicit Stopped(const Program& program) : pid_(program.pid()) {
@@ -39,7 +39,7 @@
   ~Stopped() { ::kill(pid_, SIGCONT); }
   Stopped(const Stopped&) = delete;
   Stopped& operator=(const Stopped&) = delete;
-  // All timers of up to so long are overdue when it goes on.
+  // Waits until all timers of up to so long are overdue.
   void outlast(std::chrono::milliseconds timers) const {
     std::this_thread::sleep_for(timers + std::chrono::milliseconds(150));
   }
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -1,4 +1,4 @@
-// The network that breaks: each fault is seen by two processes' sockets, in one direction only.
+// The emulated network: each fault as seen by the sockets of two processes, in one direction only.
 #include "emulators/network/network.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   Box(asio::io_context& io, const asio::ip::address_v4& at, std::uint16_t port)
       : socket_(io, udp::endpoint(at, port)) {}
   void send(const udp::endpoint& to, const std::string& text) { socket_.send_to(asio::buffer(text), to); }
-  // What comes within a time; nothing if nothing does.
+  // The next datagram, or nothing if none is received in time.
   std::optional<std::string> take(int ms = kHangMs) {
     if (!readable(socket_.native_handle(), ms)) return {};
     char part[2000];
@@ -86,7 +86,7 @@
   b_.send(net_.open_address("a"), "heard");
   EXPECT_EQ(a_.take(), "heard");
   link({});
-  EXPECT_EQ(across("after"), "after");  // and not what was sent before
+  EXPECT_EQ(across("after"), "after");  // and not the earlier datagram
 }
 
 TEST_F(NetworkTest, CutsGoByGroups) {
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -1,4 +1,4 @@
-// What operators ask of a gateway in service: calls, figures, a drain on demand, new settings.
+// Operators' calls to a serving gateway: readiness, metrics, draining, new settings.
 #include <string>
 #include <vector>
 
@@ -62,7 +62,7 @@
   }
 };
 
-TEST(Calls, AreAnsweredByMethodAndPath) {
+TEST(OperatorCalls, AreAnsweredByMethodAndPath) {
   Serving s;
   EXPECT_EQ(call(s.program, "GET", "/_ready").status, 200);
   EXPECT_EQ(call(s.program, "GET", "/_ready?x=1").status, 200);
@@ -74,27 +74,27 @@
   EXPECT_EQ(bad.line().substr(9, 3), "400");
 }
 
-TEST(Calls, AreAnsweredBesideCallersThatSayNothingWhole) {
+TEST(OperatorCalls, AreAnsweredBesideIncompleteCalls) {
   Serving s;
   std::vector<Peer> silent;
-  for (int i = 0; i < 40; ++i) {  // more than there are places
+  for (int i = 0; i < 40; ++i) {  // above the limit
     silent.push_back(Peer::connect(s.program.admin_port()));
     silent.back().send("GET /_re");
   }
   EXPECT_EQ(call(s.program, "GET", "/_ready").status, 200);
-  EXPECT_TRUE(silent.front().ends());  // the oldest made room
+  EXPECT_TRUE(silent.front().ends());  // the oldest was evicted
   silent.back().send("ady HTTP/1.1\r\nHost: gateway\r\n\r\n");
-  EXPECT_EQ(silent.back().line().substr(9, 3), "200");  // and the newest did not
+  EXPECT_EQ(silent.back().line().substr(9, 3), "200");  // and the newest was not
 }
 
-TEST(Calls, AHeadWithoutEndIsBounded) {
+TEST(OperatorCalls, LimitTheSizeOfAHeader) {
   Serving s;
   auto peer = Peer::connect(s.program.admin_port());
   peer.send("GET /_ready HTTP/1.1\r\n" + std::string(9000, 'x'));
   EXPECT_EQ(peer.line().substr(9, 3), "400");
 }
 
-TEST(Figures, CountWhatWasServedRefusedFailedAndWritten) {
+TEST(Metrics, CountServedRejectedAndFailedRequests) {
   Serving s(1);
   auto client = s.program.client();
   EXPECT_EQ(figure(s.program, "handled.lookup.passed"), 0);
@@ -110,7 +110,7 @@
   client.send(submit("pay", 3));
   auto pay = s.host.accept();
   pay.command();
-  pay.reset();  // it may have run: failed, and not sent again
+  pay.reset();  // it may have run: failed, and not retried
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   client.send(submit("pay", 4));
   auto busy = s.host.accept();
@@ -127,7 +127,7 @@
   EXPECT_EQ(figure(s.program, "skipped_hosts"), 0);
 }
 
-TEST(Figures, AHostThatLeavesIsKnownAndSkipped) {
+TEST(Metrics, CountADrainingHostAsKnownAndExcluded) {
   Serving s;
   auto watch = s.discovery.accept();
   watch_head(watch);
@@ -136,7 +136,7 @@
   EXPECT_EQ(figure(s.program, "known_hosts"), 1);
 }
 
-TEST(Figures, ClassesOfOneNameAreOneLine) {
+TEST(Metrics, MergeClassesOfOneName) {
   const std::vector<std::string> labels{"a", "b", "a"};
   const std::vector<engine::ClassMetrics> counts{{1, 2, 3, 4}, {0, 0, 0, 9}};
   ops::GatewayMetrics figures{.config_reloads = 5};
@@ -151,7 +151,7 @@
   EXPECT_EQ(text.find("handled.a.passed", text.find("handled.a.passed") + 1), std::string::npos);
 }
 
-TEST(Lameduck, ConnectionsEndAfterTheirNextAnswerIdleOnesAfterAWhile) {
+TEST(Draining, ConnectionsCloseAfterTheirNextReplyAndIdleOnesAfterTheGracePeriod) {
   Serving s;
   auto used = s.program.client(), idle = s.program.client(), late = s.program.client();
   EXPECT_EQ(s.serve(used, 1), "v");
@@ -164,11 +164,11 @@
   used.send(command({"PING"}));
   EXPECT_EQ(used.reply().substr(0, 9), "-DRAINING");
   EXPECT_TRUE(used.ends());
-  auto newcomer = s.program.client();  // it was on its way: served, once
+  auto newcomer = s.program.client();  // served once, as it may have been on its way
   EXPECT_EQ(s.serve(newcomer, 4), "v");
   EXPECT_TRUE(newcomer.ends());
   EXPECT_TRUE(idle.ends());
-  at.send(served("late"));  // what was taken is answered
+  at.send(served("late"));  // accepted requests are answered
   EXPECT_EQ(late.reply(), "late");
   EXPECT_TRUE(late.ends());
   EXPECT_EQ(call(s.program, "POST", "/_lameduck/off").status, 200);
@@ -180,7 +180,7 @@
   EXPECT_EQ(s.serve(again, 6), "v");
 }
 
-TEST(Retune, AClassAppearsVanishesAndARequestUnderWayKeepsIts) {
+TEST(ReloadedSettings, ARequestInFlightKeepsItsClassWhenClassesChange) {
   Serving s;
   auto client = s.program.client(), other = s.program.client();
   client.send(query(1));
@@ -190,7 +190,7 @@
   auto& lanes = settings_of(conf)["lanes"].as_array();
   auto added = lanes[2];
   added.as_object()["name"] = "audit";
-  lanes.erase(lanes.begin());  // lookup goes: all numbers in the file move
+  lanes.erase(lanes.begin());  // without lookup all numbers in the file change
   lanes.push_back(added);
   s.program.reload(boost::json::serialize(conf));
   s.program.log_until("configuration read again");
@@ -199,9 +199,9 @@
   other.send(submit("audit", 3));
   auto audit = s.host.accept();
   EXPECT_EQ(audit.command().at(3).substr(0, 7), "c=audit");
-  audit.reset();  // unsafe: not sent again
+  audit.reset();  // not idempotent: not retried
   EXPECT_EQ(other.reply().substr(0, 4), "-ERR");
-  at.reset();  // the old class is safe, and so is sent again
+  at.reset();  // the old class is idempotent: retried
   auto second = s.host.accept();
   EXPECT_EQ(second.command().at(2), id(1));
   second.send(served("one"));
@@ -211,7 +211,7 @@
   EXPECT_EQ(figure(s.program, "loads"), 1);
 }
 
-TEST(Retune, FewerAttemptsHoldAtOnce) {
+TEST(ReloadedSettings, ALowerLimitOnAttemptsAppliesAtOnce) {
   Serving s;
   auto conf = s.conf;
   settings_of(conf)["ceilings"].as_object()["max_attempts"] = 1;
@@ -222,11 +222,11 @@
   auto at = s.host.accept();
   at.command();
   at.reset();
-  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // safe: another try is the client's to make
+  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // idempotent: the client may retry
   EXPECT_FALSE(s.host.waiting(20));
 }
 
-TEST(Retune, ABrokenFileLeavesAllAsItWas) {
+TEST(ReloadedSettings, AnInvalidFileChangesNothing) {
   Serving s;
   std::vector<std::string> broken{"", boost::json::serialize(s.conf).substr(0, 300)};
   const auto with = [&](auto change) {
@@ -257,7 +257,7 @@
   return c;
 }
 
-TEST(Numbering, NamesKeepTheirNumbersAndAnotherRightIsAnotherClass) {
+TEST(Numbering, NamesKeepTheirNumbersUnlessTheirIdempotencyChanges) {
   settings::NumberedSettings before{{"a", "b"}, {"p"}, {}};
   before.settings.classes = {kind(Idempotency::kIdempotent, 100), kind(Idempotency::kIdempotencyKey, 200)};
   before.settings.plans.resize(1);
@@ -269,19 +269,19 @@
   EXPECT_EQ(merged.classes, (std::vector<std::string>{"a", "", "c", "b"}));
   EXPECT_EQ(merged.plans, (std::vector<std::string>{"p", "q"}));
   EXPECT_EQ(merged.settings.classes[0].deadline_ms, 3);
-  EXPECT_EQ(merged.settings.classes[1].idempotency, Idempotency::kIdempotencyKey);  // for what is under way
+  EXPECT_EQ(merged.settings.classes[1].idempotency, Idempotency::kIdempotencyKey);  // for requests in flight
   EXPECT_EQ(merged.settings.classes[3].idempotency, Idempotency::kNonIdempotent);
   const auto back = settings::renumber(merged, before);
   EXPECT_EQ(back.classes, (std::vector<std::string>{"a", "b", "", ""}));
 }
 
-TEST(Numbering, NamesOfZonesStayWhereTheyAre) {
+TEST(Numbering, ZonesKeepTheirNumbers) {
   std::vector<std::string> zones{"a", "b"};
   settings::extend_names(zones, {"c", "a"});
   EXPECT_EQ(zones, (std::vector<std::string>{"a", "b", "c"}));
 }
 
-TEST(Numbering, IsBounded) {
+TEST(Numbering, IsLimited) {
   settings::NumberedSettings now{{"c"}, {"p"}, {}};
   now.settings.classes = {kind(Idempotency::kIdempotent, 1)};
   now.settings.plans.resize(1);
@@ -289,7 +289,7 @@
     auto next = now;
     next.classes = {"c"};
     next.settings.classes = {kind(Idempotency::kIdempotencyKey, n)};
-    next.settings.classes[0].idempotency_key_ttl_ms = n + 1;  // another right each time
+    next.settings.classes[0].idempotency_key_ttl_ms = n + 1;  // another idempotency each time
     next.plans = {"p"};
     next.settings.plans.resize(1);
     now = settings::renumber(now, next);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,10 +1,10 @@
-// The other gateways, as operators meet them: settings, the call, figures, cometfold-ctl; and nothing of it
-// where it is off. How several processes behave together is played by the cluster rig (examples/cluster).
+// The cluster as one gateway's operators see it: settings, the call, metrics, cometfold-ctl. How several
+// processes behave together is tested by the cluster schedules (examples/cluster).
 #include <cstdio>
 #include <fstream>
 
-#include "net/line_bound.h"
-#include "net/own_settings.h"
+#include "net/gateway_settings.h"
+#include "net/log_rate_limiter.h"
 #include "net_support.h"
 
 namespace cometfold::net::testing {
@@ -20,29 +20,30 @@
   return path.string();
 }
 
-std::string complaint(const std::string& text) {
+std::string error_text(const std::string& text) {
   const auto path = settings_file(text);
-  std::string why;
+  std::string text_of_error;
   try {
-    read_own_settings(path);
-  } catch (const OwnSettingsError& error) {
-    why = error.what();
+    load_gateway_settings(path);
+  } catch (const GatewaySettingsError& error) {
+    text_of_error = error.what();
   }
   std::filesystem::remove(path);
-  return why.substr(why.find(".toml") == std::string::npos ? 0 : why.find(".toml") + 5);
+  const auto path_end = text_of_error.find(".toml");
+  return text_of_error.substr(path_end == std::string::npos ? 0 : path_end + 5);
 }
 
-struct Ran {
-  int code = -1;
-  std::string out;
+struct CommandOutput {
+  int exit_code = -1;
+  std::string text;
 };
-Ran ctl(const std::string& arguments) {
-  Ran ran;
+CommandOutput ctl(const std::string& arguments) {
+  CommandOutput output;
   FILE* pipe = ::popen((std::string(COMETFOLD_CTL) + " " + arguments + " 2>&1").c_str(), "r");
   char part[4096];
-  for (std::size_t n; (n = std::fread(part, 1, sizeof part, pipe)) > 0;) ran.out.append(part, n);
-  ran.code = WEXITSTATUS(::pclose(pipe));
-  return ran;
+  for (std::size_t n; (n = std::fread(part, 1, sizeof part, pipe)) > 0;) output.text.append(part, n);
+  output.exit_code = WEXITSTATUS(::pclose(pipe));
+  return output;
 }
 
 std::string call(const Program& program, const std::string& target) {
@@ -55,8 +56,8 @@
 }
 
 // A port that was free a moment ago, at an address that no other test uses.
-struct Place {
-  Place() {
+struct FreeAddress {
+  FreeAddress() {
     Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
     at.sin_family = AF_INET;
     at.sin_addr.s_addr = htonl((127U << 24) | (200U << 16) | static_cast<unsigned>(::getpid() & 0xffff));
@@ -72,108 +73,108 @@
   sockaddr_in at{};
 };
 
-struct Serving {
-  explicit Serving(const std::string& settings) : file(settings_file(settings)) {
+struct GatewaySetup {
+  explicit GatewaySetup(const std::string& settings) : file(settings_file(settings)) {
     conf["admin"] = "127.0.0.1:0";
   }
-  ~Serving() { std::filesystem::remove(file); }
+  ~GatewaySetup() { std::filesystem::remove(file); }
   Listener host, discovery;
   std::string file;
   json::object conf = config(list(7, true, {target("s-1", host.port())}), discovery.port());
 };
 
-TEST(Peers, SettingsSayWhereTheyAreWrongAndWhatWouldBeRight) {
-  EXPECT_EQ(complaint("[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n"), "");
-  EXPECT_EQ(complaint("[peers]\nlisten = 3\n"),
+TEST(Peers, ErrorsInSettingsNameTheLineAndTheRemedy) {
+  EXPECT_EQ(error_text("[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [\"127.0.0.1:7947\"]\n"), "");
+  EXPECT_EQ(error_text("[peers]\nlisten = 3\n"),
             ":2: peers.listen must be an IP address and a port, such as \"127.0.0.1:9002\"");
   EXPECT_NE(
-      complaint("[peers]\nseeds = [\"127.0.0.1\"]\n").find(":2: peers.seeds must be a list of at most 1024"),
+      error_text("[peers]\nseeds = [\"127.0.0.1\"]\n").find(":2: peers.seeds must be a list of at most 1024"),
       std::string::npos);
-  EXPECT_NE(complaint("[peers]\nseed = []\n").find(":2: [peers] has no 'seed'; it has advertise"),
+  EXPECT_NE(error_text("[peers]\nseed = []\n").find(":2: [peers] has no 'seed'; it has advertise"),
             std::string::npos);
-  EXPECT_NE(complaint("[peers]\nlisten = \"0.0.0.0:7946\"\n").find("'advertise' must say"),
+  EXPECT_NE(error_text("[peers]\nlisten = \"0.0.0.0:7946\"\n").find("'advertise' must say"),
             std::string::npos);
-  EXPECT_NE(complaint("[peers]\nlisten = \"127.0.0.1:1\"\nquorum = 6\n").find("'quorum' must be at most"),
+  EXPECT_NE(error_text("[peers]\nlisten = \"127.0.0.1:1\"\nquorum = 6\n").find("'quorum' must be at most"),
             std::string::npos);
-  EXPECT_NE(complaint("[peers]\nlisten = \"127.0.0.1:1\"\nforget_ms = 10000\n").find("'forget_ms' must be"),
+  EXPECT_NE(error_text("[peers]\nlisten = \"127.0.0.1:1\"\nforget_ms = 10000\n").find("'forget_ms' must be"),
             std::string::npos);
 }
 
-// A fleet may name all of its gateways.
-TEST(Peers, AThousandSeedsAreTakenAndOneTooManyIsNamed) {
+// The seeds may be all gateways of a fleet.
+TEST(Peers, TheCountOfSeedsIsLimited) {
   const auto seeds = [](int n) {
     std::string text = "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [";
     for (int i = 0; i < n; ++i) text += "\"127.0.0.1:" + std::to_string(10'000 + i) + "\", ";
     return text + "]\n";
   };
-  EXPECT_EQ(complaint(seeds(1024)), "");
+  EXPECT_EQ(error_text(seeds(1024)), "");
   EXPECT_EQ(
-      complaint(seeds(1025)),
+      error_text(seeds(1025)),
       ":3: peers.seeds must be a list of at most 1024 addresses and ports, such as [\"127.0.0.1:7946\"]");
 }
 
-TEST(Peers, OffWithoutAnAddressAndThenNothingShows) {
-  Serving serving("[hosts]\n");
-  Program program(serving.conf, {"--settings", serving.file}, {});
+TEST(Peers, AreOffWithoutAnAddress) {
+  GatewaySetup setup("[hosts]\n");
+  Program program(setup.conf, {"--settings", setup.file}, {});
   EXPECT_NE(call(program, "/_members").find("404"), std::string::npos);
   EXPECT_EQ(call(program, "/_vars").find("peers"), std::string::npos);
-  const auto ran = ctl("members --at 127.0.0.1:" + std::to_string(program.admin_port()));
-  EXPECT_EQ(ran.code, 1);
-  EXPECT_NE(ran.out.find("knows of no others"), std::string::npos);
+  const auto output = ctl("members --at 127.0.0.1:" + std::to_string(program.admin_port()));
+  EXPECT_EQ(output.exit_code, 1);
+  EXPECT_NE(output.text.find("knows of no others"), std::string::npos);
 }
 
-TEST(Peers, OneThatKnowsNobodySaysThatItIsAlone) {
-  const Place place;
-  Serving serving("[peers]\nlisten = \"" + place.text() + "\"\n");
-  Program program(serving.conf, {"--settings", serving.file}, {});
+TEST(Peers, AGatewayWithoutOthersReportsThatItIsAlone) {
+  const FreeAddress address;
+  GatewaySetup setup("[peers]\nlisten = \"" + address.text() + "\"\n");
+  Program program(setup.conf, {"--settings", setup.file}, {});
   const auto at = " --at 127.0.0.1:" + std::to_string(program.admin_port());
-  const auto ran = ctl("members --json" + at);
-  ASSERT_EQ(ran.code, 0) << ran.out;
-  const auto all = json::parse(ran.out).as_object();
+  const auto output = ctl("members --json" + at);
+  ASSERT_EQ(output.exit_code, 0) << output.text;
+  const auto all = json::parse(output.text).as_object();
   EXPECT_EQ(all.at("name"), "n0");
   EXPECT_EQ(all.at("standing"), "alone");
   const auto& me = all.at("members").as_array().at(0).as_object();
   EXPECT_EQ(me.at("name"), "n0");
-  EXPECT_EQ(me.at("address"), place.text().c_str());
+  EXPECT_EQ(me.at("address"), address.text().c_str());
   EXPECT_EQ(me.at("state"), "alive");
   EXPECT_EQ(me.at("start"), all.at("start"));
   EXPECT_TRUE(me.contains("since_ms"));
-  EXPECT_NE(ctl("members" + at).out.find("n0 (start "), std::string::npos);
+  EXPECT_NE(ctl("members" + at).text.find("n0 (start "), std::string::npos);
   EXPECT_NE(call(program, "/_members").find("Content-Type: application/json"), std::string::npos);
 
-  // What is no datagram of ours is dropped and counted.
+  // Foreign datagrams are dropped and counted.
   Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  ::sendto(fd.get(), "noise", 5, 0, reinterpret_cast<const sockaddr*>(&place.at), sizeof place.at);
+  ::sendto(fd.get(), "noise", 5, 0, reinterpret_cast<const sockaddr*>(&address.at), sizeof address.at);
   while (call(program, "/_vars").find("edge_edge.peers.dropped.foreign:1|c") == std::string::npos) {
     std::this_thread::sleep_for(std::chrono::milliseconds(10));
   }
 }
 
-TEST(Peers, AnAddressThatAnotherProcessHoldsIsWaitedFor) {
-  const Place place;
+TEST(Peers, AnAddressInUseIsWaitedFor) {
+  const FreeAddress address;
   auto holder = std::make_unique<Fd>(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
-  ASSERT_EQ(::bind(holder->get(), reinterpret_cast<const sockaddr*>(&place.at), sizeof place.at), 0);
-  Serving serving("[peers]\nlisten = \"" + place.text() + "\"\n");
-  Program program(serving.conf, {"--settings", serving.file}, {});
+  ASSERT_EQ(::bind(holder->get(), reinterpret_cast<const sockaddr*>(&address.at), sizeof address.at), 0);
+  GatewaySetup setup("[peers]\nlisten = \"" + address.text() + "\"\n");
+  Program program(setup.conf, {"--settings", setup.file}, {});
   holder.reset();
   program.log_until("\"peers_open\"");
 }
 
-TEST(Peers, CtlSaysWhatIsWrong) {
-  EXPECT_EQ(ctl("members --at 127.0.0.1:1").code, 1);
-  EXPECT_NE(ctl("members --at nowhere").out.find("must be an address and a port"), std::string::npos);
-  EXPECT_NE(ctl("members").code, 0);
-  EXPECT_EQ(ctl("--version").code, 0);
+TEST(Peers, CtlReportsErrors) {
+  EXPECT_EQ(ctl("members --at 127.0.0.1:1").exit_code, 1);
+  EXPECT_NE(ctl("members --at nowhere").text.find("must be an address and a port"), std::string::npos);
+  EXPECT_NE(ctl("members").exit_code, 0);
+  EXPECT_EQ(ctl("--version").exit_code, 0);
 }
 
-TEST(LineBound, ABurstThenARateAndWhatWasLeftOutIsCounted) {
-  LineBound bound(3, 2);
-  for (int i = 0; i < 3; ++i) EXPECT_EQ(bound.take(1000), 0U);
-  EXPECT_EQ(bound.take(1000), std::nullopt);
-  EXPECT_EQ(bound.take(1100), std::nullopt);
-  EXPECT_EQ(bound.take(1600), 2U);
-  EXPECT_EQ(bound.take(1601), std::nullopt);
-  EXPECT_EQ(bound.take(1e9), 1U);  // and never silent for good
+TEST(LogRateLimiter, AdmitsABurstThenARateAndCountsDroppedLines) {
+  LogRateLimiter limiter(3, 2);
+  for (int i = 0; i < 3; ++i) EXPECT_EQ(limiter.admit(1000), 0U);
+  EXPECT_EQ(limiter.admit(1000), std::nullopt);
+  EXPECT_EQ(limiter.admit(1100), std::nullopt);
+  EXPECT_EQ(limiter.admit(1600), 2U);
+  EXPECT_EQ(limiter.admit(1601), std::nullopt);
+  EXPECT_EQ(limiter.admit(1e9), 1U);  // and not for ever
 }
 
 }  // namespace
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -1,6 +1,6 @@
-// Crossings: a request, an answer, a close, a list or a signal that comes between two steps of the gateway.
-// Each is forced, by a peer that acts upon a byte seen or by a stopped process whose timers are overdue, and
-// none is left to chance. The list of all of them is in docs/design/0009-rare-moments.md.
+// Races: a request, a reply, a close, a list or a signal that arrives between two steps of the gateway. Each
+// is forced, by a peer that reacts to a byte or by a stopped process whose timers are overdue. The list of
+// all of them is in docs/design/0009-rare-moments.md.
 #include <sys/ioctl.h>
 
 #include <chrono>
@@ -40,14 +40,14 @@
   return peer.line();
 }
 
-// SIGTERM has been seen.
+// Returns once SIGTERM has been handled.
 void stop_begins(Program& program) {
   program.terminate();
   while (ask(program, "GET /_ready").find("503") == std::string::npos) {
   }
 }
 
-// Connects that fill a listener's queue: further ones get no answer.
+// Connections that fill a listener's queue: further ones are not accepted.
 std::vector<Fd> fill(const Listener& full) {
   std::vector<Fd> all;
   for (int i = 0; i < 4; ++i) {
@@ -58,7 +58,7 @@
   return all;
 }
 
-// The next request goes to this host: the drain of the others is known.
+// The next request goes to this host, so the drain of the others has been received.
 void expect_served_by(Program& program, Listener& host, unsigned n) {
   auto client = program.client();
   client.send(query(n));
@@ -70,8 +70,8 @@
 
 // ---- watches ----
 
-// What a silent watch misses counts as told 6 s after its last word, also if the next call is not answered.
-TEST(RareWatch, ASilentOneAndASilentCallAfterItLeaveTimeToHearOfADrain) {
+// Changes must be received within 6 s of the watch's last line, even if the next call is not answered.
+TEST(DiscoveryWatch, TwoSilentCallsLeaveTimeToReceiveADrain) {
   Listener host, next, agent;
   Program program(pushed(known({target("s-1", host.port())}), agent));
   auto watch = agent.accept();
@@ -89,8 +89,9 @@
   expect_served_by(program, next, 1);
 }
 
-// After SIGHUP it counts 4 s later, whether or not the first call of the new address is answered.
-TEST(RareWatch, ANewAddressThatIsSilentAtFirstIsCalledAgainInTime) {
+// After SIGHUP changes must be received within 4 s, even if the first call of the new address is not
+// answered.
+TEST(DiscoveryWatch, ASilentNewAddressIsCalledAgainInTime) {
   Listener host, old_agent, new_agent;
   const auto conf = pushed(known({target("s-1", host.port())}), old_agent);
   Program program(conf);
@@ -109,8 +110,8 @@
   watch_head(after);
 }
 
-// An agent on this machine that resets call upon call is pressed by nobody, and its list is missed.
-TEST(RareWatch, AnAgentThatResetsEachCallIsCalledAgainAtOnce) {
+// Nobody else calls an agent on this machine, so retries need no long backoff.
+TEST(DiscoveryWatch, ALocalAgentThatResetsCallsIsCalledAgainAtOnce) {
   Listener host, agent;
   Program program(pushed(known({target("s-1", host.port())}), agent));
   const auto first = Steady::now();
@@ -129,9 +130,10 @@
   }
 }
 
-// Two moves in a row: the list is asked for again some time after the first, if that one lagged behind. The
-// second move has told the first one's watch to end then, and its own has said nothing yet.
-TEST(RareWatch, AListThatIsAskedForAgainDoesNotEndTheOnlyWatch) {
+// The address changes twice. As the second one lags behind, its snapshot is to be fetched again some time
+// after the first change: not while its watch is the only one and must not reconnect, as the third is still
+// silent.
+TEST(DiscoveryWatch, ARefetchDuringAnAddressChangeDoesNotCloseTheOnlyWatch) {
   Listener host, first, second, third;
   const auto conf = pushed(known({target("s-1", host.port()), target("s-2", 1)}), first);
   Program program(conf);
@@ -155,10 +157,10 @@
     chunk(two, "\n");
     if (third.waiting(500)) silent.push_back(third.accept());
   }
-  EXPECT_TRUE(two.quiet(0));  // it is not closed, and still heard
+  EXPECT_TRUE(two.quiet(0));  // not closed, and still read
 }
 
-TEST(RareWatch, ListsMayStandOnSeveralLinesOnBothCalls) {
+TEST(DiscoveryWatch, ListsMayBeSpreadOverSeveralLines) {
   Listener host, next, old_agent, new_agent;
   const auto conf = pushed(known({target("s-1", host.port())}), old_agent);
   Program program(conf);
@@ -191,7 +193,7 @@
   expect_served_by(program, next, 1);
 }
 
-TEST(RareWatch, AListThatIsCutOffSwallowsNoneBehindIt) {
+TEST(DiscoveryWatch, ATruncatedListDoesNotHideThoseAfterIt) {
   Listener host, agent;
   Program program(pushed(known({target("s-1", host.port())}), agent));
   for (const std::string behind : {"\n", "  \n", "{\"rev\":9,\"all\":false,\"targets\":[]}\n"}) {
@@ -203,48 +205,47 @@
   }
 }
 
-// ---- clients that have left ----
+// ---- clients that have disconnected ----
 
-// More commands than are taken in at once, so that nothing more is read: the client's end is seen all the
-// same.
-std::string more_than_is_taken_in(unsigned first) {
+// More commands than are read at once, so that reads are paused.
+std::string more_than_is_read_at_once(unsigned first) {
   std::string text = query(first, "59000");
   for (int i = 0; i < 100; ++i) text += command({"PING", std::to_string(i)});
   return text + query(first + 1) + query(first + 2);
 }
 
-TEST(RareClients, OneThatLeavesWhileItIsHeldBackHasItsAttemptCalledOff) {
+TEST(RareClients, ADisconnectDuringAReadPauseCancelsTheAttempt) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   for (const bool by_reset : {false, true}) {
     auto client = program.client();
-    client.send(more_than_is_taken_in(1));
+    client.send(more_than_is_read_at_once(1));
     auto at = host.accept();
     EXPECT_EQ(at.command().at(2), id(1));
     by_reset ? client.reset() : client.close();
     EXPECT_TRUE(at.ends());
-    expect_served_by(program, host, 5);  // and not what it had sent behind
+    expect_served_by(program, host, 5);  // and not the commands behind
   }
 }
 
-TEST(RareClients, WhatOneSentBehindAFullPipelineIsNotSentOnAfterItHasLeft) {
+TEST(RareClients, CommandsBehindAFullPipelineAreNotForwardedAfterADisconnect) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
   conf["settings"].as_object()["ceilings"].as_object()["cancel"] = false;
   Program program(conf);
   auto client = program.client();
-  client.send(more_than_is_taken_in(1));
+  client.send(more_than_is_read_at_once(1));
   auto at = host.accept();
   EXPECT_EQ(at.command().at(2), id(1));
   auto other = program.client();
   other.send(query(9));
-  auto ready = host.accept();  // a connection on which what is behind could go out at once
+  auto ready = host.accept();  // a connection on which the commands behind could be sent at once
   ready.command();
   ready.send(served("nine"));
   EXPECT_EQ(other.reply(), "nine");
   let_rest();
   client.close();
-  at.send(served("one"));  // there is room again
+  at.send(served("one"));  // the commands behind can be read now
   let_rest();
   other.send(query(5));
   EXPECT_EQ(at.command().at(2), id(5));
@@ -254,7 +255,7 @@
   EXPECT_FALSE(host.waiting(0));
 }
 
-TEST(RareClients, AnAttemptThatWaitsForItsConnectionIsNotWrittenForOneThatHasLeft) {
+TEST(RareClients, AnAttemptThatWaitsForAConnectionIsNotWrittenAfterADisconnect) {
   Listener slow(0), discovery;
   auto filled = fill(slow);
   auto conf = config(known({target("s-1", slow.port())}), discovery.port());
@@ -264,7 +265,7 @@
   client.send(query(1) + command({"PING"}));
   auto other = program.client();
   other.send(command({"PING"}));
-  EXPECT_EQ(other.reply(), "+PONG");  // the request is taken by now
+  EXPECT_EQ(other.reply(), "+PONG");  // the request has been accepted by now
   client.close();
   other.send(query(2));
   filled.clear();
@@ -283,10 +284,10 @@
   EXPECT_EQ(other.reply(), "two");
 }
 
-// ---- connections that end ----
+// ---- connections that close ----
 
-// Bytes leave the socket in the turn that tells of them: what looks quiet is quiet.
-TEST(RareClose, WhatHasComeIsCountedUntilItIsTold) {
+// Bytes leave the socket in the turn that delivers them, so a quiet connection holds none.
+TEST(RareClose, ReceivedBytesAreCountedUntilTheyAreDelivered) {
   struct Events : resp::StreamCallbacks {
     void on_connected(Ms, bool) override {}
     void on_read(Ms, std::size_t n, bool) override { bytes += n; }
@@ -322,9 +323,9 @@
   stream.close();
 }
 
-// A request that crosses the last answer's close is one that the gateway never reads, so that its client may
-// send it elsewhere: the kernel answers it with a reset.
-TEST(RareClose, ARequestThatCrossesTheLastAnswerIsNeverRead) {
+// A request that crosses the close after the last reply is never read: the kernel answers it with a reset, so
+// that its client may send it elsewhere.
+TEST(RareClose, ARequestThatCrossesTheLastReplyIsNeverRead) {
   Listener host, discovery;
   Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
   ask(program, "POST /_lameduck/on");
@@ -340,7 +341,7 @@
   EXPECT_FALSE(host.waiting(0));
 }
 
-// ---- at the cap of descriptors ----
+// ---- at the limit of descriptors ----
 
 // The gateway's own settings, in a file that goes with this.
 class OwnFile {
@@ -361,7 +362,7 @@
   return conf;
 }
 
-TEST(RareCrowd, AConnectionWithARequestInItMakesNoRoomForANewcomer) {
+TEST(RareEviction, AConnectionWithARequestIsNotEvicted) {
   Listener host, discovery;
   const OwnFile own("[hosts]\ndescriptors_share = 0.5\n");
   Program program(crowded(config(known({target("s-1", host.port())}), discovery.port())),
@@ -371,21 +372,22 @@
     clients.push_back(program.client());
     clients.back().send(command({"PING"}));
     EXPECT_EQ(clients.back().reply(), "+PONG");
-    if (i > 0) clients.back().send("*1\r\n$4\r\n");  // half of one more: missed more than one that idles
+    if (i > 0)
+      clients.back().send("*1\r\n$4\r\n");  // half a command: a lower priority for eviction than idle ones
   }
   {
     const Stopped stopped(program);
-    clients.push_back(program.client());  // seen first when the process goes on
+    clients.push_back(program.client());  // accepted first when the process continues
     clients.back().send(command({"PING"}));
-    clients[0].send(command({"PING", "first"}));  // the one that makes room most gladly
+    clients[0].send(command({"PING", "first"}));  // the one with the highest priority for eviction
   }
   EXPECT_EQ(clients[0].reply(), "first");
   EXPECT_EQ(clients[4].reply(), "+PONG");
 }
 
-// ---- the stop ----
+// ---- shutdown ----
 
-TEST(RareStop, OneThatConnectsJustBeforeTheListenerClosesIsServed) {
+TEST(RareStop, AConnectionMadeJustBeforeTheListenerClosesIsServed) {
   Listener host, discovery;
   Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
   stop_begins(program);
@@ -404,7 +406,7 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(RareStop, OneWhoseRequestIsOnItsWayWhenTheListenerClosesIsServed) {
+TEST(RareStop, ARequestUnderWayWhenTheListenerClosesIsServed) {
   Listener host, discovery;
   Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
   auto kept = program.client();
@@ -415,7 +417,7 @@
   {
     const Stopped stopped(program);
     stopped.outlast(550ms);
-    kept.send(query(1));  // unread when what idles is closed
+    kept.send(query(1));  // unread when idle connections are closed
   }
   auto at = host.accept();
   at.command();
@@ -425,7 +427,7 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(RareStop, WhoWaitsInTheQueueOfAFullTableIsServedWhenOneHasEnded) {
+TEST(RareStop, AConnectionQueuedAtTheLimitIsServedWhenAnotherCloses) {
   Listener host, discovery;
   const OwnFile own("[hosts]\ndescriptors_share = 0.5\n");
   Program program(operated(crowded(config(known({target("s-1", host.port())}), discovery.port()))),
@@ -453,8 +455,8 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-// SIGKILL goes by the longest deadline there is now, not by those of classes that are gone.
-TEST(RareStop, AClassThatIsGoneDoesNotMakeTheStopLonger) {
+// SIGKILL comes after the longest deadline of the current classes, not of withdrawn ones.
+TEST(RareStop, AWithdrawnClassDoesNotProlongTheShutdown) {
   Listener host, discovery;
   const auto conf = config(known({target("s-1", host.port())}), discovery.port());
   Program program(conf);
@@ -474,10 +476,10 @@
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   EXPECT_TRUE(client.ends());
   EXPECT_EQ(program.exit_code(), 0);
-  EXPECT_LT(Steady::now() - told, 3s);  // 3.45 s where the class that is gone counted
+  EXPECT_LT(Steady::now() - told, 3s);  // it would be 3.45 s with the withdrawn class
 }
 
-TEST(RareStop, ASecondSignalAndNewSettingsMeanwhileChangeNothing) {
+TEST(RareStop, ASecondSignalAndAReloadChangeNothing) {
   Listener host, discovery;
   const auto conf = operated(config(known({target("s-1", host.port())}), discovery.port()));
   Program program(conf);
@@ -499,9 +501,9 @@
 
 // ---- attempts ----
 
-// A host that has started anew at its address while a connection to it was coming up: what waits for that was
-// meant for the process before, and the new one is cold.
-TEST(RareAttempts, OneThatWaitsForAProcessThatIsNoMoreGoesElsewhere) {
+// A host restarts at its address while a connection to it is being made: the attempt that waits for it was
+// meant for the earlier process, and the new one is cold.
+TEST(RareAttempts, AnAttemptThatWaitsForARestartedHostIsRetriedElsewhere) {
   Listener slow(0), next, discovery;
   const auto filled = fill(slow);
   Program program(config(known({target("s-1", slow.port())}), discovery.port()));
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,4 @@
-// A new configuration under load: SIGHUP, and what discovery tells at two addresses meanwhile.
+// A new configuration under load: SIGHUP, and discovery at two addresses meanwhile.
 #include <deque>
 #include <map>
 #include <random>
@@ -16,7 +16,7 @@
   return boost::json::serialize(conf);
 }
 
-TEST(Reload, ABadFileIsLoggedTheOldOneKeptAndWorkInFlightGoesOn) {
+TEST(Reload, AnInvalidFileIsLoggedAndRequestsInFlightGoOn) {
   Listener host, discovery;
   const auto conf = config(list(7, true, {target("s-1", host.port())}), discovery.port());
   Program program(conf);
@@ -34,18 +34,18 @@
   EXPECT_EQ(client.reply(), "one");
 }
 
-TEST(Reload, ANewAddressIsWatchedAndTheOldOneHeardUntilTheNewHasToldAll) {
+TEST(Reload, TheOldDiscoveryAddressIsWatchedUntilTheNewOneHasSentItsSnapshot) {
   Listener first, second, third, old_agent, new_agent;
   const auto conf = config(list(7, true, {target("s-1", first.port())}), old_agent.port());
   Program program(conf);
   auto before = old_agent.accept();
   watch_head(before);
   program.reload(at_discovery(conf, new_agent));
-  auto fetch = new_agent.accept();  // and nothing yet: the old one is still heard
+  auto fetch = new_agent.accept();  // without an answer: the old one is still in use
   chunk(before,
         list(8, false, {target("s-1", first.port(), "leaving"), target("s-2", second.port())}) + "\n");
   auto client = program.client();
-  for (bool told = false; !told;) {  // until that line has come through
+  for (bool served_by_second = false; !served_by_second;) {  // until that line has been read
     client.send(query(1));
     if (Listener::first_of(first, second)) {
       auto at = first.accept();
@@ -59,9 +59,9 @@
     at.command();
     at.send(served("two"));
     EXPECT_EQ(client.reply(), "two");
-    told = true;
+    served_by_second = true;
   }
-  // Versions of the two do not agree, and the new one still takes the host that leaves for active.
+  // The versions of the two do not agree, and the new one still lists the draining host as ready.
   whole_list(fetch, list(3, true, {target("s-1", first.port()), target("s-3", third.port())}));
   auto after = new_agent.accept();
   EXPECT_NE(watch_head(after).find("since=3 "), std::string::npos);
@@ -78,81 +78,83 @@
   EXPECT_FALSE(first.waiting(0));
 }
 
-// A fleet that was killed at once, and a discovery that turns all away while more than so many call in a
+// A fleet that was killed at once, and a discovery that rejects all calls while there are too many in a
 // second.
-TEST(Backoff, AFleetThatIsTurnedAwayGetsThrough) {
-  constexpr int kFleet = 48, kMostASecond = 20;
+TEST(Backoff, ARejectedFleetSpreadsOutAndGetsThrough) {
+  constexpr int kFleet = 48, kMaxCallsPerSecond = 20;
   std::mt19937 random(5);
-  std::vector<Backoff> waits(kFleet);
+  std::vector<Backoff> backoffs(kFleet);
   std::multimap<double, int> calls;
   for (int i = 0; i < kFleet; ++i) calls.emplace(random() % 100, i);
   std::deque<double> last_second;
   double done_at = 0;
   int left = kFleet;
   while (left > 0 && done_at < 60'000) {
-    const auto [now, who] = *calls.begin();
+    const auto [now, gateway] = *calls.begin();
     calls.erase(calls.begin());
     done_at = now;
     last_second.push_back(now);
     while (last_second.front() < now - 1000) last_second.pop_front();
-    if (last_second.size() <= kMostASecond) {
+    if (last_second.size() <= kMaxCallsPerSecond) {
       --left;
       continue;
     }
-    const auto pause = static_cast<double>(waits[who].next_delay(WatchResult::kRejected).count());
-    calls.emplace(now + pause / 2 + random() % static_cast<unsigned>(pause), who);
+    const auto delay = static_cast<double>(backoffs[gateway].next_delay(WatchResult::kRejected).count());
+    calls.emplace(now + delay / 2 + random() % static_cast<unsigned>(delay), gateway);
   }
   EXPECT_EQ(left, 0);
   EXPECT_LT(done_at, 15'000);
 }
 
-// A discovery with a queue, which works on calls that nobody waits for any more, and 70 of 100 gateways that
-// have started at one moment. Called by all at once it was seconds behind for as long as they came back.
-TEST(Backoff, AHundredRestartedAtOnceAreAllToldSoon) {
+// A discovery with a queue, which also works on calls whose callers have given up, and 70 of 100 gateways
+// that start at one moment.
+TEST(Backoff, AHundredSimultaneousRestartsAllGetTheListSoon) {
   constexpr int kFleet = 100, kStarted = 70;
-  constexpr double kTakes = 1000.0 / 15, kWaits = 2000;
+  constexpr double kServiceMs = 1000.0 / 15;
+  constexpr double kCallerTimeoutMs = 2000;
   std::mt19937 random(5);
-  std::vector<Backoff> waits(kStarted, Backoff(kFleet));
+  std::vector<Backoff> backoffs(kStarted, Backoff(kFleet));
   std::multimap<double, int> calls;
   for (int i = 0; i < kStarted; ++i) {
     calls.emplace(
-        random() % std::max<unsigned>(1, static_cast<unsigned>(waits[i].max_initial_delay().count())), i);
+        random() % std::max<unsigned>(1, static_cast<unsigned>(backoffs[i].max_initial_delay().count())), i);
   }
   double free_at = 0, last = 0;
   int made = 0;
   for (; !calls.empty() && made < 5000; ++made) {
-    const auto [now, who] = *calls.begin();
+    const auto [now, gateway] = *calls.begin();
     calls.erase(calls.begin());
     free_at = std::max(free_at, now);
-    const bool away = free_at - now > kWaits;  // turned away at once, else it waits in the queue
-    if (!away) free_at += kTakes;
-    if (!away && free_at - now <= kWaits) {
+    const bool rejected = free_at - now > kCallerTimeoutMs;  // at once; else it waits in the queue
+    if (!rejected) free_at += kServiceMs;
+    if (!rejected && free_at - now <= kCallerTimeoutMs) {
       last = std::max(last, free_at);
       continue;
     }
-    const auto pause = static_cast<double>(waits[who].next_delay(WatchResult::kRejected).count());
-    calls.emplace(now + (away ? 0 : kWaits) + pause / 2 + random() % static_cast<unsigned>(pause), who);
+    const auto delay = static_cast<double>(backoffs[gateway].next_delay(WatchResult::kRejected).count());
+    calls.emplace(
+        now + (rejected ? 0 : kCallerTimeoutMs) + delay / 2 + random() % static_cast<unsigned>(delay),
+        gateway);
   }
   EXPECT_TRUE(calls.empty());
   EXPECT_LT(last, 9'000);
   EXPECT_LT(made, 2 * kStarted);
 }
 
-// A change counts as told 6 s after discovery had it, whatever became of a call: neither the first call nor
-// the next one after being turned away may come later, however many gateways there are.
-TEST(Backoff, InALargeFleetNoPauseIsAsLongAsSixSeconds) {
+// A change must be received within 6 s of discovery having it, in a fleet of any size: neither the first call
+// nor the next one after a rejection may come later.
+TEST(Backoff, DelaysOfALargeFleetStayBelowThePropagationLimit) {
   for (const double fleet : {2, 100, 321, 1000}) {
-    Backoff wait(fleet);
-    EXPECT_LE(wait.max_initial_delay().count(), 4000) << fleet;
+    Backoff backoff(fleet);
+    EXPECT_LE(backoff.max_initial_delay().count(), 4000) << fleet;
     for (int i = 0; i < 20; ++i) {
-      EXPECT_LE(wait.next_delay(WatchResult::kRejected).count() * 3 / 2, 4000) << fleet;
+      EXPECT_LE(backoff.next_delay(WatchResult::kRejected).count() * 3 / 2, 4000) << fleet;
     }
   }
 }
 
-// Where discovery pushes, its agent answers at once and what it has counts as told: nobody waits with that
-// call.
-TEST(Reload, AnAgentIsCalledAtOnceHoweverLargeTheFleet) {
+// Where discovery pushes, its agent on this machine answers at once, so its callers need not spread out.
+TEST(Reload, ALocalAgentIsCalledWithoutDelayInALargeFleet) {
   Listener host, agent;
   auto conf = config(list(7, true, {target("s-1", host.port())}), agent.port());
   auto& settings = conf["settings"].as_object();
@@ -163,10 +165,10 @@
   EXPECT_NE(watch_head(watch).find("since=7 "), std::string::npos);
 }
 
-TEST(Backoff, OneWhoseAgentIsDownComesBackWithinTwoSeconds) {
-  Backoff wait;
-  for (int i = 0; i < 20; ++i) EXPECT_LE(wait.next_delay(WatchResult::kFailed).count(), 1000);
-  EXPECT_EQ(wait.next_delay(WatchResult::kReceivedData), Backoff::kMinDelay);
+TEST(Backoff, AFailedConnectionIsRetriedWithinTwoSeconds) {
+  Backoff backoff;
+  for (int i = 0; i < 20; ++i) EXPECT_LE(backoff.next_delay(WatchResult::kFailed).count(), 1000);
+  EXPECT_EQ(backoff.next_delay(WatchResult::kReceivedData), Backoff::kMinDelay);
 }
 
 }  // namespace
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -23,8 +23,8 @@
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
-// A connection that is gone before it is accepted must not keep the gateway from all others.
-TEST(SystemFaults, AnAbortedAcceptHoldsUpNobody) {
+// A connection that is closed before it is accepted must not block the gateway.
+TEST(SystemFaults, AnAbortedAcceptDoesNotBlock) {
   for (const int error : {ECONNABORTED, EPROTO}) {
     Listener host, discovery;
     FaultPlan plan;
@@ -37,11 +37,11 @@
     client.send(command({"PING"}));
     EXPECT_FALSE(client.quiet(5000)) << "the gateway stands still after accept failed with " << error;
     program.terminate();
-    auto unblocks = program.client();  // or the program would never end
+    auto unblocks = program.client();  // else the program would not end
   }
 }
 
-TEST(SystemFaults, AnInterruptedReadOrWriteLosesNoRequest) {
+TEST(SystemFaults, AnInterruptedCallLosesNoRequest) {
   for (const auto& [call, error] : {std::pair(Call::kRecv, EINTR), std::pair(Call::kSend, EINTR),
                                     std::pair(Call::kSend, ENOBUFS), std::pair(Call::kSend, ENOMEM)}) {
     Listener host, discovery;
@@ -62,14 +62,14 @@
   }
 }
 
-// What the host of the next connection is told of the time left, in milliseconds.
-double told_time(Peer& at) {
+// The remaining time in the next command to a host, in milliseconds.
+double remaining_time(Peer& at) {
   const auto list = at.command().at(3);
   return std::stod(list.substr(list.find("d=") + 2));
 }
 
-// Out of descriptors for a while: a request's time runs while its connection waits in the kernel.
-TEST(SystemFaults, TheTimeThatAConnectionWaitedToBeAcceptedIsTheClients) {
+// Out of descriptors for a while: a request's deadline runs while its connection waits in the queue.
+TEST(SystemFaults, TheDeadlineRunsWhileAConnectionWaitsToBeAccepted) {
   Listener host, discovery;
   FaultPlan plan;
   Program program(config(known({target("s-1", host.port())}), discovery.port()), plan.environment());
@@ -82,12 +82,12 @@
   auto at = host.accept();
   const double spent =
       std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - sent).count();
-  EXPECT_LE(told_time(at), 5000 - 700 + 150);
+  EXPECT_LE(remaining_time(at), 5000 - 700 + 150);
   EXPECT_GE(spent, 700);
 }
 
-// Commands beyond the 64 that may be open on a connection are not read on, and their time runs.
-TEST(SystemFaults, TheTimeThatACommandWaitedBehindOthersIsTheClients) {
+// Commands beyond the 64 that may be in flight on a connection are not read, but their deadlines run.
+TEST(SystemFaults, TheDeadlineRunsWhileACommandWaitsBehindOthers) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
@@ -100,12 +100,12 @@
   at.send(served("first"));
   EXPECT_EQ(client.reply(), "first");
   for (int i = 0; i < 63; ++i) EXPECT_EQ(client.reply(), "+PONG");
-  EXPECT_LE(host.waiting(200) ? told_time(*std::make_unique<Peer>(host.accept())) : told_time(at),
+  EXPECT_LE(host.waiting(200) ? remaining_time(*std::make_unique<Peer>(host.accept())) : remaining_time(at),
             5000 - 700 + 150);
 }
 
-// Whoever reads the log has stopped, and the pipe is full.
-TEST(SystemFaults, ALogThatNobodyReadsHoldsUpNobody) {
+// The reader of the log has stopped, and the pipe is full.
+TEST(SystemFaults, AnUnreadLogDoesNotBlock) {
   Listener host, discovery;
   const auto settings =
       std::filesystem::temp_directory_path() / ("log-" + std::to_string(::getpid()) + ".toml");
@@ -122,7 +122,7 @@
   std::filesystem::remove(settings);
 }
 
-// A process that hangs and holds the place of an older one: the start of the program stands still at it.
+// An unresponsive process at the handover's path delays the start of the program.
 class HangingPredecessor {
  public:
   explicit HangingPredecessor(const std::string& folder)
@@ -147,8 +147,8 @@
   std::string path_;
 };
 
-// The configuration is read at the start. One that is written later comes with a signal, which must not be
-// lost before the program is there to hear it.
+// The configuration is read at the start. A signal for a later one must not be lost before its handler is
+// installed.
 TEST(SystemFaults, AReloadDuringTheStartIsNotLost) {
   Listener host, discovery, moved;
   const std::string folder = std::filesystem::temp_directory_path().string();
