--- a/src/net/active_config.h
+++ b/src/net/active_config.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "net/config.h"
-#include "resp/front.h"
+#include "resp/resp_handler.h"
 #include "settings/numbering.h"
 
 namespace cometfold::net {
--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -21,9 +21,8 @@
 
 int main() {
   cometfold::AdmissionSettings settings;
-  settings.classes.push_back({.latency_objective_ms = 800,
-                              .deadline_ms = 2000,
-                              .idempotency = cometfold::Idempotency::kIdempotent});
+  settings.classes.push_back(
+      {.latency_objective_ms = 800, .deadline_ms = 2000, .idempotency = cometfold::Idempotency::kIdempotent});
   settings.plans.push_back({.quota_rate = 10, .quota_burst = 20});
   CountingSink sink;
   cometfold::AdmissionController controller(settings, 42);
--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -9,8 +9,8 @@
 #include <string>
 #include <vector>
 
-#include "engine/engine.h"
 #include "engine/controller_policy.h"
+#include "engine/engine.h"
 #include "external_processor.pb.h"
 #include "extproc/processor.h"
 
--- a/tests/host_pool_test.cpp
+++ b/tests/host_pool_test.cpp
@@ -5,7 +5,7 @@
 
 #include "net/config.h"
 #include "net/gateway.h"
-#include "net/hosts.h"
+#include "net/upstream_hosts.h"
 #include "net_support.h"
 
 namespace cometfold::net::testing {
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -12,7 +12,7 @@
 #include "extproc/request_mapper.h"
 #include "limits/attempt_limits.h"
 #include "net/config.h"
-#include "net/own_settings.h"
+#include "net/gateway_settings.h"
 #include "support.h"
 
 namespace cometfold::testing {
@@ -43,11 +43,11 @@
   std::ofstream(path) << text;
   std::string errors;
   try {
-    const auto own_settings = net::read_own_settings(path);
+    const auto own_settings = net::load_gateway_settings(path);
     for (const auto& error : limits::prove(own_settings.limits, platform).errors) {
       errors += error.to_text().substr(path.string().size() + 1) + "\n";
     }
-  } catch (const net::OwnSettingsError& error) {
+  } catch (const net::GatewaySettingsError& error) {
     errors = std::string(error.what()).substr(path.string().size() + 1) + "\n";
   }
   std::filesystem::remove(path);
