--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -1,12 +1,12 @@
-// Plays the requests of a fleet's decision logs once more through real modules, to measure what another rule
-// at the slice would let pass beyond quotas and inside them, before it is tried on sockets.
+// Replays the requests of a fleet's decision logs through real decision modules, to measure what another rule
+// at the slices would admit beyond quotas and within them, before it is tried on sockets.
 //
 //   quota_replay DIRECTORY [--cores N] [--work MS] [--requests N] [--again P] [--same P]
 //
 // DIRECTORY holds one log for each gateway (see tools/count_quotas.py). Hosts share all their cores evenly
-// among what is out and never fail. A client's further tries are found by customer, class and units shortly
-// after a refusal; in the replay refused ones come again as often as in the logs, at gateways of the
-// customer's set as often as it used them.
+// among the attempts in flight and never fail. Clients' retries are found in the logs by customer, class and
+// units shortly after a rejection; in the replay rejected requests are retried as often as in the logs, at
+// the customer's gateways as often as it used them.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -19,6 +19,7 @@
 #include <set>
 #include <sstream>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "tests/admission/model_fleet.h"
@@ -28,91 +29,154 @@
 using namespace cometfold;
 using namespace cometfold::testing;
 
-struct Asked {
+// A request of the decision logs.
+struct LoggedRequest {
   Ms at = 0;
   std::size_t gateway = 0;
   Request request;
-  bool refused = false;
-  bool further = false;  // taken for a client's next try
+  bool rejected = false;
+  bool is_retry = false;  // probably a client's retry
 };
 
+// What the logs hold of a day.
 struct Day {
   AdmissionSettings settings;
-  std::vector<Asked> asked;
+  std::vector<LoggedRequest> requests;
   std::size_t gateways = 0;
-  double again = 0;  // part of the refused that come again
+  double retry_fraction = 0;  // of the rejected requests
 };
 
-std::map<std::string, std::string> fields_of(const std::string& text) {
-  std::map<std::string, std::string> fields;
+using Fields = std::map<std::string, std::string>;
+
+// The keys of plans and classes in the decision log.
+template <class Settings>
+struct LogKey {
+  const char* key;
+  double Settings::*number;
+};
+constexpr LogKey<PlanSettings> kPlanKeys[] = {
+    {"rate", &PlanSettings::quota_rate},
+    {"burst", &PlanSettings::quota_burst},
+    {"pays", &PlanSettings::plan_weight},
+    {"cost", &PlanSettings::over_quota_cost},
+    {"earns", &PlanSettings::over_quota_value},
+    {"ceiling", &PlanSettings::ceiling_rate},
+    {"ceilingburst", &PlanSettings::ceiling_burst},
+    {"open", &PlanSettings::max_concurrent_attempts},
+};
+constexpr LogKey<ClassSettings> kClassKeys[] = {
+    {"worth", &ClassSettings::priority_weight},
+    {"aim", &ClassSettings::latency_objective_ms},
+    {"deadline", &ClassSettings::deadline_ms},
+};
+
+Fields fields_of(const std::string& text) {
+  Fields fields;
   std::istringstream words(text);
   for (std::string word; words >> word;) {
-    const auto eq = word.find('=');
-    if (eq != std::string::npos) fields[word.substr(0, eq)] = word.substr(eq + 1);
+    const auto separator = word.find('=');
+    if (separator != std::string::npos) fields[word.substr(0, separator)] = word.substr(separator + 1);
   }
   return fields;
 }
 
+// 0 if there is no such field.
+double number_of(const Fields& fields, const char* key) {
+  return fields.contains(key) ? std::stod(fields.at(key)) : 0.0;
+}
+
+// Reads a plan or class, whose index is the field `index_key`.
+template <class Settings, std::size_t kCount>
+Settings& read_settings(const Fields& fields, const char* index_key, const LogKey<Settings> (&keys)[kCount],
+                        std::vector<Settings>& all) {
+  const auto index = static_cast<std::size_t>(number_of(fields, index_key));
+  all.resize(std::max(all.size(), index + 1));
+  for (const auto& [key, number] : keys) all[index].*number = number_of(fields, key);
+  return all[index];
+}
+
+LoggedRequest read_request(const Fields& fields, Ms at, std::size_t gateway) {
+  LoggedRequest logged;
+  logged.at = at;
+  logged.gateway = gateway;
+  logged.request.customer = std::stoull(fields.at("customer"), nullptr, 16);
+  logged.request.plan_index = static_cast<std::uint32_t>(number_of(fields, "plan"));
+  logged.request.class_index = static_cast<std::uint32_t>(number_of(fields, "class"));
+  logged.request.units = number_of(fields, "units");
+  logged.request.gateway_count = number_of(fields, "spread");
+  logged.rejected = fields.contains("refused");
+  return logged;
+}
+
 void read_line(Day& day, std::size_t gateway, const std::string& line) {
-  const auto mark = line.find(" decision: ");
+  constexpr std::string_view kMark = " decision: ";
+  const auto mark = line.find(kMark);
   if (mark == std::string::npos) return;
-  const auto f = fields_of(line.substr(mark + 11));
-  const auto number = [&](const char* name) { return f.contains(name) ? std::stod(f.at(name)) : 0.0; };
-  if (f.contains("customer")) {
-    Asked a;
-    a.at = std::stod(line.substr(0, mark)) * 1000;
-    a.gateway = gateway;
-    a.request.customer = std::stoull(f.at("customer"), nullptr, 16);
-    a.request.plan_index = static_cast<std::uint32_t>(number("plan"));
-    a.request.class_index = static_cast<std::uint32_t>(number("class"));
-    a.request.units = number("units"), a.request.gateway_count = number("spread");
-    a.refused = f.contains("refused");
-    day.asked.push_back(a);
-  } else if (f.contains("plan")) {
-    const auto i = static_cast<std::size_t>(number("plan"));
-    day.settings.plans.resize(std::max(day.settings.plans.size(), i + 1));
-    auto& p = day.settings.plans[i];
-    p.quota_rate = number("rate"), p.quota_burst = number("burst"), p.plan_weight = number("pays");
-    p.over_quota_cost = number("cost"), p.over_quota_value = number("earns");
-    p.ceiling_rate = number("ceiling"), p.ceiling_burst = number("ceilingburst");
-    p.max_concurrent_attempts = number("open");
-  } else if (f.contains("class")) {
-    const auto i = static_cast<std::size_t>(number("class"));
-    day.settings.classes.resize(std::max(day.settings.classes.size(), i + 1));
-    auto& c = day.settings.classes[i];
-    c.priority_weight = number("worth"), c.latency_objective_ms = number("aim"),
-    c.deadline_ms = number("deadline");
-    c.idempotency = Idempotency::kIdempotent;
+  const Fields fields = fields_of(line.substr(mark + kMark.size()));
+  if (fields.contains("customer")) {
+    const Ms at = std::stod(line.substr(0, mark)) * 1000;
+    day.requests.push_back(read_request(fields, at, gateway));
+  } else if (fields.contains("plan")) {
+    read_settings(fields, "plan", kPlanKeys, day.settings.plans);
+  } else if (fields.contains("class")) {
+    read_settings(fields, "class", kClassKeys, day.settings.classes).idempotency = Idempotency::kIdempotent;
   }
 }
 
-// Which tries are a client's first ones; `requests` of them there were in truth. Those that follow a refusal
-// of a request like theirs are further ones; chance decides between the rest.
-void find_further(Day& day, double requests) {
-  std::map<std::tuple<CustomerId, std::uint32_t, long>, std::deque<Ms>> waiting;
-  double refused = 0, alone = 0;
-  const auto all = static_cast<double>(day.asked.size());
-  for (auto& a : day.asked) {
-    auto& mine = waiting[{a.request.customer, a.request.class_index, std::lround(a.request.units * 1000)}];
-    while (!mine.empty() && a.at - mine.front() > 2500) mine.pop_front();
-    if (!mine.empty() && a.at - mine.front() > 20) {
-      mine.pop_front();
-      a.further = true;
+// Marks the requests that are clients' retries: those soon after a rejection of an equal request. Where that
+// leaves more or fewer first requests than `first_requests`, chance decides; 0: the number is not known.
+void find_retries(Day& day, double first_requests) {
+  constexpr Ms kMaxRetryDelayMs = 2500;
+  constexpr Ms kMinRetryDelayMs = 20;
+  std::map<std::tuple<CustomerId, std::uint32_t, long>, std::deque<Ms>> rejections;
+  double rejected = 0;
+  double unmarked = 0;
+  const auto all = static_cast<double>(day.requests.size());
+  for (auto& logged : day.requests) {
+    const Request& request = logged.request;
+    auto& earlier = rejections[{request.customer, request.class_index, std::lround(request.units * 1000)}];
+    while (!earlier.empty() && logged.at - earlier.front() > kMaxRetryDelayMs) earlier.pop_front();
+    if (!earlier.empty() && logged.at - earlier.front() > kMinRetryDelayMs) {
+      earlier.pop_front();
+      logged.is_retry = true;
     }
-    if (a.refused) mine.push_back(a.at), ++refused;
-    alone += !a.further;
+    if (logged.rejected) {
+      earlier.push_back(logged.at);
+      ++rejected;
+    }
+    if (!logged.is_retry) ++unmarked;
   }
-  if (requests <= 0) requests = alone;
-  day.again = refused > 0 ? std::min(1.0, (all - requests) / refused) : 0;
+  if (first_requests <= 0) first_requests = unmarked;
+  day.retry_fraction = rejected > 0 ? std::min(1.0, (all - first_requests) / rejected) : 0;
   std::mt19937_64 random(11);
-  for (auto& a : day.asked) {
+  for (auto& logged : day.requests) {
     const double draw = static_cast<double>(random() >> 11) * 0x1.0p-53;
-    if (alone > requests && !a.further) a.further = draw > requests / alone;
-    if (alone < requests && a.further) a.further = draw > (requests - alone) / (all - alone);
+    if (unmarked > first_requests && !logged.is_retry) logged.is_retry = draw > first_requests / unmarked;
+    if (unmarked < first_requests && logged.is_retry) {
+      logged.is_retry = draw > (first_requests - unmarked) / (all - unmarked);
+    }
   }
 }
 
-Day read(const std::string& directory, double requests) {
+void complete_settings(Day& day) {
+  AdmissionSettings& settings = day.settings;
+  settings.gateway_count = static_cast<double>(day.gateways);
+  settings.hedging_allowed = true;
+  settings.cancellation_allowed = true;
+  settings.retry_after_allowed = true;
+  settings.max_attempts = 4;
+  settings.max_retry_after_ms = 1000;
+  settings.min_event_interval_ms = 4;
+  settings.slow_start_initial_weight = 0.2;
+  settings.slow_start_duration_ms = 10'000;
+  settings.overload_factor = 2;
+  settings.overload_window_ms = 1000;
+  for (const auto& logged : day.requests) {
+    settings.max_request_units = std::max(settings.max_request_units, logged.request.units);
+  }
+}
+
+Day read(const std::string& directory, double first_requests) {
   Day day;
   std::map<std::string, std::filesystem::path> logs;
   for (const auto& entry : std::filesystem::directory_iterator(directory)) {
@@ -123,84 +187,88 @@
     for (std::string line; std::getline(file, line);) read_line(day, day.gateways, line);
     ++day.gateways;
   }
-  std::stable_sort(day.asked.begin(), day.asked.end(), [](auto& a, auto& b) { return a.at < b.at; });
-  find_further(day, requests);
-  auto& s = day.settings;
-  s.gateway_count = static_cast<double>(day.gateways);
-  s.hedging_allowed = s.cancellation_allowed = s.retry_after_allowed = true;
-  s.max_attempts = 4;
-  s.max_retry_after_ms = 1000;
-  s.min_event_interval_ms = 4;
-  s.slow_start_initial_weight = 0.2, s.slow_start_duration_ms = 10'000, s.overload_factor = 2,
-  s.overload_window_ms = 1000;
-  for (const auto& a : day.asked) s.max_request_units = std::max(s.max_request_units, a.request.units);
+  std::stable_sort(day.requests.begin(), day.requests.end(),
+                   [](const auto& left, const auto& right) { return left.at < right.at; });
+  find_retries(day, first_requests);
+  complete_settings(day);
   return day;
 }
 
-// One customer's stores: as it is used, and as one that saw all first tries would use it.
+// One customer's token buckets over all gateways: after what was admitted, and as if all that fits had been.
 struct Account {
-  double store = 0, ideal = 0;
-  Ms at = 0;
-  std::vector<std::size_t> set;  // gateways, as often as it used them
-  double due = 0, got = 0;       // worth inside
+  double tokens = 0;
+  double ideal_tokens = 0;
+  Ms refilled_at = 0;
+  std::vector<std::size_t> gateways;  // each as often as the customer used it
+  double admissible = 0;              // value of first requests that fit into the quota
+  double admitted = 0;                // value admitted within the quota
 };
 
+// Plays the logged first requests, and lets rejected ones be retried.
 class Replay {
  public:
-  Replay(Day& day, double cores, Ms work, double same)
+  Replay(Day& day, double cores, Ms service_time, double same_gateway_fraction)
       : day_(day),
         cores_(cores),
-        work_(work),
-        same_(same),
-        due_(day.settings.plans.size()),
-        kept_(due_),
-        over_(due_),
-        fleet_(day.settings, day.gateways, hosts(), [this](ModelFleet& f, HostId) { return fate(f); }) {
-    for (const auto& a : day.asked) {
-      auto& c = accounts_[a.request.customer];
-      c.store = c.ideal = day.settings.plans[a.request.plan_index].quota_burst;
-      c.set.push_back(a.gateway);
+        service_time_(service_time),
+        same_gateway_fraction_(same_gateway_fraction),
+        admissible_(day.settings.plans.size()),
+        admitted_within_(admissible_),
+        admitted_beyond_(admissible_),
+        fleet_(day.settings, day.gateways, hosts(),
+               [this](ModelFleet& fleet, HostId) { return fate_of(fleet); }) {
+    for (const auto& logged : day.requests) {
+      auto& account = accounts_[logged.request.customer];
+      account.tokens = account.ideal_tokens = day.settings.plans[logged.request.plan_index].quota_burst;
+      account.gateways.push_back(logged.gateway);
     }
-    fleet_.watcher().on_first_send = [this](const Request& q) { sent(q); };
-    fleet_.watcher().on_refused = [this](const Request& q, Ms after, RejectionReason why) {
-      refused(q, after, why);
+    fleet_.observer().on_first_send = [this](const Request& request) { on_sent(request); };
+    fleet_.observer().on_rejected = [this](const Request& request, Ms after, RejectionReason reason) {
+      on_rejected(request, after, reason);
     };
   }
 
   void run() {
-    for (const auto& a : day_.asked) {
-      if (a.further) continue;
-      fleet_.at_time(a.at, [this, &a] {
-        Account& c = refill(a.request);
-        if (c.ideal + 1e-9 >= a.request.units) {
-          c.ideal -= a.request.units, c.due += worth(a.request);
-          due_[a.request.plan_index] += worth(a.request);
+    for (const auto& logged : day_.requests) {
+      if (logged.is_retry) continue;
+      fleet_.schedule_at(logged.at, [this, &logged] {
+        Account& account = refill(logged.request);
+        if (account.ideal_tokens + 1e-9 >= logged.request.units) {
+          account.ideal_tokens -= logged.request.units;
+          account.admissible += value_of(logged.request);
+          admissible_[logged.request.plan_index] += value_of(logged.request);
         }
-        ++first_;
-        fleet_.ask(a.gateway, a.request);
+        ++first_requests_;
+        fleet_.submit(logged.gateway, logged.request);
       });
     }
-    fleet_.wait(day_.asked.back().at + 3000 - fleet_.now());
+    fleet_.wait(day_.requests.back().at + 3000 - fleet_.now());
   }
 
   void print() const {
-    double due = 0, kept = 0, price = 0;
-    for (std::size_t p = 0; p < due_.size(); ++p) {
-      due += due_[p], kept += kept_[p], price += over_[p] * day_.settings.plans[p].over_quota_cost;
+    double admissible = 0;
+    double admitted_within = 0;
+    double overrun_cost = 0;
+    for (std::size_t plan = 0; plan < admissible_.size(); ++plan) {
+      admissible += admissible_[plan];
+      admitted_within += admitted_within_[plan];
+      overrun_cost += admitted_beyond_[plan] * day_.settings.plans[plan].over_quota_cost;
     }
-    std::printf("price %.4f inside %.4f net %.4f tries %.2f;", price / due, kept / due, (kept - price) / due,
-                fleet_tries() / first_);
-    for (std::size_t p = 0; p < due_.size(); ++p) {
-      if (due_[p] > 0)
-        std::printf(" plan %zu %.3f/%.4f", p, kept_[p] / due_[p],
-                    over_[p] * day_.settings.plans[p].over_quota_cost / due);
+    std::printf("price %.4f inside %.4f net %.4f tries %.2f;", overrun_cost / admissible,
+                admitted_within / admissible, (admitted_within - overrun_cost) / admissible,
+                attempts_ / first_requests_);
+    for (std::size_t plan = 0; plan < admissible_.size(); ++plan) {
+      if (admissible_[plan] > 0)
+        std::printf(" plan %zu %.3f/%.4f", plan, admitted_within_[plan] / admissible_[plan],
+                    admitted_beyond_[plan] * day_.settings.plans[plan].over_quota_cost / admissible);
     }
     double starved = 0;
-    for (const auto& [id, c] : accounts_) {
-      if (c.got < 0.1 * c.due) starved += c.due;
+    for (const auto& [id, account] : accounts_) {
+      if (account.admitted < 0.1 * account.admissible) starved += account.admissible;
     }
-    std::printf("; starved %.4f;", starved / due);
-    for (const auto& [why, n] : causes_) std::printf(" %s %.3f", kRejectionReasonNames[why].data(), n / due);
+    std::printf("; starved %.4f;", starved / admissible);
+    for (const auto& [reason, value] : rejected_value_)
+      std::printf(" %s %.3f", kRejectionReasonNames[reason].data(), value / admissible);
     std::printf("\n");
   }
 
@@ -210,52 +278,59 @@
     for (HostId id = 1; id <= 150; ++id) all.push_back(host(id));
     return all;
   }
-  double fleet_tries() const { return tries_; }
-  Fate fate(ModelFleet& f) {
-    double out = 0;
-    for (const auto& [id, n] : f.counts().out) out += n;
-    return {Outcome::kOk, f.exponential(work_) * std::max(1.0, out / cores_)};
+  AttemptFate fate_of(ModelFleet& fleet) {
+    double in_flight = 0;
+    for (const auto& [id, value] : fleet.counts().in_flight_by_host) in_flight += value;
+    return {Outcome::kOk, fleet.exponential(service_time_) * std::max(1.0, in_flight / cores_)};
   }
-  double worth(const Request& q) const {
-    return day_.settings.plans[q.plan_index].plan_weight *
-           day_.settings.classes[q.class_index].priority_weight * q.units;
+  double value_of(const Request& request) const {
+    return day_.settings.plans[request.plan_index].plan_weight *
+           day_.settings.classes[request.class_index].priority_weight * request.units;
   }
-  Account& refill(const Request& q) {
-    Account& c = accounts_[q.customer];
-    const auto& p = day_.settings.plans[q.plan_index];
-    const double more = p.quota_rate * (fleet_.now() - c.at) / 1000;
-    c.store = std::min(p.quota_burst, c.store + more), c.ideal = std::min(p.quota_burst, c.ideal + more);
-    c.at = fleet_.now();
-    return c;
+  Account& refill(const Request& request) {
+    Account& account = accounts_[request.customer];
+    const auto& plan = day_.settings.plans[request.plan_index];
+    const double earned = plan.quota_rate * (fleet_.now() - account.refilled_at) / 1000;
+    account.tokens = std::min(plan.quota_burst, account.tokens + earned);
+    account.ideal_tokens = std::min(plan.quota_burst, account.ideal_tokens + earned);
+    account.refilled_at = fleet_.now();
+    return account;
   }
-  void sent(const Request& q) {
-    ++tries_;
-    Account& c = refill(q);
-    if (day_.settings.plans[q.plan_index].quota_rate <= 0 || c.store + 1e-9 >= q.units) {
-      c.store -= q.units, c.got += worth(q);
-      kept_[q.plan_index] += worth(q);
+  void on_sent(const Request& request) {
+    ++attempts_;
+    Account& account = refill(request);
+    if (day_.settings.plans[request.plan_index].quota_rate <= 0 || account.tokens + 1e-9 >= request.units) {
+      account.tokens -= request.units;
+      account.admitted += value_of(request);
+      admitted_within_[request.plan_index] += value_of(request);
     } else {
-      over_[q.plan_index] += worth(q);
+      admitted_beyond_[request.plan_index] += value_of(request);
     }
   }
-  void refused(const Request& q, Ms after, RejectionReason why) {
-    ++tries_;
-    causes_[static_cast<std::size_t>(why)] += worth(q);
-    Account& c = refill(q);
-    if (fleet_.draw() >= day_.again) return;
-    const auto other = c.set[static_cast<std::size_t>(fleet_.draw() * static_cast<double>(c.set.size()))];
-    const auto gateway = fleet_.draw() < same_ ? fleet_.asking() : other;
-    fleet_.ask_later(std::clamp(after, 150.0, 800.0), gateway, q);
+  void on_rejected(const Request& request, Ms after, RejectionReason reason) {
+    ++attempts_;
+    rejected_value_[static_cast<std::size_t>(reason)] += value_of(request);
+    Account& account = refill(request);
+    if (fleet_.draw() >= day_.retry_fraction) return;
+    const auto other =
+        account
+            .gateways[static_cast<std::size_t>(fleet_.draw() * static_cast<double>(account.gateways.size()))];
+    const auto gateway = fleet_.draw() < same_gateway_fraction_ ? fleet_.rejecting_gateway() : other;
+    fleet_.submit_later(std::clamp(after, 150.0, 800.0), gateway, request);
   }
 
   Day& day_;
   double cores_;
-  Ms work_;
-  double same_;  // part of those that come again to the same gateway
-  double tries_ = 0, first_ = 0;
-  std::vector<double> due_, kept_, over_;  // worth, by plan
+  Ms service_time_;
+  double same_gateway_fraction_;
+  double attempts_ = 0;
+  double first_requests_ = 0;
+  // Values, by plan.
+  std::vector<double> admissible_;
+  std::vector<double> admitted_within_;
+  std::vector<double> admitted_beyond_;
   std::map<CustomerId, Account> accounts_;
-  std::map<std::size_t, double> causes_;
+  std::map<std::size_t, double> rejected_value_;  // by reason
   ModelFleet fleet_;
 };
 
@@ -263,24 +338,28 @@
 
 int main(int argc, char** argv) {
   std::string directory;
-  double cores = 600, work = 200, again = -1, requests = 0, same = 0.37;
+  double cores = 600;
+  Ms service_time = 200;
+  double retry_fraction = -1;
+  double first_requests = 0;
+  double same_gateway_fraction = 0.37;
   CLI::App app{"Plays a fleet's decision logs once more through real modules."};
   app.add_option("directory", directory, "one log for each gateway")->required();
   app.add_option("--cores", cores, "of all hosts together");
-  app.add_option("--work", work, "mean of a request, in milliseconds");
-  app.add_option("--requests", requests, "how many the clients had, where that is known");
-  app.add_option("--same", same, "part of those that come again to the same gateway");
-  app.add_option("--again", again, "part of the refused that come again; without it as in the logs");
+  app.add_option("--work", service_time, "mean of a request, in milliseconds");
+  app.add_option("--requests", first_requests, "how many the clients had, where that is known");
+  app.add_option("--same", same_gateway_fraction, "part of those that come again to the same gateway");
+  app.add_option("--again", retry_fraction, "part of the refused that come again; without it as in the logs");
   CLI11_PARSE(app, argc, argv);
-  Day day = read(directory, requests);
-  if (day.asked.empty()) {
+  Day day = read(directory, first_requests);
+  if (day.requests.empty()) {
     std::fprintf(stderr, "%s: no decisions in it: are the logs written with [log] decisions = true?\n",
                  directory.c_str());
     return 1;
   }
-  if (again >= 0) day.again = again;
-  std::printf("%zu gateways, %zu tries, again %.2f: ", day.gateways, day.asked.size(), day.again);
-  Replay replay(day, cores, work, same);
+  if (retry_fraction >= 0) day.retry_fraction = retry_fraction;
+  std::printf("%zu gateways, %zu tries, again %.2f: ", day.gateways, day.requests.size(), day.retry_fraction);
+  Replay replay(day, cores, service_time, same_gateway_fraction);
   replay.run();
   replay.print();
 }
--- a/tests/admission/fleet_quotas_test.cpp
+++ b/tests/admission/fleet_quotas_test.cpp
@@ -1,7 +1,7 @@
-// What customers get through all gateways together, against quotas that only their sum can hold.
+// What customers get through all gateways together, against their quotas.
 #include <gtest/gtest.h>
 
-#include "model_fleet.h"
+#include "model_customers.h"
 #include "tests/support.h"
 
 namespace cometfold::testing {
@@ -20,18 +20,18 @@
   return settings;
 }
 
-// A quiet day of 450 customers with sets of 90 to 300 gateways. A tenth of them asks for 1.8 to 4.8 times its
-// quota; no host is slow. In parts of what one store that saw all first tries would let in.
+// 450 customers with 90 to 300 gateways each, on hosts without load. A tenth of them requests 1.8 to 4.8
+// times its quota. Figures are fractions of what one bucket for all gateways would admit.
 struct QuietDay {
-  double price = 0;   // what passed beyond, by the plans' costs
-  double inside = 0;  // what passed inside
+  double price = 0;         // admitted beyond the quota, by the plans' costs
+  double within_quota = 0;  // admitted within the quota
 };
 
 QuietDay play(const AdmissionSettings& settings, double comes_again) {
   std::vector<HostEntry> hosts;
   for (HostId host_id = 1; host_id <= 200; ++host_id) hosts.push_back(host(host_id));
   ModelFleet fleet(settings, kGateways, hosts, [](ModelFleet& model, HostId) {
-    return Fate{Outcome::kOk, model.exponential(150)};
+    return AttemptFate{Outcome::kOk, model.exponential(150)};
   });
   ModelCustomers customers(fleet, settings, comes_again, 0.37);
   for (std::uint32_t i = 0; i < 450; ++i) {
@@ -41,29 +41,29 @@
   }
   customers.run(20'000);
   QuietDay day;
-  double due = 0;
+  double admissible = 0;
   for (std::size_t p = 0; p < settings.plans.size(); ++p) {
     const auto& account = customers.accounts()[p];
-    due += account.due, day.inside += account.inside,
-        day.price += account.beyond * settings.plans[p].over_quota_cost;
+    admissible += account.admissible, day.within_quota += account.within_quota,
+        day.price += account.beyond_quota * settings.plans[p].over_quota_cost;
   }
-  day.inside /= due, day.price /= due;
+  day.within_quota /= admissible, day.price /= admissible;
   return day;
 }
 
-// Each of 300 slices began full and let on a request, fifty bursts of the quota; and who was refused asked
-// again at the next one: 0.187 of what was due.
+// 300 slices that start full would admit fifty bursts of the quota together, as rejected clients retry at the
+// next.
 TEST(FleetQuotas, WhereClientsRetryFullSlicesDoNotAdmitAll) {
   const QuietDay day = play(shop(), 0.9);
   EXPECT_LE(day.price, 0.155);
-  EXPECT_GE(day.inside, 0.80);
+  EXPECT_GE(day.within_quota, 0.80);
 }
 
-// Where nobody asks again, a refusal is the end of a request: fewer are.
+// Where no client retries, a rejection ends a request, so fewer are rejected.
 TEST(FleetQuotas, WhereNoClientRetriesMoreIsAdmitted) {
   const QuietDay day = play(shop(), 0);
   EXPECT_LE(day.price, 0.16);
-  EXPECT_GE(day.inside, 0.74);
+  EXPECT_GE(day.within_quota, 0.74);
 }
 
 double first_requests_sent(AdmissionSettings settings, double gateways, double spread) {
@@ -79,7 +79,7 @@
   return sent / static_cast<double>(kCustomers);
 }
 
-// A slice of half a request at each of four gateways: four bursts at the most, and all pass as before.
+// A slice of half a request at each of four gateways: four bursts at most, and all are admitted.
 TEST(FleetQuotas, WithFewGatewaysAFullSliceAdmitsAll) {
   auto settings = shop();
   settings.plans[0].quota_burst = 8;
@@ -90,7 +90,7 @@
   EXPECT_LT(first_requests_sent(settings, 300, 100), 0.95);
 }
 
-// Soft plans bind under pressure only: what goes beyond earns what it costs.
+// Plans whose overruns earn what they cost are limited under load only.
 TEST(FleetQuotas, PlansWithoutOverrunCostAreNotLimited) {
   auto settings = shop();
   settings.plans[0].over_quota_value = settings.plans[0].over_quota_cost = 0.7;
@@ -98,7 +98,7 @@
   EXPECT_EQ(first_requests_sent(settings, 300, 100), 1);
 }
 
-// The same customers, refused alike: one gateway's ask again within a second, another's never do.
+// Two gateways reject alike; one's clients retry within a second, the other's never do.
 TEST(FleetQuotas, AGatewayLearnsWhetherRejectedClientsRetry) {
   const auto sent_in_the_end = [](bool again) {
     Gateway gateway(shop(), {host(1), host(2), host(3), host(4)});
@@ -109,7 +109,8 @@
       gateway.answer_all();
       sent += customer > 300 && passed;
       gateway.wait(200);
-      // 0.37 of those that ask again come to the same gateway: here all others are counted as gone elsewhere.
+      // 0.37 of the retries come to the same gateway; the others go elsewhere, which this gateway does not
+      // see.
       if (again && !passed && customer % 3 == 0) gateway.ask(++id, 1, 200, customer);
       gateway.answer_all();
     }
--- a/tests/admission/handover_test.cpp
+++ b/tests/admission/handover_test.cpp
@@ -1,4 +1,4 @@
-// One gateway's module takes another's place, and settings change under way.
+// A gateway's successor takes its state over, and settings change while requests are pending.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -18,7 +18,7 @@
   return settings;
 }
 
-// Whatever goes to which of the two, they give no more than one gateway would have.
+// Wherever requests go, both gateways together admit no more than one would.
 TEST(Handover, BothGatewaysTogetherKeepTheCeiling) {
   const auto settings = with_ceiling();
   const double rate = 20 / 2.0, burst = 30 / 2.0;  // the slice of one of two gateways
@@ -38,7 +38,7 @@
       if (random() % 3 == 0) try_at(first);
     }
     first.out.take();
-    // Everything allowed up to here, and from here on.
+    // Admitted before the hand-over; counted anew after it.
     const double before = given;
     EXPECT_LE(before, burst + rate * 3 + 1);
     const auto state = first.control.export_handover(first.now);
@@ -50,7 +50,7 @@
       try_at(random() % 4 == 0 ? first : second);
     }
     EXPECT_LE(given, left + rate * 3 + 1e-6) << seed;
-    EXPECT_GE(given, rate * 3 * 0.8) << seed;  // and the second refills
+    EXPECT_GE(given, rate * 3 * 0.8) << seed;  // and the successor refills
   }
 }
 
@@ -71,7 +71,7 @@
   EXPECT_FALSE(second.ask(1));
 }
 
-// A second process that waited long for a first one that then died, or that handed over more than fits.
+// A successor that waited long for a predecessor that then crashed, or handed over nothing.
 TEST(Handover, WithoutASnapshotTheCeilingIsEmptyHoweverLongTheSuccessorHasWaited) {
   const auto settings = with_ceiling();
   for (const bool died : {true, false}) {
@@ -88,8 +88,7 @@
   }
 }
 
-// What the first has learnt of a bad host the second need not learn again; a host that has started anew since
-// is another one.
+// The successor knows a failing host from the start, unless the host has restarted since.
 TEST(Handover, HostStatisticsAreHandedOver) {
   auto settings = plain_settings();
   settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
@@ -126,7 +125,7 @@
   }
 }
 
-// What a class takes was handed over, and the first answer at the second overwrote it.
+// The first answer at the successor must not replace the mean that was handed over.
 TEST(Handover, AClassLatencyOutlastsTheFirstAnswer) {
   auto settings = plain_settings();
   settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
@@ -142,7 +141,7 @@
   EXPECT_NEAR(second.control.export_handover(second.now).class_latency_ms.at(0), 220, 25);
 }
 
-// Two attempts of a customer may be out through a gateway; those at the first count until it has ended.
+// A customer may have two attempts in flight through a gateway; the predecessor's count until it has exited.
 TEST(Handover, AttemptsInFlightAtThePredecessorCountAtTheSuccessor) {
   auto settings = plain_settings();
   settings.plans[0] = {};
@@ -179,8 +178,7 @@
   EXPECT_EQ(given, 2);
 }
 
-// A customer's plan is what its latest request says: a ceiling that comes with it holds from that request on,
-// and begins empty, as the true store may.
+// A customer's plan is that of its latest request: its ceiling holds from that request on and starts empty.
 TEST(SettingsUpdate, ACustomerThatChangesItsPlanHasTheNewPlansCeiling) {
   auto settings = with_ceiling();
   settings.plans.push_back(settings.plans[0]);
@@ -204,8 +202,8 @@
   EXPECT_TRUE(asks(3, 1));
   EXPECT_TRUE(asks(4, 1));
   EXPECT_FALSE(asks(5, 1));
-  EXPECT_TRUE(asks(6, 0));   // its first plan has no ceiling still
-  EXPECT_FALSE(asks(7, 1));  // and going there and back fills nothing
+  EXPECT_TRUE(asks(6, 0));   // its first plan has no ceiling
+  EXPECT_FALSE(asks(7, 1));  // and changing plans back and forth fills nothing
 }
 
 TEST(SettingsUpdate, ClassesAreAddedAndAPendingRequestKeepsItsSettings) {
@@ -219,7 +217,7 @@
   const auto sent = *gateway.out.of(Act::kSend, 1);
   gateway.out.take();
   gateway.end(1, 0, sent.host, Outcome::kConnectionLost);
-  EXPECT_NE(gateway.out.of(Act::kSend, 1), nullptr);  // safe: sent again
+  EXPECT_NE(gateway.out.of(Act::kSend, 1), nullptr);  // idempotent: retried
   ASSERT_TRUE(gateway.ask(2, 1, 2, 5, 1));
   const auto unsafe = *gateway.out.of(Act::kSend, 2);
   gateway.out.take();
--- a/tests/admission/host_feedback_test.cpp
+++ b/tests/admission/host_feedback_test.cpp
@@ -11,7 +11,7 @@
 namespace cometfold::testing {
 namespace {
 
-// Kochi's throttled days: hosts with room turn one plan away as full.
+// Hosts with free capacity reject one plan.
 TEST(HostRejections, OnlyTheRejectedPlanAvoidsTheHostAndItsRetriesAreOutsideTheBudget) {
   auto settings = large(2);
   settings.plans.push_back(settings.plans[0]);
@@ -49,7 +49,7 @@
     settings.plans.push_back(settings.plans[0]);
     Gateway gateway(settings, host_list(60));
     int again = 0;
-    for (RequestId id = 1; id <= 60; ++id) {  // every other request meets a host that does not take it
+    for (RequestId id = 1; id <= 60; ++id) {  // every other request is not executed by its first host
       const auto plan = static_cast<std::uint32_t>(id % 2);
       gateway.control.on_request(gateway.now, {id, 0, plan, id, gateway.now + 4000, 1, 2}, gateway.out);
       const auto* first = gateway.out.of(Act::kSend, id);
@@ -90,7 +90,7 @@
   EXPECT_LE(probes, 130);
 }
 
-// No report while busy, a failed probe and a long queue all mean: rather not there.
+// A missing report, a failed health check and a long queue all make a host less preferred.
 TEST(HealthChecks, AMissingReportDoesNotMeanAnIdleHost) {
   for (const int silent : {0, 1, 2}) {
     Gateway gateway(probing(), host_list(6));
--- a/tests/admission/invariants_test.cpp
+++ b/tests/admission/invariants_test.cpp
@@ -1,4 +1,4 @@
-// Each rule by a scripted day, bad input, and a random day that asserts the five rules throughout.
+// The rules for answers, retries and draining hosts, one by one and on random days, and invalid input.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -71,7 +71,7 @@
   const HostId second = gateway.out.of(Act::kSend, 1)->host;
   EXPECT_EQ(first <= 2, second <= 2);
   gateway.out.take();
-  gateway.now += 450;  // the first send's key is forgotten at 500
+  gateway.now += 450;  // the first attempt's key expires at 500
   gateway.end(1, 1, second, Outcome::kConnectionLost);
   EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
   EXPECT_EQ(gateway.out.count(Act::kFail), 1u) << "a refusal would promise that a retry does no harm";
@@ -100,7 +100,7 @@
       EXPECT_EQ(gateway.out.of(Act::kSend, id)->host, 3u);
     }
   }
-  gateway.list(HostListUpdate::kSnapshot, {});  // what a whole list leaves out is gone
+  gateway.list(HostListUpdate::kSnapshot, {});  // a snapshot removes the hosts that it leaves out
   EXPECT_FALSE(gateway.ask(9, 1, 2, 900));
 }
 
@@ -121,7 +121,7 @@
   minute(300, 10);
   gateway.list(HostListUpdate::kDelta,
                {host(2, HostState::kReady, gateway.now), host(3, HostState::kReady, gateway.now)});
-  auto sends = minute(50, 20);  // the fall time of 1 s: present ability 0.2 to 0.28, twice that is the edge
+  auto sends = minute(50, 20);  // weights 0.2 to 0.28; twice that would be overload
   EXPECT_LT(sends[2], 0.4 * sends[1]);
   EXPECT_LT(sends[3], 0.4 * sends[1]);
   EXPECT_GE(sends[2], 1);
@@ -166,8 +166,8 @@
             0u);
 }
 
-// A random sequence of events with a fixed seed. It plays no servers: outcomes are drawn blindly, which is
-// worse than any fleet. The rules must hold all the same.
+// A random sequence of events with a fixed seed. Outcomes are drawn without a model of hosts, which is harder
+// than any real fleet.
 class RandomDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(RandomDay, KeepsTheFiveRules) {
@@ -189,7 +189,7 @@
   struct Try {
     HostId host;
     Ms sent;
-    bool out = true, may = true, never = false;  // never sent
+    bool out = true, may = true, never = false;  // was never sent
   };
   struct Seen {
     std::uint32_t cls, plan;
@@ -204,7 +204,7 @@
   std::map<HostId, HostState> state;
   for (auto& host_id : hosts) state[host_id.id] = host_id.state;
   double ceiling = 0,
-         ceiling_at = gateway.now;  // our slice of the store: 40 a second, 80 at most, from empty
+         ceiling_at = gateway.now;  // this gateway's slice: 40 a second, 80 at most, empty at first
   RequestId next = 1;
 
   const auto refill = [&] {
@@ -315,9 +315,10 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, ::testing::Values(1, 2, 3, 4, 5, 6));
 
-// ---- what a key binds repeats to ----
+// ---- where a request with an idempotency key may be retried ----
 
-// A keyed request is out at host 1, which is in zone 1, when the list changes; then its attempt is reset.
+// A request with an idempotency key is in flight at host 1 in zone 1 when the list changes; then its
+// connection is lost.
 class KeyedRetry : public ::testing::TestWithParam<IdempotencyScope> {
  protected:
   static AdmissionSettings settings() {
@@ -327,7 +328,7 @@
     settings.classes[0].idempotency_key_ttl_ms = 3000;
     return settings;
   }
-  // To which host the repeat goes; none.
+  // The host that the retry is sent to, if any.
   std::optional<HostId> repeat() {
     gateway.end(1, 0, 1, Outcome::kConnectionLost);
     const Act* again = gateway.out.of(Act::kSend, 1);
@@ -385,7 +386,7 @@
   Gateway held(short_lived, {host(1, HostState::kReady, 0, 1), host(3, HostState::kReady, 0, 1)}, 20'000);
   ASSERT_TRUE(held.ask(1));
   const HostId first = held.out.take().front().host;
-  held.now += 600 - 140;  // within 0.8 of it, and bytes may go out 0.15 s later
+  held.now += 600 - 140;  // within 0.8 of the lifetime, but the bytes may be written 0.15 s later
   held.end(1, 0, first, Outcome::kConnectionLost);
   EXPECT_EQ(held.out.of(Act::kSend, 1), nullptr);
 }
--- a/tests/admission/large_fleet_test.cpp
+++ b/tests/admission/large_fleet_test.cpp
@@ -11,7 +11,7 @@
 namespace cometfold::testing {
 namespace {
 
-// At three requests a second a single attempt out looked like overload, and half of all was refused.
+// At three requests a second a single attempt in flight is no overload.
 TEST(LargeFleet, FewRequestsInFlightAreNoOverload) {
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -19,15 +19,15 @@
     for (RequestId id = 1; id <= 60; ++id) {
       gateway.wait(300);
       refused += !gateway.ask(id, 1, 2, id);
-      gateway.now += 100;  // served in 100 ms of an aim of 1 s
+      gateway.now += 100;  // served in 100 ms of an objective of 1 s
       gateway.answer_all(100);
     }
   }
   EXPECT_LE(refused, 20 * 60 / 20);
 }
 
-// Jobs' big-1: a slice of a fiftieth of a request. The first passes, and a customer that keeps coming through
-// one gateway of two hundred asks for far more than its quota on the whole.
+// A slice of a fiftieth of a request: the first request is admitted, and a customer that keeps coming through
+// one gateway of two hundred is probably far beyond its quota.
 TEST(LargeFleet, ASliceBelowOneRequestIsAdmittedByItsExpectedValue) {
   auto settings = large();
   settings.plans[0].quota_rate = 4;
@@ -43,7 +43,7 @@
   }
   EXPECT_GE(first, 36) << "a quarter of the refused may ask again, for all that is known here";
   int still = 0;
-  for (RequestId id = 1000; id < 1400; ++id) {  // nobody ever does
+  for (RequestId id = 1000; id < 1400; ++id) {  // no client retries
     still += gateway.ask(id, 1, 200, id) && id >= 1350;
     gateway.answer_all();
     gateway.wait(300);
@@ -58,7 +58,7 @@
   EXPECT_GE(later, 1);
 }
 
-// A repeat was refused elsewhere: with one request seen before, a new request goes on and a repeat does not.
+// A client's retry was rejected elsewhere: after one request, a new request is admitted and a retry is not.
 TEST(LargeFleet, AMarkedClientRetryCountsItsRejectionElsewhere) {
   auto settings = large();
   settings.plans[0].quota_rate = 4;
@@ -66,9 +66,10 @@
   settings.plans[0].over_quota_cost = 1;
   for (const bool repeat : {false, true}) {
     Gateway gateway(settings, host_list(50));
-    gateway.wait(3000);  // a slice of a fifth a second: half a request was to be expected
+    gateway.wait(3000);  // a slice of a fifth a second lets half a request be expected
     CustomerId customer = 7;
-    while (!gateway.ask(customer, 1, 20, customer)) ASSERT_LT(++customer, 20u);  // some are refused by chance
+    while (!gateway.ask(customer, 1, 20, customer))
+      ASSERT_LT(++customer, 20u);  // some are rejected by chance
     gateway.answer_all();
     gateway.now += 10;
     gateway.control.on_request(gateway.now, {2, 0, 0, customer, gateway.now + 4000, 1, 20, repeat},
@@ -77,7 +78,7 @@
   }
 }
 
-// Kochi's quiet day: a ceiling's slice of two requests always looked near, and the dry were refused.
+// A ceiling's slice of two requests is nearly used up by any request, which alone is no reason to reject.
 TEST(LargeFleet, ACeilingSliceOfTwoRequestsRejectsFew) {
   auto settings = large();
   settings.plans[0].quota_rate = 10;
@@ -97,9 +98,8 @@
   EXPECT_GE(sent, 18);
 }
 
-// i745d0f, i620946, ib62993: a sum over hosts of the larger of a least and a noisy rate was twice the truth,
-// and hosts were overdriven: nearly half of the aim in queues (not yet the mean latency that sheds by
-// itself).
+// i745d0f, i620946, ib62993: the capacity of hosts with few answers must not be overestimated by adding up
+// chance maxima. Answers take nearly half of the objective, which does not shed load by itself.
 TEST(LargeFleet, QueuesAtHostsWithFewAnswersCountAsLoad) {
   int asked = 0, sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -125,7 +125,7 @@
   EXPECT_GE(sent, asked / 4);
 }
 
-// A shared slowdown: the mean latency sheds before everything is late, whatever one gateway has out.
+// The mean latency sheds load before all answers are late, however few attempts one gateway has in flight.
 TEST(LargeFleet, SlowAnswersOfAllHostsShedLoad) {
   Gateway gateway(large(), host_list(100));
   int sent = 0;
@@ -134,14 +134,14 @@
     const bool on = gateway.ask(id, 1, 2, id);
     if (id > 100) sent += on;
     gateway.now += 5;
-    gateway.answer_all(950);  // of an aim of 1 s
+    gateway.answer_all(950);  // of an objective of 1 s
   }
   EXPECT_LE(sent, 60) << "of 100";
   EXPECT_GE(sent, 1) << "some go on, or the signals would stop";
 }
 
-// A herd of 48: each slice is a tenth of a request. A customer that asks for three times its quota was
-// refused by all of them, and two thirds of its quota lay idle.
+// 48 gateways with a slice of a tenth of a request each: a customer that requests three times its quota gets
+// about its quota.
 TEST(LargeFleet, AQuotaIsUsedWhereEachSliceIsBelowOneRequest) {
   constexpr double kQuota = 4, kAsked = 12, kGateways = 48;
   auto settings = large(kGateways);
@@ -153,7 +153,7 @@
     all.push_back(std::make_unique<Gateway>(settings, host_list(24), 0, 50 + i));
   std::mt19937_64 random(11);
   int sent = 0;
-  for (RequestId id = 1; id <= 60 * kAsked; ++id) {  // a minute; what the last half gives counts
+  for (RequestId id = 1; id <= 60 * kAsked; ++id) {  // a minute, of which the second half counts
     const Ms now = static_cast<Ms>(id) * 1000 / kAsked;
     Gateway& gateway = *all[random() % all.size()];
     while (gateway.now + 100 <= now) gateway.wait(100);
@@ -165,15 +165,15 @@
   EXPECT_LE(sent, 30 * kQuota * 1.6);
 }
 
-// Hosts that drain before this gateway has heard of it turn all away, each of them anew. No queue is told
-// anywhere: that is no jam, nobody is shed for it, and the request goes elsewhere.
+// Hosts that drain before this gateway knows of it reject everything. As no host reports a queue, the fleet
+// is not overloaded, nothing is shed, and requests are retried elsewhere.
 TEST(LargeFleet, RejectionsOfHostsWithoutAQueueAreNoOverload) {
   for (const double queue : {0.0, 20.0}) {
     auto settings = large(48);
     settings.load_report_fields = {LoadField::kQueueLength};
     settings.plans[0].quota_rate = 4;
     settings.plans[0].quota_burst = 8;
-    settings.plans[0].over_quota_cost = 0;  // quotas refuse nothing here
+    settings.plans[0].over_quota_cost = 0;  // quotas reject nothing here
     Gateway gateway(settings, host_list(40));
     int refused = 0;
     for (RequestId id = 1; id <= 200; ++id) {
@@ -201,8 +201,7 @@
   }
 }
 
-// A request of two units was believed more than one of one unit, by the same gateway of the same
-// customer.
+// The estimate of an overrun does not depend on the size of the request.
 TEST(LargeFleet, LargeRequestsAreAdmittedNoMoreThanSmallOnes) {
   auto settings = large(100);
   settings.plans[0].quota_rate = 4;
@@ -222,8 +221,8 @@
   }
 }
 
-// Counted over a hundred gateways, a customer's requests crowd some of them five times over, and one of these
-// sees no more of it than where somebody asks for far more than the quota.
+// A customer prefers some of a hundred gateways five times over; one of these cannot tell it from a customer
+// far beyond its quota.
 TEST(LargeFleet, ACustomerWithinItsQuotaThatPrefersSomeGatewaysIsAdmitted) {
   constexpr double kQuota = 4, kGateways = 100;
   auto settings = large(kGateways);
@@ -240,7 +239,7 @@
       const Ms now = static_cast<Ms>(id) * 1000 / asked;
       const double at = static_cast<double>(random() >> 11) * 0x1.0p-53;
       double draw = at;
-      for (RequestId tries = 0; tries < 2; ++tries) {  // a client asks once more, at another gateway
+      for (RequestId tries = 0; tries < 2; ++tries) {  // a client retries once, at another gateway
         Gateway& gateway = *all[static_cast<std::size_t>(kGateways * std::pow(draw, 2.5))];
         while (gateway.now + 100 <= now) gateway.wait(100);
         const bool passed = gateway.ask(id + 10'000 * tries, 1, kGateways, 7);
--- a/tests/admission/model_fleet_test.cpp
+++ b/tests/admission/model_fleet_test.cpp
@@ -1,19 +1,16 @@
 // Fleets of modules on one simulated clock, where only the sum over many gateways counts.
-#include "model_fleet.h"
-
 #include <gtest/gtest.h>
 
 #include <map>
 #include <memory>
 
 #include "large_fleet.h"
+#include "model_customers.h"
 
 namespace cometfold::testing {
 namespace {
 
-// join+vast: six hosts of ten replaced, at 10 s of the 16 that they need to warm. With a draw for each of
-// them, turns that fell together were lost: they got less than their part, and the warm ones were
-// slower for it.
+// Six of ten hosts warm up, 10 s into the 16 s that it takes, and get their part of the requests.
 TEST(ModelFleet, HostsThatWarmUpGetTheirPartFromAHundredGateways) {
   constexpr int kGateways = 100;
   auto settings = large(kGateways);
@@ -29,17 +26,17 @@
       gateway.answer_all(400);
     }
   }
-  // They can do 0.72 each by then, 26 of 50 in all.
+  // Their weight is 0.72 each by then, 26 of 50 in all.
   EXPECT_GE(cold, all * 46 / 100);
   EXPECT_LE(cold, all * 56 / 100);
 }
 
-// A hundred gateways and sixty hosts on which nothing is wrong, after `span`.
+// A hundred gateways and sixty healthy hosts, after `span`.
 std::unique_ptr<ModelFleet> healthy(Ms span) {
   auto settings = large(100);
   settings.classes[0].latency_objective_ms = 1700;
   auto fleet = std::make_unique<ModelFleet>(settings, 100, host_list(60), [](ModelFleet& model, HostId) {
-    return Fate{Outcome::kOk, model.exponential(350)};
+    return AttemptFate{Outcome::kOk, model.exponential(350)};
   });
   fleet->run(900, span, [](ModelFleet& model) {
     return Request{.customer = static_cast<CustomerId>(model.draw() * 1e9), .gateway_count = 60};
@@ -47,28 +44,27 @@
   return fleet;
 }
 
-// Each gateway took its first answer for what a class takes, and short ones come first: a twelfth of all went
-// out twice, and the budget for further attempts was spent before anything had happened.
+// Short answers come first, so the first ones underestimate a class's latency; that must not cause hedging.
 TEST(ModelFleet, FewRequestsAreHedgedInTheFirstSeconds) {
   const auto fleet = healthy(4000);
-  EXPECT_LE(fleet->counts().attempts - fleet->counts().sent, fleet->counts().sent * 3 / 100);
+  EXPECT_LE(fleet->counts().attempts - fleet->counts().sent_requests,
+            fleet->counts().sent_requests * 3 / 100);
 }
 
-// A hundred gateways by sixty hosts are six thousand pairs, each met every seven seconds: a fourth of all
-// requests paid for a handshake. Those met of late go first where costs are near, and no host is left idle or
-// gets more than twice its part.
+// Of six thousand pairs of gateway and host each is used every seven seconds. Hosts with an open connection
+// are preferred at nearly equal cost, and each host still gets between a third and twice its part.
 TEST(ModelFleet, ConnectedHostsArePreferredAndAllHostsGetTheirPart) {
   const auto fleet = healthy(15'000);
-  EXPECT_LE(fleet->counts().handshakes, fleet->counts().asked * 24 / 100);
+  EXPECT_LE(fleet->counts().handshakes, fleet->counts().requests * 24 / 100);
   const int even = fleet->counts().attempts / 60;
   for (HostId host_id = 1; host_id <= 60; ++host_id) {
-    EXPECT_GE(fleet->counts().at[host_id], even / 3) << host_id;
-    EXPECT_LE(fleet->counts().at[host_id], even * 2) << host_id;
+    EXPECT_GE(fleet->counts().attempts_by_host[host_id], even / 3) << host_id;
+    EXPECT_LE(fleet->counts().attempts_by_host[host_id], even * 2) << host_id;
   }
 }
 
-// How long a connection lives unused is the deployment's own figure: 5 s after its last answer a host is
-// still met where that is 15 s, and as strange as one never met where it is 6 s.
+// 5 s after its last answer a host is preferred to a new one where connections live for 15 s unused, and not
+// where they live for 6 s.
 TEST(ModelFleet, AHostIsConnectedUntilTheIdleTimeout) {
   const auto strangers_asked = [](Ms conn_idle) {
     int asked = 0;
@@ -91,9 +87,9 @@
   EXPECT_GT(strangers_asked(6'000), 5);
 }
 
-// Three hundred gateways, two hundred hosts in three zones, and plans like a shop's: most customers use a
-// part of their quota, a tenth asks for far more, and half of those refused come again at another gateway.
-// Each gateway sees a customer once or twice in all.
+// Three hundred gateways and two hundred hosts in three zones. Most customers use a part of their quota, a
+// tenth requests far more, and half of the rejected clients retry at another gateway. Each gateway sees a
+// customer once or twice in all.
 class ManyGateways : public ::testing::Test {
  protected:
   static constexpr std::size_t kGateways = 300;
@@ -126,75 +122,74 @@
       all.push_back(host(host_id, HostState::kReady, 0, host_id % 3));
     return all;
   }
-  static Fate answers(ModelFleet& model, HostId) { return {Outcome::kOk, model.exponential(350)}; }
+  static AttemptFate answers(ModelFleet& model, HostId) { return {Outcome::kOk, model.exponential(350)}; }
 
   AdmissionSettings settings_;
   ModelFleet fleet_;
   ModelCustomers customers_;
 };
 
-// In parts of what one store would let in. With each dry slice let on, two fifths would overrun; with a usual
-// customer's crowding not believed, a seventh more of what has room is refused.
+// As fractions of what one bucket for all gateways would admit.
 TEST_F(ManyGateways, QuotasHoldAndAreUsed) {
   struct Bounds {
-    double inside, beyond, refused_with_room;
+    double within_quota, beyond_quota, rejected_within_quota;
   };
   constexpr Bounds kBounds[] = {{0.81, 0.18, 0.66}, {0.78, 0.129, 0.70}, {0.73, 0.098, 0.99}};
   customers_.run(15'000);
   for (std::size_t p = 0; p < 3; ++p) {
     const auto& account = customers_.accounts()[p];
-    EXPECT_GE(account.inside, account.due * kBounds[p].inside) << p;
-    EXPECT_LE(account.beyond, account.due * kBounds[p].beyond) << p;
-    EXPECT_LE(account.refused_with_room, account.due * kBounds[p].refused_with_room) << p;
+    EXPECT_GE(account.within_quota, account.admissible * kBounds[p].within_quota) << p;
+    EXPECT_LE(account.beyond_quota, account.admissible * kBounds[p].beyond_quota) << p;
+    EXPECT_LE(account.rejected_within_quota, account.admissible * kBounds[p].rejected_within_quota) << p;
   }
 }
 
-// Each gateway meets a host every ten seconds, and none is left idle or gets far more than its part. Uneven
-// it is: the least gets a tenth of the mean, as strangers cost more.
+// Each gateway uses a host every ten seconds; no host is idle or gets far more than its part.
 TEST_F(ManyGateways, HostsAndZonesGetTheirPart) {
   customers_.run(15'000);
   auto& counts = fleet_.counts();
   int zones[3] = {};
   for (HostId host_id = 1; host_id <= kHosts; ++host_id) {
-    zones[host_id % 3] += counts.at[host_id];
-    EXPECT_GE(counts.at[host_id], counts.attempts / static_cast<int>(kHosts) / 15) << host_id;
-    EXPECT_LE(counts.at[host_id], counts.attempts / static_cast<int>(kHosts) * 5 / 2) << host_id;
+    zones[host_id % 3] += counts.attempts_by_host[host_id];
+    EXPECT_GE(counts.attempts_by_host[host_id], counts.attempts / static_cast<int>(kHosts) / 15) << host_id;
+    EXPECT_LE(counts.attempts_by_host[host_id], counts.attempts / static_cast<int>(kHosts) * 5 / 2)
+        << host_id;
   }
   for (const int n : zones) EXPECT_NEAR(n, counts.attempts / 3.0, counts.attempts / 30.0);
   EXPECT_LE(counts.other_zone, counts.attempts / 50);
-  EXPECT_LE(counts.handshakes, counts.asked / 10);
+  EXPECT_LE(counts.handshakes, counts.requests / 10);
 }
 
-// Seven in ten are killed at once and know no counts any more: each lets on first requests anew.
+// Seven in ten gateways restart at once without state and admit first requests anew.
 TEST_F(ManyGateways, RestartsAtMostDoubleTheOverruns) {
-  const auto beyond = [&] {
+  const auto beyond_quota = [&] {
     double sum = 0;
-    for (const auto& account : customers_.accounts()) sum += account.beyond;
+    for (const auto& account : customers_.accounts()) sum += account.beyond_quota;
     return sum;
   };
   customers_.run(8000);
-  const double before = beyond();
+  const double before = beyond_quota();
   customers_.run(4000);
-  const double usual = beyond() - before;
+  const double usual = beyond_quota() - before;
   for (std::size_t gateway = 0; gateway < kGateways * 7 / 10; ++gateway) fleet_.restart(gateway);
-  const double at_restart = beyond();
+  const double at_restart = beyond_quota();
   customers_.run(4000);
-  EXPECT_LE(beyond() - at_restart, usual * 2.05);
+  EXPECT_LE(beyond_quota() - at_restart, usual * 2.05);
 }
 
-// One gateway of a hundred, with a third of what all its limits together let out in use: the least worth is
-// shed there already, and next to nothing dearer. While a tenth is in use, nothing is.
+// At one gateway of a hundred with a third of its limits in use, requests of low value are shed and hardly
+// any others; with a tenth in use, none are.
 TEST(ModelFleet, RequestsOfLowValueAreShedBeforeHalfOfTheLimitsIsInUse) {
   for (const Ms took : {30.0, 100.0}) {
     auto settings = large(100);
     settings.plans.push_back(settings.plans[0]);
     settings.plans[1].plan_weight = 0.5;
-    Ms now_takes = 50;  // calm: the wait aimed for becomes 300 ms
+    Ms latency = 50;  // unloaded: the target latency becomes 300 ms
     ModelFleet fleet(settings, 1, host_list(10), [&](ModelFleet&, HostId) {
-      return Fate{Outcome::kOk, now_takes};
+      return AttemptFate{Outcome::kOk, latency};
     });
     int shed[2] = {};
-    fleet.watcher().on_refused = [&](const Request& request, Ms, RejectionReason why) {
+    fleet.observer().on_rejected = [&](const Request& request, Ms, RejectionReason why) {
       shed[request.plan_index] += why == RejectionReason::kLoadShed;
     };
     const auto ask = [](ModelFleet& model) {
@@ -203,7 +198,7 @@
     };
     fleet.run(80, 8000, ask);
     shed[0] = shed[1] = 0;
-    now_takes = took;
+    latency = took;
     fleet.run(80, 8000, ask);
     EXPECT_LE(shed[0], 20);
     EXPECT_EQ(shed[1] > 50, took > 50) << shed[1];
--- a/tests/admission/quota_rules_test.cpp
+++ b/tests/admission/quota_rules_test.cpp
@@ -1,4 +1,5 @@
-// The paper's bucket equations, lending, ceilings and caps, with numbers worked by hand.
+// Quotas, lending, ceilings and limits of concurrent attempts at one gateway, with numbers worked by hand.
+// Numbers in brackets are equations of the paper.
 #include <gtest/gtest.h>
 
 #include "tests/support.h"
@@ -18,7 +19,7 @@
 
 TEST(QuotaRules, ASliceRefillsAtItsRateUpToItsCapacity) {  // (2), (3)
   auto settings = plain_settings();
-  settings.plans[0].over_quota_cost = 1000;  // the ordinary path alone: no benefit of the doubt
+  settings.plans[0].over_quota_cost = 1000;  // no request beyond the slice is admitted
   Gateway gateway(settings);
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id));
   gateway.answer_all();
@@ -49,27 +50,27 @@
 TEST(QuotaRules, WithoutArrivalsNothingIsLent) {
   auto settings = plain_settings(2);
   Gateway gateway(settings);
-  // Class 0 empties its child and the parent. No arrivals follow for long: the parent refills at 2 a second,
-  // the child at its guaranteed 1 a second.
+  // Class 0 empties its bucket and the slice. Without arrivals the slice refills at 2 a second, the class's
+  // bucket at its guaranteed 1 a second.
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id, 1, 2, 1, 0));
   gateway.answer_all();
-  gateway.now += 2000;  // no tick in between: the child's rate is still its first, guaranteed one
+  gateway.now += 2000;  // no tick in between: the class's rate is still the guaranteed one
   EXPECT_TRUE(gateway.ask(5, 1, 2, 1, 0));
   EXPECT_TRUE(gateway.ask(6, 1, 2, 1, 0));
-  EXPECT_FALSE(gateway.ask(7, 1, 2, 1, 0));  // the child is dry
-  EXPECT_TRUE(gateway.ask(8, 1, 2, 1, 1));   // the parent is not: the other class has its own child
+  EXPECT_FALSE(gateway.ask(7, 1, 2, 1, 0));  // the class's bucket is empty
+  EXPECT_TRUE(gateway.ask(8, 1, 2, 1, 1));   // the slice is not, and the other class has its own bucket
 }
 
 TEST(QuotaRules, UnusedQuotaIsLentInProportionToArrivals) {
   auto settings = plain_settings(2);
   Gateway gateway(settings);
-  // Only class 0 asks. After a tick with arrivals all unused room is its to borrow, so 2 a second flow.
+  // Only class 0 has arrivals. From the next tick on it borrows all that is unused, 2 a second in all.
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id, 1, 2, 1, 0));
   gateway.answer_all();
   gateway.wait(2000);
   int passed = 0;
   for (RequestId id = 11; id <= 16; ++id) passed += gateway.ask(id, 1, 2, 1, 0);
-  EXPECT_EQ(passed, 4);  // more than the 2 that the guaranteed rate alone gives
+  EXPECT_EQ(passed, 4);  // the guaranteed rate alone gives 2
 }
 
 TEST(QuotaRules, IdleCustomersAreEvictedOnlyWithFullBuckets) {
@@ -109,13 +110,13 @@
     }
     gateway.out.take();
     EXPECT_EQ(gateway.ask(100),
-              outcome == Outcome::kNotSent);  // a slice of 4 is used up by what may have run
+              outcome == Outcome::kNotSent);  // a slice of 4 is used up by attempts that may have executed
   }
 }
 
 TEST(CeilingRules, SlicesStartEmptyAndAreNeverExceeded) {
   auto settings = plain_settings();
-  settings.plans[0].over_quota_value = 1;  // soft: going beyond the quota earns what it costs
+  settings.plans[0].over_quota_value = 1;  // an overrun earns what it costs
   settings.plans[0].ceiling_rate = 8;      // the slice: 4 a second, holds 8
   settings.plans[0].ceiling_burst = 16;
   Gateway gateway(settings, {host(1), host(2), host(3)}, 5000);
@@ -140,7 +141,7 @@
   EXPECT_EQ(passed, 12);  // the slice alone holds 4
 }
 
-// A customer whose set grows from one gateway to ten has a tenth of its ceiling here from then on.
+// A customer that comes through ten gateways instead of one has a tenth of its ceiling here from then on.
 TEST(CeilingRules, TheSliceFollowsTheCustomersGatewayCount) {
   AdmissionSettings settings = plain_settings();
   settings.gateway_count = 10;
--- a/tests/admission/regression_test.cpp
+++ b/tests/admission/regression_test.cpp
@@ -1,4 +1,4 @@
-// A small test for each failure that a bench day or an incident has shown.
+// Faults of earlier versions, each by its smallest case. Numbers such as ic5cc20 name the incident.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,7 +15,7 @@
   return settings;
 }
 
-// Incident ic5cc20: hosts that answered 'full' within a millisecond drew a quarter of all sends.
+// ic5cc20: a host that rejects within a millisecond must not look fast.
 TEST(HostSelection, AHostThatRejectsAtOnceDrawsNoTraffic) {
   Gateway gateway(roomy());
   std::map<HostId, int> sends;
@@ -38,13 +38,13 @@
   EXPECT_GT(sends[2], 80);
 }
 
-// Incident i5f6c38: nothing bounded the wait at the hosts, and all was served late.
+// i5f6c38: attempts in flight are bounded where no answer comes.
 TEST(HostSelection, WithoutAnswersNoMoreIsSent) {
   Gateway gateway(roomy());
   RequestId id = gateway.fill(1, 50);
   int sent = 0;
   for (int i = 0; i < 200; ++i, gateway.now += 10) sent += gateway.ask(id++, 1, 2, 7);
-  // 3 hosts, 2 gateways: a few for each core and no hundred in the queues.
+  // 3 hosts, 2 gateways: a few attempts for each core, and no long queues.
   EXPECT_LE(sent, 40);
   EXPECT_GE(sent, 3);
 }
@@ -84,15 +84,15 @@
   return passed;
 }
 
-// A customer inside its quota whose requests crowd this gateway: 6.25 a second against a slice of 5.
+// A customer within its quota sends most requests to this gateway: 6.25 a second against a slice of 5.
 TEST(QuotaOverrun, AnUnevenlySpreadCustomerIsAdmittedBeyondItsSlice) {
   Gateway gateway(sold());
   passed_in(gateway, 1, 200, 160);
   EXPECT_GE(passed_in(gateway, 1000, 100, 160), 90) << "80 is what the slice alone gives";
 }
 
-// Days at four gateways: two thirds of a customer's requests at one of its four are no rare skew, while at
-// one of two so many slices' worth can only be a heavy customer.
+// Two thirds of a customer's requests at one of four gateways are a usual spread; the same number of slices
+// at one of two gateways means a customer beyond its quota.
 TEST(QuotaOverrun, MoreGatewaysMayBeUsedMoreUnevenly) {
   for (const double spread : {2.0, 4.0}) {
     auto settings = sold();
@@ -115,7 +115,7 @@
   }
 }
 
-// Incidents i7805d0, i5af206: three times the quota here must not pass as skew.
+// i7805d0, i5af206: three times the quota here is no uneven spread.
 TEST(QuotaOverrun, AHeavyCustomerIsNotTakenForAnUnevenlySpreadOne) {
   Gateway gateway(sold());
   passed_in(gateway, 1, 300, 33);
@@ -134,13 +134,13 @@
   EXPECT_EQ(passed, 5);
 }
 
-// Granite's quiet day: copies of long requests wasted a seventh of the work offered.
+// Hedging requests that merely take long wastes work.
 TEST(Retries, WaitForALongRequest) {
   Gateway gateway(roomy());
   gateway.fill(1, 50);
   ASSERT_TRUE(gateway.ask(500));
   gateway.out.take();
-  gateway.now += 590;  // below 0.6 of the aim of 1 s
+  gateway.now += 590;  // below 0.6 of the objective of 1 s
   gateway.control.on_timer(gateway.now, 500, gateway.out);
   EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
   gateway.now += 20;
@@ -171,7 +171,7 @@
   EXPECT_LE(again, 10 + 200 / 10 + 1) << "what was saved up and a tenth of first sends";
 }
 
-// With one host, or no attempt left, an attempt that later ones have overtaken is all that there will be.
+// With one host, or without attempts left, cancelling an overdue attempt would only lose it.
 TEST(Retries, TheLastAttemptIsNotCancelledWithoutAnAlternative) {
   for (const bool alone : {true, false}) {
     for (const double attempts : {1.0, 4.0}) {
@@ -196,7 +196,7 @@
   }
 }
 
-// Every host fails: the cause is elsewhere. Were all ejected, no room would count and all would be shed.
+// Where every host fails, the cause is elsewhere; without hosts everything would be shed.
 TEST(OutlierEjection, NeverEjectsMoreThanHalfOfTheHosts) {
   Gateway gateway(roomy(), {host(1), host(2), host(3), host(4)});
   int first_sends = 0;
@@ -216,10 +216,10 @@
   EXPECT_GE(first_sends, 180);
 }
 
-// Incident i6112a8: answers that never come filled the bound, and a healthy fleet's requests were shed.
+// i6112a8: attempts whose answers never come must not use up the limits of healthy hosts.
 TEST(HostSelection, LostAnswersDoNotFillTheLimits) {
   auto settings = roomy();
-  settings.max_attempts = 1;  // what is lost stays out until its deadline
+  settings.max_attempts = 1;  // a lost attempt is in flight until its deadline
   Gateway gateway(settings);
   RequestId id = gateway.fill(1, 50);
   int asked = 0, sent = 0;
--- a/tests/admission/warm_up_test.cpp
+++ b/tests/admission/warm_up_test.cpp
@@ -12,8 +12,8 @@
 
 class SlowStartOfManyGateways : public ::testing::TestWithParam<int> {};
 
-// Granite's big-1 at full size: one send each from hundreds of gateways pushed cold hosts over. 40% of the
-// fleet is back cold and all gateways have just restarted: the sum over them keeps the present ability.
+// Hundreds of gateways that send one attempt each must not overload hosts that warm up. 40 % of the hosts and
+// all gateways have just restarted.
 TEST_P(SlowStartOfManyGateways, StaysBelowTheCapacityOfTheHosts) {
   const int gateways = GetParam();
   const auto settings = large(gateways);
@@ -39,8 +39,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartOfManyGateways, ::testing::Values(3, 400));
 
-// A release under way: 16 of 24 hosts are cold. What they did not get crowded the eight warm ones, which then
-// set the measure for the cold ones too.
+// 16 of 24 hosts warm up while the others queue; their part goes by what the fleet could serve, not by what
+// the crowded hosts still complete.
 TEST(LargeFleet, HostsThatWarmUpGetTheirPartWhileOthersQueue) {
   int cold = 0, all = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -71,13 +71,13 @@
     }
   }
   ASSERT_GE(all, 200);
-  // At 6 s they can do 0.47 each, 7.6 of 15.6 in all.
+  // At 6 s their weight is 0.47 each, 7.6 of 15.6 in all.
   EXPECT_GE(cold, all * 4 / 10);
   EXPECT_LE(cold, all * 8 / 10);
 }
 
-// Seen with a foreign client: of 50 calls at once on four idle hosts 36 were refused, and again after a lull.
-// A host that drags its feet is not believed for longer than the wait aimed for.
+// Idle hosts take a burst at the start and after a lull; hosts that then do not answer get nothing more after
+// the target latency.
 TEST(IdleHosts, ABurstFindsCapacityOnIdleHostsAndNotOnStuckOnes) {
   Gateway gateway(large(1), {host(1), host(2), host(3), host(4)}, 1000);
   RequestId id = 1;
@@ -101,11 +101,11 @@
   gateway.wait(10'000);
   EXPECT_GE(burst(), 45) << "after a lull";
   gateway.out.take();
-  gateway.wait(1000);  // nothing comes back
+  gateway.wait(1000);  // no answers
   EXPECT_LE(burst(), 4) << "behind fifty that are stuck";
 }
 
-// Cold hosts get no such credit.
+// Hosts that warm up get no such credit.
 TEST(IdleHosts, HostsThatWarmUpGetTheLeastLimitAtFirst) {
   Gateway gateway(large(1), {host(1, HostState::kReady, 1e6), host(2, HostState::kReady, 1e6)}, 1e6 + 5000);
   int sent = 0;
