--- a/bench/action_stream/scenarios.cpp
+++ b/bench/action_stream/scenarios.cpp
@@ -73,7 +73,7 @@
   around.customers = 300;
   around.gateways_per_customer = 300;
   around.request_gap_ms = 60;
-  around.list_is_whole = 0.2;
+  around.list_is_snapshot = 0.2;
   return {"three hundred gateways", s, around};
 }
 
@@ -99,7 +99,7 @@
   s.actual_units_reported = false;
   Surroundings around;
   around.gateways_per_customer = 1;
-  around.client_leaves = 0.1;
+  around.client_disconnects = 0.1;
   around.cancelling_ends_attempts = true;
   return {"one gateway, ceilings and open limits", s, around};
 }
@@ -116,11 +116,11 @@
 
 Scenario hosts_full_for_one_class() {
   Surroundings around;
-  around.full_by_class = true;
-  around.full = 0.8;
+  around.overloaded_by_class = true;
+  around.overloaded = 0.8;
   around.reports_in_flight = 0.5;
   around.reports_queue = 0;
-  around.reports_busy = 0;
+  around.reports_utilization = 0;
   return {"hosts full for one class", four_gateways(), around};
 }
 
@@ -128,14 +128,14 @@
   AdmissionSettings s = four_gateways();
   s.load_report_fields = {LoadField::kInFlight};
   Surroundings around;
-  around.full_by_plan = true;
-  around.full = 0.9;
+  around.overloaded_by_plan = true;
+  around.overloaded = 0.9;
   return {"hosts full for one plan", s, around};
 }
 
 Scenario all_hosts_full() {
   Surroundings around;
-  around.full = 0.5;
+  around.overloaded = 0.5;
   around.request_gap_ms = 20;
   return {"hosts full", four_gateways(), around};
 }
@@ -150,7 +150,7 @@
 Scenario failing_hosts() {
   Surroundings around;
   around.error = 0.3;
-  around.broken = 0.2;
+  around.connection_lost = 0.2;
   around.connect_failed = 0.1;
   around.not_sent = 0.1;
   around.silent_hosts = 0.1;
@@ -179,7 +179,7 @@
   around.request_gap_ms = 4000;
   around.customers = 4;
   around.list_gap_ms = 20'000;
-  around.list_is_whole = 0.3;
+  around.list_is_snapshot = 0.3;
   around.list_fails = 0.2;
   around.gateways_per_customer = 3;
   return {"rare requests", s, around};
@@ -187,8 +187,8 @@
 
 Scenario hosts_that_all_leave() {
   Surroundings around;
-  around.list_is_whole = 0.3;
-  around.all_hosts_leave = 0.3;
+  around.list_is_snapshot = 0.3;
+  around.all_hosts_removed = 0.3;
   around.list_fails = 0.1;
   return {"hosts that all leave", four_gateways(), around};
 }
--- a/bench/action_stream/scenarios.h
+++ b/bench/action_stream/scenarios.h
@@ -20,35 +20,35 @@
   double rush = 0.3;                  // of the gap, in every third stretch of four seconds
   double max_units = 4;
   cometfold::Ms service_ms = 200;         // the longest service time of an idle host
-  double crowding = 0.2;                  // part of the service time added by each attempt in flight
-  bool cancelling_ends_attempts = false;  // else a cancelled attempt is answered as if it had not been
+  double slowdown_per_attempt = 0.2;      // part of the service time added by each attempt in flight
+  bool cancelling_ends_attempts = false;  // else it goes on
   double silent_hosts = 0;                // part of the hosts that answer nothing for a while
   double error = 0.03;
-  double broken = 0.02;
-  double full = 0.03;
+  double connection_lost = 0.02;
+  double overloaded = 0.03;
   double connect_failed = 0.01;
   double not_sent = 0;
   double streamed = 0;  // part of the answers that come in pieces
-  double client_leaves = 0.02;
+  double client_disconnects = 0.02;
   double client_retries = 0.1;  // requests marked as a client's retry
   double malformed = 0;
-  bool full_by_class = false;  // hosts reject the last class only
-  bool full_by_plan = false;   // hosts reject the last plan only
+  bool overloaded_by_class = false;  // hosts reject attempts of the last class only
+  bool overloaded_by_plan = false;   // hosts reject attempts of the last plan only
   double reports_queue = 0.7;
   double reports_in_flight = 0;
-  double reports_busy = 0.5;
+  double reports_utilization = 0.5;
   double reports_actual_units = 0;
   double list_fails = 0;
-  double list_is_whole = 0;
-  double all_hosts_leave = 0;       // a whole list that names nobody
+  double list_is_snapshot = 0;
+  double all_hosts_removed = 0;     // a snapshot without hosts
   cometfold::Ms list_gap_ms = 700;  // at most, between two changes of the list
 };
 
-// What happens to the module itself on the way.
+// What happens to the module during the day.
 enum class Succession {
   kNone,
-  kHandOver,     // a successor takes the state, and its predecessor ends some time later
-  kUnknown,      // a successor finds no state
+  kHandOver,     // a successor imports the snapshot, and its predecessor exits some time later
+  kUnknown,      // a successor finds no snapshot
   kNewSettings,  // the settings change, with more classes and plans
 };
 
--- a/bench/action_stream/simulated_day.h
+++ b/bench/action_stream/simulated_day.h
@@ -1,6 +1,6 @@
 // One gateway's decision module on a simulated day: events drawn from a seed go in, and all that the module
-// decides goes into a fingerprint. The day goes on by the module's own actions, so that two builds of the
-// module print alike only if they decide alike from the first event to the last.
+// decides goes into a fingerprint. Later events follow from the module's actions, so that two builds have
+// equal fingerprints only if they decide alike from the first event to the last.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +22,7 @@
  public:
   SimulatedDay(const Scenario& scenario, std::uint64_t seed);
 
-  // Until so many requests have come.
+  // Plays events until so many requests were submitted.
   void run(std::size_t requests);
 
   std::uint64_t fingerprint() const { return fingerprint_; }
@@ -48,10 +48,10 @@
   enum class EventKind : std::uint8_t {
     kRequest,
     kAttemptEnd,
-    kStreamBegun,
+    kStreamStarted,
     kTimer,
     kList,
-    kClientGone,
+    kClientDisconnected,
     kHealthCheckEnd,
     kSuccession,
     kPredecessorEnd,
@@ -72,7 +72,7 @@
   void request();
   void change_list();
   void replace_list();
-  void succeed();
+  void start_succession();
   void take_over_state();
   void use_new_settings();
   cometfold::HostEntry entry(cometfold::HostId id, cometfold::HostState state,
@@ -85,11 +85,11 @@
   void add(std::uint64_t word);
   void add(double number);
 
-  void send(cometfold::RequestId request, cometfold::HostId host, cometfold::Ms give_up_after) override;
+  void send(cometfold::RequestId request, cometfold::HostId host, cometfold::Ms attempt_timeout_ms) override;
   void cancel(cometfold::RequestId request, std::uint32_t attempt) override;
   void reject(cometfold::RequestId request, cometfold::Ms retry_after,
-              cometfold::RejectionReason why) override;
-  void fail(cometfold::RequestId request, cometfold::RejectionReason why) override;
+              cometfold::RejectionReason reason) override;
+  void fail(cometfold::RequestId request, cometfold::RejectionReason reason) override;
   void schedule_timer(cometfold::Ms after, std::uint64_t token) override;
   void send_health_check(cometfold::HostId host) override;
   void watch_hosts() override { count(kWatch, 0, 0); }
@@ -97,11 +97,11 @@
   void log(std::string_view) override { count(kLog, 0, 0); }
 
   cometfold::AdmissionSettings settings_;
-  Surroundings around_;
+  Surroundings surroundings_;
   Succession succession_;
   std::mt19937_64 random_;
   std::uint64_t seed_;
-  cometfold::AdmissionController control_;
+  cometfold::AdmissionController controller_;
   cometfold::Ms now_;
   std::priority_queue<Event, std::vector<Event>, std::greater<>> queue_;
   std::vector<cometfold::HostEntry> list_;
@@ -109,7 +109,7 @@
   std::map<cometfold::RequestId, cometfold::Request> requests_;
   std::map<cometfold::HostId, double> in_flight_;
   std::uint64_t order_ = 0;
-  std::uint64_t asked_ = 0;
+  std::uint64_t submitted_requests_ = 0;
   std::uint64_t fingerprint_ = 0;
   std::size_t actions_ = 0;
   std::size_t counts_[kActionKinds] = {};
--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -1,4 +1,4 @@
-// What one request costs the module alone, and the engine with it, without sockets.
+// CPU time of one request in the decision module alone, and with the engine, without sockets.
 #include <benchmark/benchmark.h>
 
 #include <memory>
