--- a/src/engine/attempt_runner.cpp
+++ b/src/engine/attempt_runner.cpp
@@ -61,7 +61,8 @@
 void AttemptRunner::cancel(Ms now, RequestId id, std::uint32_t attempt) {
   const PendingRequest* const request = requests_.find(id);
   if (!request || attempt >= request->attempts.size() || !request->attempts[attempt].in_flight) return;
-  if (!mutant(Mutant::kServesAbandonedAttempt)) request->upstream->abandon(now, request->attempts[attempt].id);
+  if (!mutant(Mutant::kServesAbandonedAttempt))
+    request->upstream->abandon(now, request->attempts[attempt].id);
   end(now, id, attempt, Outcome::kCancelled, {});
 }
 
--- a/src/engine/reply_dispatcher.h
+++ b/src/engine/reply_dispatcher.h
@@ -25,7 +25,7 @@
   void fail(Ms now, RequestId id, FailureReason reason);
   // The client has its reply already, by a way past the engine.
   void finish_delivered(Ms now, RequestId id, Outcome outcome);
-  // The client has disconnected: there is nobody to reply to.
+  // The client has disconnected, so that no reply is sent.
   void finish_disconnected(Ms now, RequestId id);
 
   // A value that has started is the request's reply, whatever the policy decides afterwards.
--- a/src/engine/request_table.cpp
+++ b/src/engine/request_table.cpp
@@ -11,9 +11,7 @@
   payload_bytes_ += request.payload->bytes();
   ++unanswered_count_;
   open_identities_.insert(request.identity);
-  PendingRequest& added = requests_[id];
-  added = std::move(request);
-  return {id, added};
+  return {id, requests_.emplace(id, std::move(request)).first->second};
 }
 
 PendingRequest* RequestTable::find(RequestId id) {
--- a/src/explore/world_settings.h
+++ b/src/explore/world_settings.h
@@ -22,7 +22,7 @@
 rules::RuleMonitors::Tolerances exact_tolerances();
 // A host's reply with this value.
 std::string reply_bytes(const std::string& value);
-// A host whose address is told by its cell.
+// A host whose address follows from its cell.
 HostEntry host_entry(HostId id, HostState state, Ms started_at = 0);
 
 }  // namespace cometfold::explore
--- a/tests/decision_log_test.cpp
+++ b/tests/decision_log_test.cpp
@@ -6,6 +6,7 @@
 #include <string>
 #include <vector>
 
+#include "engine/controller_policy.h"
 #include "support.h"
 
 namespace cometfold::net::testing {
--- a/tests/second_answers_test.cpp
+++ b/tests/duplicate_reply_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that answer twice: no answer may be taken for another request's.
+// Hosts that reply twice: no reply may be taken for another request's.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-// A host on the system's usual settings: without TCP_NODELAY its system keeps a small write back until the
+// A host with the system's default settings: without TCP_NODELAY its system delays a small write until the
 // one before it is acknowledged.
 class Host {
  public:
   int port() const { return listener_.port(); }
-  // The connection that the next command comes on.
-  Peer& asked() {
+  // Waits for the next command and returns its connection.
+  Peer& wait_for_command() {
     for (;;) {
       if (listener_.waiting(0)) connections_.push_back(std::make_unique<Peer>(listener_.accept()));
       std::erase_if(connections_, [](const auto& peer) { return !peer->quiet(0) && !peer->more(); });
@@ -34,26 +34,27 @@
   std::vector<std::unique_ptr<Peer>> connections_;
 };
 
-// More than a connection rests after an answer (25 ms), less than a system may wait with an acknowledgement
-// (40 ms).
+// More than the delay before a connection is reused (25 ms), less than that of an acknowledgement (up to 40
+// ms).
 constexpr auto kBetweenRequests = 29ms;
-// A system acknowledges at once on a new connection, and late on one that goes to and fro.
-constexpr int kExchanges = 5, kConnections = 6;
+// A system acknowledges at once on a new connection, and late on one with an interactive exchange.
+constexpr int kExchanges = 5;
+constexpr int kConnections = 6;
 
-TEST(SecondAnswers, OneThatTheHostsSystemHeldBackIsNotServed) {
+TEST(DuplicateReply, IsNotServedIfDelayedByTheHostsSystem) {
   Host host;
   Listener discovery;
   Program program(config(list(7, true, {target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
-  unsigned n = 0;
+  unsigned request = 0;
   for (int connection = 0; connection < kConnections; ++connection) {
     for (int exchange = 0; exchange <= kExchanges; ++exchange) {
-      const std::string value = "value " + std::to_string(++n);
-      client.send(query(n));
-      Peer& at = host.asked();
-      at.command();
-      at.send(served(value));
-      if (exchange == kExchanges) at.send(served("the second answer to " + std::to_string(n)));
+      const std::string value = "value " + std::to_string(++request);
+      client.send(query(request));
+      Peer& at_host = host.wait_for_command();
+      at_host.command();
+      at_host.send(served(value));
+      if (exchange == kExchanges) at_host.send(served("the second answer to " + std::to_string(request)));
       ASSERT_EQ(client.reply(), value);
       std::this_thread::sleep_for(kBetweenRequests);
     }
