--- a/src/membership/connectivity.h
+++ b/src/membership/connectivity.h
@@ -4,17 +4,15 @@
 // keeps serving by its own state. What each state implies:
 //
 //   connected    Nearly all known members are reachable, directly or through another one. A member that is
-//   declared
-//                failed probably does not run or reaches no other. Nothing is certain about the present state
-//                of other members.
+//                declared failed probably does not run or reaches no other. Nothing is certain about the
+//                present state of other members.
 //   degraded     A quarter or more are unreachable, or this process was itself paused or starved of late, or
 //                another process has its name. Silent members probably fail, but part of the silence may be
 //                this process's own.
 //   partitioned  Less than half are reachable. This gateway declares no member failed: silent members stay
-//   suspects,
-//                and after a long time are excluded from its own view alone. Others have probably declared
-//                this one failed, so its incarnation may be over, and rights given to it may have been taken
-//                back.
+//                suspects, and after a long time are excluded from its own view alone. Others have probably
+//                declared this one failed, so its incarnation may be over, and rights given to it may have
+//                been taken back.
 //   isolated     No other member is reachable, or none is known.
 //
 // A worse state takes effect at once, a better one only after it has lasted (hysteresis).
@@ -23,7 +21,6 @@
 #include <cstddef>
 #include <cstdint>
 #include <optional>
-#include <string_view>
 
 #include "cometfold/admission_controller.h"
 
@@ -32,12 +29,6 @@
 // From best to worst.
 enum class ConnectivityState : std::uint8_t { kConnected, kDegraded, kPartitioned, kIsolated };
 
-// The words of the members' JSON and the log.
-constexpr std::string_view name_of(ConnectivityState state) {
-  constexpr std::string_view kNames[] = {"together", "doubtful", "cut-off", "alone"};
-  return kNames[static_cast<std::size_t>(state)];
-}
-
 struct ReachabilitySample {
   std::size_t known = 1, reachable = 1;  // members neither failed nor left, this one included
   bool local_fault = false;  // this process was paused or starved, or its name is in use elsewhere
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -1,11 +1,9 @@
 // Members as one gateway shows them to operators.
 #pragma once
 
-#include <cstddef>
 #include <cstdint>
 #include <optional>
 #include <string>
-#include <string_view>
 
 #include "cometfold/admission_controller.h"
 
@@ -14,12 +12,6 @@
 // A record's status, or suspect where an alive member is suspected or unreachable.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
-// The words of the members' JSON, the metrics and the log.
-constexpr std::string_view name_of(MemberState state) {
-  constexpr std::string_view kNames[] = {"alive", "suspect", "failed", "left"};
-  return kNames[static_cast<std::size_t>(state)];
-}
-
 struct MemberView {
   std::string name, address;
   std::uint64_t incarnation = 0;
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -10,6 +10,7 @@
 
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <string>
 #include <vector>
 
@@ -31,6 +32,7 @@
 #include "membership/record_merger.h"
 #include "membership/rejoiner.h"
 #include "membership/settings.h"
+#include "membership/state_names.h"
 #include "membership/suspicions.h"
 
 namespace cometfold::membership {
--- a/src/membership/reachability.cpp
+++ b/src/membership/reachability.cpp
@@ -4,6 +4,7 @@
 #include <string>
 
 #include "membership/faults.h"
+#include "membership/state_names.h"
 
 namespace cometfold::membership {
 
--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -4,6 +4,7 @@
 #include <random>
 
 #include "membership/connectivity.h"
+#include "membership/state_names.h"
 #include "membership/wire.h"
 #include "peer_messages.pb.h"
 
@@ -234,5 +235,16 @@
   EXPECT_EQ(ConnectivityTracker::classify({1, 1, false}), ConnectivityState::kIsolated);
 }
 
+TEST(Connectivity, StatesKeepTheWordsThatOperatorsRead) {
+  EXPECT_EQ(name_of(ConnectivityState::kConnected), "together");
+  EXPECT_EQ(name_of(ConnectivityState::kDegraded), "doubtful");
+  EXPECT_EQ(name_of(ConnectivityState::kPartitioned), "cut-off");
+  EXPECT_EQ(name_of(ConnectivityState::kIsolated), "alone");
+  EXPECT_EQ(name_of(MemberState::kAlive), "alive");
+  EXPECT_EQ(name_of(MemberState::kSuspect), "suspect");
+  EXPECT_EQ(name_of(MemberState::kFailed), "failed");
+  EXPECT_EQ(name_of(MemberState::kLeft), "left");
+}
+
 }  // namespace
 }  // namespace cometfold::membership::testing
