--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -9,8 +9,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxPendingCommands = 64;         // of one connection, without their complete replies
-constexpr std::size_t kMaxUnwrittenBytes = 256 * 1024;  // of one connection's replies
+constexpr std::size_t kMaxPendingCommands = 64;  // of one connection, without their complete replies
+constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;  // of one connection's replies
 
 // Sets a flag for as long as it lives.
 class FlagScope {
--- a/src/resp/client_connection_replies.cpp
+++ b/src/resp/client_connection_replies.cpp
@@ -12,8 +12,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxValueAheadBytes = 48 * 1024;  // of a streamed value, not yet taken by its client
-constexpr std::size_t kMaxInvalidCommands = 8;          // of one connection, before it is closed
+constexpr std::size_t kMaxValueAheadBytes =
+    std::size_t{48} * 1024;                     // of a streamed value, not yet taken by its client
+constexpr std::size_t kMaxInvalidCommands = 8;  // of one connection, before it is closed
 
 }  // namespace
 
--- a/src/resp/client_totals.h
+++ b/src/resp/client_totals.h
@@ -10,7 +10,7 @@
 namespace cometfold::resp {
 
 struct ClientTotals {
-  std::size_t max_unsent_bytes = 24 * 1024 * 1024;  // replies that clients have not taken
+  std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;  // replies that clients have not taken
   std::size_t max_buffered_bytes =
       24 * 1024 * 1024;  // command buffers, before large incomplete commands fail
   std::size_t unsent_bytes = 0;
--- a/src/resp/command_input.cpp
+++ b/src/resp/command_input.cpp
@@ -6,8 +6,9 @@
 namespace {
 
 // A smaller buffer is never given up for the limit over all connections.
-constexpr std::size_t kMaxExemptBufferBytes = 16 * 1024;
-constexpr std::size_t kMaxReadAheadBytes = 512 * 1024;  // of a client whose commands are not taken for now
+constexpr std::size_t kMaxExemptBufferBytes = std::size_t{16} * 1024;
+constexpr std::size_t kMaxReadAheadBytes =
+    std::size_t{512} * 1024;  // of a client whose commands are not taken for now
 
 }  // namespace
 
--- /dev/null
+++ b/src/resp/host_connection.cpp
@@ -0,0 +1,212 @@
+#include "resp/host_connection.h"
+
+#include <utility>
+
+#include "engine/faults.h"
+#include "resp/single_host_pool.h"
+
+namespace cometfold::resp {
+using engine::mutant;
+using engine::Mutant;
+
+namespace {
+
+constexpr std::size_t kMaxIdleRequestBytes = 4096;  // a larger request's memory is freed after the reply
+// Of a streamed value, before it is forwarded: from then on no other attempt can help, so its host must have
+// sent more than an announced length.
+constexpr std::size_t kMinFirstChunkBytes = 2048;
+
+}  // namespace
+
+HostConnection::HostConnection(HostPoolContext& context, std::shared_ptr<SingleHostPool> pool)
+    : context_(context),
+      pool_(std::move(pool)),
+      reader_(RespLimits{.max_elements = kHostReplyElements,
+                         .max_streamed_value_bytes = context.limits.max_value_bytes},
+              false) {}
+
+bool HostConnection::connect(const Address& address) {
+  stream_ = context_.dialer.dial(address, context_.limits.connect_timeout_ms, *this);
+  return stream_ != nullptr;
+}
+
+void HostConnection::start(Ms, AttemptId attempt, const HostCommand& command, Ms remaining_ms) {
+  attempt_ = attempt;
+  command_ = &command;
+  written_ = 0;
+  request_.clear();
+  if (connected_) begin_request(remaining_ms);
+}
+
+bool HostConnection::is_quiet() { return mutant(Mutant::kIgnoresNoise) || stream_->is_quiet(); }
+
+void HostConnection::fail(Ms now, Outcome outcome) {
+  if (closed_) return;
+  const auto keep_alive = self();
+  const AttemptId attempt = std::exchange(attempt_, 0);
+  command_ = nullptr;
+  close();
+  if (attempt != 0) context_.end_attempt(now, attempt, outcome);
+}
+
+void HostConnection::close() {
+  if (closed_) return;
+  closed_ = true;
+  stream_->close();
+  --context_.connection_count;
+  pool_->remove(self());
+}
+
+void HostConnection::on_connected(Ms now, bool up) {
+  if (closed_) return;
+  if (!up) return fail(now, Outcome::kConnectFailed);
+  connected_ = true;
+  if (!awaits_first_byte()) return read();
+  const auto remaining_ms = context_.callbacks.may_write(now, attempt_, false);
+  if (!remaining_ms) return fail(now, Outcome::kNotSent);
+  begin_request(*remaining_ms);
+  read();
+}
+
+void HostConnection::on_read(Ms now, std::size_t bytes, bool ended) {
+  if (closed_) return;
+  if (ended) return fail(now, outcome_of_break());
+  reader_.commit(bytes);
+  if (attempt_ == 0) {  // unsolicited bytes: nothing that follows can be matched to a request
+    if (mutant(Mutant::kIgnoresNoise)) return read();
+    return fail(now, Outcome::kConnectionLost);
+  }
+  process_input(now);
+}
+
+void HostConnection::resume() {
+  if (closed_ || !std::exchange(reads_paused_, false)) return;
+  read();
+}
+
+bool HostConnection::stalled(Ms now) const {
+  return value_started_ && !reads_paused_ && !closed_ &&
+         now - last_chunk_at_ > context_.limits.stall_timeout_ms;
+}
+
+void HostConnection::on_writable(Ms now, bool ok) {
+  write_blocked_ = false;
+  if (closed_) return;
+  if (!ok) return fail(now, outcome_of_break());
+  if (attempt_ != 0 && !fully_written() && !context_.callbacks.may_write(now, attempt_, true)) {
+    return fail(now, Outcome::kNotSent);  // not all of it is written, so it never runs
+  }
+  write();
+}
+
+// A write may fail inside the admission module, which must not be entered again, so its attempt ends here.
+void HostConnection::on_posted(Ms now) {
+  if (attempt_ == write_failed_attempt_) fail(now, outcome_of_break());
+}
+
+// Only a request that is fully written can have begun to run. One that breaks before that may be sent again.
+Outcome HostConnection::outcome_of_break() const {
+  const bool may_have_run = fully_written() && !mutant(Mutant::kResendsAfterReset);
+  return may_have_run ? Outcome::kConnectionLost : Outcome::kConnectFailed;
+}
+
+// Rendered just before it is written, so that the host gets no more time than its client has left.
+void HostConnection::begin_request(Ms remaining_ms) {
+  request_ = std::exchange(command_, nullptr)->render(remaining_ms);
+  write();
+}
+
+void HostConnection::write() {
+  while (written_ < request_.size()) {
+    const auto result = stream_->write(std::string_view(request_).substr(written_));
+    if (result.blocked) {
+      if (!std::exchange(write_blocked_, true)) stream_->await_writable();
+      return;
+    }
+    if (result.disconnected) {
+      write_failed_attempt_ = attempt_;
+      return stream_->post();
+    }
+    written_ += result.bytes;
+    if (fully_written() && attempt_ != 0) context_.callbacks.on_attempt_written(attempt_);
+  }
+}
+
+// A read is pending on idle connections too, so that one which the host has closed is not used again.
+void HostConnection::read() { stream_->read(reader_.prepare()); }
+
+void HostConnection::process_input(Ms now) {
+  switch (reader_.next(frame_)) {
+    case ReadResult::kNeedMore:
+      return read();
+    case ReadResult::kProtocolError:
+      return fail_malformed(now, text_of(reader_.error()));
+    case ReadResult::kFrame:
+      return on_reply(now);
+    case ReadResult::kStreamedValue:
+      return forward_chunk(now);
+  }
+}
+
+void HostConnection::forward_chunk(Ms now) {
+  const auto keep_alive = self();
+  last_chunk_at_ = now;
+  if (!value_started_) {
+    if (reader_.streamed_value_buffered() < kMinFirstChunkBytes) return read();
+    value_started_ = true;
+    context_.callbacks.on_value_started(now, attempt_, reader_.streamed_value_size());
+    if (closed_) return;
+  }
+  const auto chunk = reader_.take_streamed_chunk();
+  const bool wants_more = chunk.empty() || context_.callbacks.on_value_chunk(now, attempt_, chunk);
+  if (closed_) return;
+  if (reader_.streamed_value_remaining() == 0) return process_input(now);
+  if (wants_more) {
+    read();
+  } else {
+    reads_paused_ = true;
+  }
+}
+
+void HostConnection::fail_malformed(Ms now, std::string_view detail) {
+  context_.log("malformed reply of a host", detail);
+  fail(now, outcome_of_break());
+}
+
+void HostConnection::on_reply(Ms now) {
+  const auto keep_alive = self();
+  const HostReply reply = read_host_reply(frame_);
+  if (reply.error != ReplyError::kNone) {
+    if (mutant(Mutant::kReadsOnAfterSpoilt)) return process_input(now);
+    return fail_malformed(now, text_of(reply.error));
+  }
+  const AttemptId attempt = std::exchange(attempt_, 0);
+  value_started_ = false;
+  const bool reusable = fully_written() && (reader_.empty() || mutant(Mutant::kIgnoresNoise));
+  // The report may start the next attempt, which could take this connection: it stays out of the pool until
+  // the value, which lies in its reader, has been passed on.
+  context_.end_attempt(now, attempt, reply.outcome, reply.value, reply.load_report);
+  if (closed_) return;
+  if (!reusable || !pool_->accepts_idle(context_.limits.max_idle_per_host)) return close();
+  become_idle(now);
+}
+
+void HostConnection::become_idle(Ms now) {
+  if (request_.capacity() > kMaxIdleRequestBytes) std::string().swap(request_);
+  written_ = request_.size();
+  // The host's system may hold back an unsolicited second reply until the first is acknowledged, by the next
+  // request at the latest, whose reply it would then be taken for.
+  stream_->send_pending_ack();
+  idle_since_ = now;
+  pool_->add_idle(self());
+  read();
+}
+
+void HostConnection::digest(engine::Digest& into) const {
+  into.add(attempt_);
+  into.add(std::uint64_t{connected_} | std::uint64_t{closed_} << 1 | std::uint64_t{write_blocked_} << 2 |
+           std::uint64_t{fully_written()} << 3 | std::uint64_t{reader_.empty()} << 4);
+  into.add(idle_since_);
+}
+
+}  // namespace cometfold::resp
--- /dev/null
+++ b/src/resp/request_parser.h
@@ -0,0 +1,64 @@
+// Reads a client's request from the words of its RESP2 command, and renders it for hosts. The wire's field
+// names and the texts of its errors stand here only. Pure.
+#pragma once
+
+#include <cstddef>
+#include <cstdint>
+#include <memory>
+#include <optional>
+#include <span>
+#include <string>
+#include <string_view>
+#include <vector>
+
+#include "cometfold/admission_controller.h"
+#include "resp/host_command.h"
+#include "resp/resp_reader.h"
+
+namespace cometfold::resp {
+
+// The names of classes and plans that clients may use, by index, and the limits of their requests.
+struct CommandNames {
+  std::vector<std::string> classes, plans;  // an empty name is withdrawn: its index is not reused
+  std::vector<Idempotency> idempotency;     // by class
+  double gateway_count = 1;
+  double max_request_units = 1;
+  std::vector<RequestBounds> bounds = {};  // by class; none: no further bounds
+};
+
+enum class RequestError : std::uint8_t {
+  kWrongArgumentCount,
+  kInvalidCustomer,
+  kInvalidIdentity,
+  kInvalidFieldList,
+  kDuplicateField,
+  kMissingField,
+  kUnknownClass,
+  kUnknownPlan,
+  kTimeoutOutOfRange,
+  kInvalidIdempotencyKey,
+  kUnitsOutOfRange,
+  kGatewayCountOutOfRange,
+  kFirstGatewayOutOfRange,
+  kMissingIdempotencyKey,  // the class needs one
+  kWrongCommandForClass,   // queries are for idempotent classes, submits for all others
+};
+// Without the error line's first word. Sent to clients: the texts are part of the protocol.
+std::string_view text_of(RequestError error);
+
+struct ParsedRequest {
+  Request request;             // without id and expiry
+  std::uint64_t identity = 0;  // the request's id on the wire
+  Ms timeout_ms = 0;           // that its client waits in all
+  std::unique_ptr<HostCommand> command;
+};
+
+// Equal but for the case of ASCII letters in `word`; `upper_case` must have none in lower case.
+bool equals_ignoring_case(std::string_view word, std::string_view upper_case);
+// Whether a command's first word, in any case, begins a request.
+bool is_request_command(std::string_view word);
+// `words` must begin with such a word. `parsed` is unspecified if there is an error.
+std::optional<RequestError> parse_request(std::span<const Item> words, const CommandNames& names,
+                                          ParsedRequest& parsed);
+
+}  // namespace cometfold::resp
--- a/src/resp/resp_reader.h
+++ b/src/resp/resp_reader.h
@@ -14,10 +14,10 @@
 namespace cometfold::resp {
 
 struct RespLimits {
-  std::size_t max_value_bytes = 64 * 1024;   // bytes of one bulk string
-  std::size_t max_elements = 8;              // of an array
-  std::size_t max_line_bytes = 1024;         // bytes of a line: a status, an error, a length
-  std::size_t max_frame_bytes = 144 * 1024;  // bytes of a whole command or reply
+  std::size_t max_value_bytes = std::size_t{64} * 1024;   // bytes of one bulk string
+  std::size_t max_elements = 8;                           // of an array
+  std::size_t max_line_bytes = 1024;                      // bytes of a line: a status, an error, a length
+  std::size_t max_frame_bytes = std::size_t{144} * 1024;  // bytes of a whole command or reply
   std::size_t max_buffer_bytes = 0;  // bytes buffered and not yet read; 0: one frame and one read more
   // A bulk string above `max_value_bytes` and up to this many bytes, first in an array, is given out in
   // chunks and never buffered as a whole. 0: none is.
--- /dev/null
+++ b/tests/delayed_connections_test.cpp
@@ -0,0 +1,94 @@
+// Connections to hosts that are established late, behind a listener whose queue is full for a while: an
+// attempt that was allowed when it was decided on may not be allowed any more.
+#include <chrono>
+#include <string>
+#include <thread>
+#include <vector>
+
+#include "net_support.h"
+
+namespace cometfold::net::testing {
+namespace {
+
+using namespace std::chrono_literals;
+
+std::string snapshot(const std::vector<std::string>& targets) { return list(7, true, targets); }
+
+// A host that accepts no connection until its queue is emptied; connects made before succeed a second later.
+class DelayedHost {
+ public:
+  DelayedHost() : listener_(0) {
+    for (int i = 0; i < 4; ++i) {
+      waiting_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+      const auto at = loopback(listener_.port());
+      ::connect(waiting_.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+    }
+  }
+  int port() const { return listener_.port(); }
+  void open() {
+    waiting_.clear();
+    while (listener_.waiting(50)) listener_.accept();  // those that filled the queue
+  }
+  // Accepts the gateway's connection within `ms`. True if bytes come on it.
+  bool receives_request(int ms) {
+    if (!listener_.waiting(ms)) return false;
+    at_ = std::make_unique<Peer>(listener_.accept());
+    return !at_->quiet(500) && at_->more();  // and not only its end
+  }
+  Peer& connection() { return *at_; }
+
+ private:
+  Listener listener_;
+  std::vector<Fd> waiting_;
+  std::unique_ptr<Peer> at_;
+};
+
+double timeout_of(const std::vector<std::string>& command) {
+  const auto at = command.at(3).find("d=");
+  return std::stod(command.at(3).substr(at + 2));
+}
+
+// The host gets the time that the client has left when the request is written, not when it was decided on.
+TEST(DelayedConnections, AHostGetsNoMoreTimeThanTheClientHasLeft) {
+  DelayedHost host;
+  Listener discovery;
+  Program program(config(snapshot({target("s-1", host.port())}), discovery.port()));
+  auto client = program.client();
+  const auto began = std::chrono::steady_clock::now();
+  client.send(query(1, "4000"));
+  std::this_thread::sleep_for(300ms);
+  host.open();
+  ASSERT_TRUE(host.receives_request(5000));
+  const double spent =
+      std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count();
+  ASSERT_GT(spent, 600);  // it was established late
+  EXPECT_LE(timeout_of(host.connection().command()),
+            4000 - spent + 500 + 150);  // `receives_request` waits up to 500 ms
+}
+
+// Hosts remember an idempotency key for a limited time. A retry that waited longer for its connection would
+// have a second effect.
+TEST(DelayedConnections, ARetryIsNotSentOnceItsIdempotencyKeyHasExpired) {
+  Listener host, discovery;
+  DelayedHost delayed;
+  auto conf = config(snapshot({target("s-1", host.port())}), discovery.port());
+  auto& keyed_class = conf["settings"].as_object()["lanes"].as_array().at(1).as_object();
+  keyed_class["key_ttl_ms"] = 600.0;
+  Program program(conf);
+  auto watch = discovery.accept();
+  watch_head(watch);
+  auto client = program.client();
+  client.send(submit("hold", 1));
+  auto at = host.accept();
+  at.command();
+  chunk(watch, list(8, false, {target("s-2", delayed.port()), target("s-1", host.port(), "leaving")}) + "\n");
+  std::this_thread::sleep_for(100ms);
+  at.reset();  // it may have run; the retry goes to the other host, whose connection is not established yet
+  std::this_thread::sleep_for(200ms);
+  delayed.open();
+  EXPECT_FALSE(delayed.receives_request(4000)) << "a retry began after the key's lifetime";
+  EXPECT_NE(client.reply(), "");
+}
+
+}  // namespace
+}  // namespace cometfold::net::testing
--- a/tests/resp_test.cpp
+++ b/tests/resp_reader_test.cpp
@@ -1,11 +1,12 @@
-// The RESP2 reader: whole, cut anywhere, too large, malformed.
+// The RESP2 reader on whole, split, oversized and malformed input, and the writer of error lines.
+#include "resp/resp_reader.h"
+
 #include <gtest/gtest.h>
 
 #include <cstring>
 #include <string>
 #include <vector>
 
-#include "resp/resp_reader.h"
 #include "resp/resp_writer.h"
 
 namespace cometfold::resp {
@@ -14,48 +15,48 @@
 void feed(RespReader& reader, std::string_view text) {
   while (!text.empty()) {
     const auto space = reader.prepare();
-    const auto n = std::min(space.size(), text.size());
-    std::memcpy(space.data(), text.data(), n);
-    reader.commit(n);
-    text.remove_prefix(n);
+    const auto bytes = std::min(space.size(), text.size());
+    std::memcpy(space.data(), text.data(), bytes);
+    reader.commit(bytes);
+    text.remove_prefix(bytes);
   }
 }
 
-// All at once, then byte by byte: the outcome must be the same.
-ReadResult outcome(const std::string& text, bool commands, Frame& frame, std::vector<std::string>& values) {
-  std::vector<ReadResult> seen;
-  for (const bool single : {false, true}) {
+// Parses all at once, then byte by byte: the result must be the same.
+ReadResult parse(const std::string& text, bool commands, Frame& frame, std::vector<std::string>& values) {
+  std::vector<ReadResult> results;
+  for (const bool byte_by_byte : {false, true}) {
     RespReader reader(RespLimits{}, commands);
-    ReadResult p = ReadResult::kNeedMore;
-    if (single) {
-      for (std::size_t i = 0; i < text.size() && p == ReadResult::kNeedMore; ++i) {
+    ReadResult result = ReadResult::kNeedMore;
+    if (byte_by_byte) {
+      for (std::size_t i = 0; i < text.size() && result == ReadResult::kNeedMore; ++i) {
         feed(reader, text.substr(i, 1));
-        p = reader.next(frame);
+        result = reader.next(frame);
       }
     } else {
       feed(reader, text);
-      p = reader.next(frame);
+      result = reader.next(frame);
     }
     values.clear();
-    if (p == ReadResult::kFrame) {
+    if (result == ReadResult::kFrame) {
       for (const auto& item : frame.items) values.emplace_back(item.text);
     }
-    seen.push_back(p);
+    results.push_back(result);
   }
-  EXPECT_EQ(seen[0], seen[1]) << text;
-  return seen[0];
+  EXPECT_EQ(results[0], results[1]) << text;
+  return results[0];
 }
 
-TEST(Resp, CommandsComeUnchangedHoweverTheyAreCut) {
+TEST(RespReader, ParsesCommandsHoweverTheBytesAreSplit) {
   Frame frame;
   std::vector<std::string> values;
   const std::string body = std::string("a\r\nb\0c$9", 8);
-  const auto p = outcome("*3\r\n$3\r\nGET\r\n$0\r\n\r\n$8\r\n" + body + "\r\n", true, frame, values);
-  ASSERT_EQ(p, ReadResult::kFrame);
+  const auto result = parse("*3\r\n$3\r\nGET\r\n$0\r\n\r\n$8\r\n" + body + "\r\n", true, frame, values);
+  ASSERT_EQ(result, ReadResult::kFrame);
   EXPECT_EQ(values, (std::vector<std::string>{"GET", "", body}));
 }
 
-TEST(Resp, FramesThatFollowEachOtherComeOneByOne) {
+TEST(RespReader, ReturnsPipelinedFramesOneByOne) {
   RespReader reader(RespLimits{}, true);
   Frame frame;
   feed(reader, "*1\r\n$1\r\na\r\n*0\r\n*1\r\n$1\r\nb\r\n*1\r\n");
@@ -69,35 +70,35 @@
   EXPECT_EQ(reader.next(frame), ReadResult::kNeedMore);
 }
 
-TEST(Resp, RepliesOfAllKinds) {
+TEST(RespReader, ParsesRepliesOfAllTypes) {
   Frame frame;
   std::vector<std::string> values;
-  ASSERT_EQ(outcome("*3\r\n$2\r\nok\r\n$-1\r\n$7\r\nqueue=2\r\n", false, frame, values), ReadResult::kFrame);
+  ASSERT_EQ(parse("*3\r\n$2\r\nok\r\n$-1\r\n$7\r\nqueue=2\r\n", false, frame, values), ReadResult::kFrame);
   EXPECT_TRUE(frame.array);
   EXPECT_EQ(frame.items[1].type, ItemType::kNull);
   EXPECT_EQ(values[2], "queue=2");
-  ASSERT_EQ(outcome("-BUSY queue=3\r\n", false, frame, values), ReadResult::kFrame);
+  ASSERT_EQ(parse("-BUSY queue=3\r\n", false, frame, values), ReadResult::kFrame);
   EXPECT_EQ(frame.items[0].type, ItemType::kError);
   EXPECT_EQ(values[0], "BUSY queue=3");
-  ASSERT_EQ(outcome(":-12\r\n", false, frame, values), ReadResult::kFrame);
+  ASSERT_EQ(parse(":-12\r\n", false, frame, values), ReadResult::kFrame);
   EXPECT_EQ(frame.items[0].type, ItemType::kInteger);
 }
 
-TEST(Resp, MalformedInputIsBroken) {
+TEST(RespReader, RejectsMalformedInput) {
   Frame frame;
   std::vector<std::string> values;
   for (const char* text :
        {"PING\r\n", "*x\r\n", "*-1\r\n", "*9\r\n", "*01\r\n", "*1\n", "*1\r\n+OK\r\n", "*1\r\n$-1\r\n",
         "*1\r\n$+1\r\n", "*1\r\n$\r\n", "*1\r\n$65537\r\n", "*1\r\n$1\r\nab\r\n", "*1\r\n*1\r\n", "\r\n"}) {
-    EXPECT_EQ(outcome(text, true, frame, values), ReadResult::kProtocolError) << text;
+    EXPECT_EQ(parse(text, true, frame, values), ReadResult::kProtocolError) << text;
   }
   for (const char* text : {"!\r\n", ":1x\r\n", "*1\r\n*1\r\n", "$-2\r\n", "*5\r\n$x\r\n"}) {
-    EXPECT_EQ(outcome(text, false, frame, values), ReadResult::kProtocolError) << text;
+    EXPECT_EQ(parse(text, false, frame, values), ReadResult::kProtocolError) << text;
   }
-  EXPECT_EQ(outcome("-" + std::string(2000, 'x'), false, frame, values), ReadResult::kProtocolError);
+  EXPECT_EQ(parse("-" + std::string(2000, 'x'), false, frame, values), ReadResult::kProtocolError);
 }
 
-TEST(Resp, NothingIsSetAsideForWhatIsOnlyAnnounced) {
+TEST(RespReader, AllocatesNothingForAnnouncedLengths) {
   RespReader reader(RespLimits{}, true);
   Frame frame;
   feed(reader, "*8\r\n$65536\r\n");
@@ -105,7 +106,7 @@
   EXPECT_LE(reader.buffer_capacity(), 4096u);
 }
 
-TEST(Resp, AWholeFrameIsBounded) {
+TEST(RespReader, BoundsTheSizeOfAFrame) {
   RespReader reader(RespLimits{}, true);
   Frame frame;
   const std::string value = "$65536\r\n" + std::string(65536, 'v') + "\r\n";
@@ -115,7 +116,7 @@
   EXPECT_EQ(reader.next(frame), ReadResult::kProtocolError);
 }
 
-TEST(Resp, AnErrorStaysOnOneLine) {
+TEST(RespWriter, WritesAnErrorOnOneLine) {
   std::string out;
   append_error(out, "ERR a\r\n+OK");
   EXPECT_EQ(out, "-ERR a+OK\r\n");
--- /dev/null
+++ b/tests/streamed_values_test.cpp
@@ -0,0 +1,328 @@
+// Values above 64 KiB are streamed: forwarded in chunks as they come, at the pace of the slower side.
+#include <string>
+#include <vector>
+
+#include "net_support.h"
+#include "resp/client_connection.h"
+#include "resp/resp_reader.h"
+
+namespace cometfold::net::testing {
+namespace {
+
+constexpr std::size_t kMebibyte = 1024 * 1024;
+
+std::string random_bytes(std::size_t bytes, unsigned seed = 1) {
+  std::string text(bytes, 0);
+  for (auto& c : text) {
+    seed = seed * 1664525 + 1013904223;
+    c = static_cast<char>(seed >> 24);
+  }
+  return text;
+}
+
+// ---- the reader ----
+
+TEST(StreamedValues, AreParsedHoweverTheBytesAreSplit) {
+  const std::string value = random_bytes(70'000);
+  const auto reply = served(value);
+  for (const std::size_t step : {1u, 7u, 1000u, 65'536u, 200'000u}) {
+    resp::RespReader reader({.max_elements = 3, .max_streamed_value_bytes = kMebibyte}, false);
+    resp::Frame frame;
+    std::string received;
+    bool complete = false;
+    std::size_t max_capacity = 0;
+    for (std::size_t at = 0; at < reply.size();) {
+      const auto space = reader.prepare();
+      const auto bytes = std::min({step, space.size(), reply.size() - at});
+      std::copy_n(reply.data() + at, bytes, space.data());
+      reader.commit(bytes);
+      at += bytes;
+      for (auto result = reader.next(frame); result != resp::ReadResult::kNeedMore;
+           result = reader.next(frame)) {
+        ASSERT_NE(result, resp::ReadResult::kProtocolError) << resp::text_of(reader.error());
+        if (result == resp::ReadResult::kFrame) {
+          complete = true;
+          break;
+        }
+        EXPECT_EQ(reader.streamed_value_size(), value.size());
+        const auto chunk = reader.take_streamed_chunk();
+        if (chunk.empty()) break;
+        received += chunk;
+      }
+      max_capacity = std::max(max_capacity, reader.buffer_capacity());
+    }
+    EXPECT_TRUE(complete) << step;
+    EXPECT_EQ(received, value) << step;
+    EXPECT_LE(max_capacity, 128 * 1024u) << step;
+    ASSERT_EQ(frame.items.size(), 3u);
+    EXPECT_EQ(frame.items[2].text, "depth=0");
+    EXPECT_TRUE(reader.empty());
+  }
+}
+
+TEST(StreamedValues, AreAcceptedOnlyFirstInAnArrayAndUpToTheLimit) {
+  for (const std::string bad :
+       {"*1\r\n$1048577\r\n", "$70000\r\n", "*3\r\n$1\r\nv\r\n$70000\r\n", "*1\r\n$3000000000\r\n"}) {
+    resp::RespReader reader({.max_elements = 3, .max_streamed_value_bytes = kMebibyte}, false);
+    resp::Frame frame;
+    const auto space = reader.prepare();
+    std::copy(bad.begin(), bad.end(), space.data());
+    reader.commit(bad.size());
+    EXPECT_EQ(reader.next(frame), resp::ReadResult::kProtocolError) << bad;
+  }
+}
+
+// ---- one client connection ----
+
+// Takes `capacity` bytes and then none.
+class LimitedStream : public resp::Stream {
+ public:
+  WriteResult write(std::string_view bytes) override {
+    const auto taken = std::min(bytes.size(), capacity);
+    written.append(bytes.substr(0, taken));
+    capacity -= taken;
+    return {taken, taken < bytes.size() && taken == 0, false};
+  }
+  void await_writable() override { ++awaited; }
+  void read(std::span<char>) override {}
+  void post() override { ++posts; }
+  std::size_t unread_bytes() override { return 0; }
+  bool is_quiet() override { return true; }
+  bool peer_closed() override { return false; }
+  void await_peer_close() override {}
+  void shutdown_send() override {}
+  void close() override { closed = true; }
+  std::string written;
+  std::size_t capacity = 0;
+  int awaited = 0, posts = 0;
+  bool closed = false;
+};
+
+struct RecordingOwner : resp::ClientConnectionCallbacks {
+  resp::CommandResult on_command(Ms, resp::ResponseHandle handle, std::span<const resp::Item>, Ms) override {
+    return {handle.sequence + 1, handle.sequence + 1, true};
+  }
+  void on_reply_pending(std::uint64_t) override {}
+  void on_reply_flushed(std::uint64_t) override {}
+  void on_client_disconnected(Ms, std::uint64_t request_id) override { disconnected.push_back(request_id); }
+  void on_closed(std::uint64_t) override {}
+  void on_client_writable(Ms, std::uint64_t request_id) override { writable.push_back(request_id); }
+  std::vector<std::uint64_t> disconnected, writable;
+};
+
+struct OneClient {
+  RecordingOwner owner;
+  resp::ClientTotals totals;
+  std::shared_ptr<resp::ClientConnection> connection =
+      std::make_shared<resp::ClientConnection>(owner, totals, 1, 0);
+  LimitedStream* stream;
+  explicit OneClient(int commands) {
+    class ReadableStream : public LimitedStream {
+     public:
+      void read(std::span<char> offered) override { space = offered; }
+      std::span<char> space;
+    };
+    auto made = std::make_unique<ReadableStream>();
+    auto* readable = made.get();
+    stream = readable;
+    connection->start(std::move(made));
+    std::string text;
+    for (int i = 0; i < commands; ++i) text += command({"X"});
+    std::copy(text.begin(), text.end(), readable->space.data());
+    connection->on_read(0, text.size(), false);
+  }
+};
+
+TEST(StreamedValues, ASlowClientPausesTheValueAndLittleIsBuffered) {
+  OneClient client(1);
+  client.connection->start_value(1, 0, 4 * kMebibyte);
+  const auto chunk = random_bytes(16 * 1024);
+  int chunks = 0;
+  while (client.connection->append_value(1, 0, chunk)) ASSERT_LT(++chunks, 100);
+  EXPECT_LE(client.totals.unsent_bytes, 96 * 1024u);
+  EXPECT_TRUE(client.owner.writable.empty());
+  std::size_t sent = (chunks + 1) * chunk.size(), max_unsent = 0;
+  while (sent < 4 * kMebibyte) {
+    client.stream->capacity = 40 * 1024;
+    client.connection->on_writable(2, true);
+    ASSERT_FALSE(client.owner.writable.empty());  // once its client has read
+    client.owner.writable.clear();
+    for (bool more = true; more && sent < 4 * kMebibyte; sent += chunk.size())
+      more = client.connection->append_value(2, 0, chunk);
+    max_unsent = std::max(max_unsent, client.totals.unsent_bytes);
+  }
+  EXPECT_LE(max_unsent, 192 * 1024u);  // of 4 MiB
+  client.stream->capacity = kMebibyte;
+  client.connection->on_writable(3, true);
+  client.connection->finish_value(3, 0);
+  EXPECT_EQ(client.totals.unsent_bytes, 0u);
+  EXPECT_EQ(client.stream->written.substr(0, 10), "$4194304\r\n");
+  EXPECT_EQ(client.stream->written.size(), 10 + 4 * kMebibyte + 2);
+}
+
+TEST(StreamedValues, OneBehindAnotherReplyIsBufferedWithinLimitsAndResumesAfterIt) {
+  OneClient client(2);
+  client.stream->capacity = kMebibyte;
+  client.connection->start_value(1, 1, 100'000);
+  const auto chunk = random_bytes(16 * 1024);
+  while (client.connection->append_value(1, 1, chunk)) {
+  }
+  EXPECT_TRUE(client.stream->written.empty());
+  EXPECT_LE(client.totals.unsent_bytes, 80 * 1024u);
+  client.connection->send_reply(2, 0, "+first\r\n");
+  EXPECT_EQ(client.stream->written.substr(0, 17), "+first\r\n$100000\r\n");
+  ASSERT_EQ(client.stream->posts, 1);
+  client.connection->on_posted(2);
+  EXPECT_EQ(client.owner.writable, std::vector<std::uint64_t>{2});
+}
+
+TEST(StreamedValues, AnAbortClosesTheConnectionOnceSomeIsWrittenAndElseIsAnError) {
+  OneClient partly_written(1);
+  partly_written.stream->capacity = kMebibyte;
+  partly_written.connection->start_value(1, 0, 100'000);
+  partly_written.connection->append_value(1, 0, "some");
+  partly_written.connection->send_reply(2, 0, "-ERR failed\r\n");
+  EXPECT_FALSE(partly_written.stream->closed);  // not from inside the call of the engine
+  partly_written.connection->on_posted(2);
+  EXPECT_TRUE(partly_written.stream->closed);
+  EXPECT_EQ(partly_written.stream->written, "$100000\r\nsome");
+  EXPECT_TRUE(partly_written.owner.disconnected.empty());  // it has had its reply
+
+  OneClient buffered(2);
+  buffered.stream->capacity = kMebibyte;
+  buffered.connection->start_value(1, 1, 100'000);
+  buffered.connection->append_value(1, 1, "some");
+  buffered.connection->send_reply(2, 1, "-ERR failed\r\n");
+  buffered.connection->send_reply(2, 0, "+first\r\n");
+  EXPECT_EQ(buffered.stream->written, "+first\r\n-ERR failed\r\n");
+  EXPECT_EQ(buffered.totals.unsent_bytes, 0u);
+}
+
+// ---- the program ----
+
+struct ProgramFixture {
+  Listener host, discovery;
+  Program program{config(list(7, true, {target("s-1", host.port())}), discovery.port())};
+};
+
+TEST(StreamedValues, ReachTheClientBeforeTheHostHasSentAll) {
+  ProgramFixture fixture;
+  auto client = fixture.program.client();
+  client.send(query(1));
+  auto at = fixture.host.accept();
+  at.command();
+  const auto value = random_bytes(3 * kMebibyte);
+  const auto reply = served(value);
+  at.send(reply.substr(0, 100'000));
+  EXPECT_EQ(client.line(), "$" + std::to_string(value.size()));
+  std::string received = client.exactly(90'000);
+  at.send(reply.substr(100'000));
+  received += client.exactly(value.size() - received.size() + 2);
+  EXPECT_EQ(received, value + "\r\n");
+  client.send(command({"PING"}));
+  EXPECT_EQ(client.reply(), "+PONG");
+  let_rest();
+  client.send(query(2));  // the connection to the host is reused
+  EXPECT_EQ(at.command().at(2), id(2));
+  at.send(served("short"));
+  EXPECT_EQ(client.reply(), "short");
+}
+
+TEST(StreamedValues, AreNotBoundByTheTimeoutOnceStarted) {
+  ProgramFixture fixture;
+  auto client = fixture.program.client();
+  client.send(query(1, "400"));
+  auto at = fixture.host.accept();
+  at.command();
+  const auto reply = served(random_bytes(100'000));
+  at.send(reply.substr(0, 50'000));
+  EXPECT_EQ(client.line(), "$100000");
+  std::this_thread::sleep_for(std::chrono::milliseconds(700));
+  at.send(reply.substr(50'000));
+  EXPECT_EQ(client.exactly(100'002), random_bytes(100'000) + "\r\n");
+}
+
+TEST(StreamedValues, AHostThatResetsEndsOnlyItsOwnClient) {
+  ProgramFixture fixture;
+  auto client = fixture.program.client(), other = fixture.program.client();
+  client.send(query(1));
+  auto at = fixture.host.accept();
+  at.command();
+  at.send(served(random_bytes(200'000)).substr(0, 100'000));
+  EXPECT_EQ(client.line(), "$200000");
+  at.reset();
+  EXPECT_TRUE(client.ends());
+  EXPECT_FALSE(fixture.host.waiting(20));  // no retry: some of it is written
+  other.send(command({"PING"}));
+  EXPECT_EQ(other.reply(), "+PONG");
+}
+
+TEST(StreamedValues, OneWithoutItsTerminatorClosesBothConnections) {
+  ProgramFixture fixture;
+  auto client = fixture.program.client();
+  client.send(query(1));
+  auto at = fixture.host.accept();
+  at.command();
+  at.send("*3\r\n$70000\r\n" + random_bytes(70'000) + "XX$-1\r\n$-1\r\n");
+  EXPECT_EQ(client.line(), "$70000");
+  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(at.ends());
+}
+
+TEST(StreamedValues, AClientThatDisconnectsEndsItsAttempt) {
+  ProgramFixture fixture;
+  auto client = fixture.program.client();
+  client.send(query(1));
+  auto at = fixture.host.accept();
+  at.command();
+  at.send(served(random_bytes(200'000)).substr(0, 100'000));
+  EXPECT_EQ(client.line(), "$200000");
+  client.reset();
+  EXPECT_TRUE(at.ends());
+}
+
+TEST(StreamedValues, AHostThatIsRemovedMeanwhileSendsTheRest) {
+  ProgramFixture fixture;
+  auto watch = fixture.discovery.accept();
+  watch_head(watch);
+  auto client = fixture.program.client();
+  client.send(query(1));
+  auto at = fixture.host.accept();
+  at.command();
+  const auto reply = served(random_bytes(200'000));
+  at.send(reply.substr(0, 100'000));
+  EXPECT_EQ(client.line(), "$200000");
+  chunk(watch, list(8, false, {target("s-1", fixture.host.port(), "left")}) + "\n");
+  let_rest();
+  at.send(reply.substr(100'000));
+  EXPECT_EQ(client.exactly(200'002), random_bytes(200'000) + "\r\n");
+}
+
+TEST(StreamedValues, AHedgedRequestsValueIsNotMixedIn) {
+  Listener one, two, discovery;
+  auto conf = config(list(7, true, {target("s-1", one.port()), target("s-2", two.port())}), discovery.port());
+  auto& settings = conf["settings"].as_object();
+  settings["ceilings"].as_object()["second_copies"] = true;
+  settings["ceilings"].as_object()["cancel"] = false;
+  settings["lanes"].as_array()[0].as_object()["slo_ms"] = 200.0;
+  Program program(conf);
+  auto client = program.client();
+  client.send(query(1));
+  const bool first_at_one = Listener::first_of(one, two);
+  auto first = (first_at_one ? one : two).accept();
+  first.command();
+  auto second = (first_at_one ? two : one).accept();
+  second.command();
+  const auto a = random_bytes(100'000, 1), b = random_bytes(100'000, 2);
+  first.send(served(a).substr(0, 60'000));
+  EXPECT_EQ(client.line(), "$100000");
+  second.send(served(b));
+  let_rest();
+  first.send(served(a).substr(60'000));
+  EXPECT_EQ(client.exactly(100'002), a + "\r\n");
+  client.send(command({"PING"}));
+  EXPECT_EQ(client.reply(), "+PONG");
+}
+
+}  // namespace
+}  // namespace cometfold::net::testing
