--- a/src/resp/client_totals.h
+++ b/src/resp/client_totals.h
@@ -10,9 +10,10 @@
 namespace cometfold::resp {
 
 struct ClientTotals {
-  std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;  // replies that clients have not taken
-  std::size_t max_buffered_bytes =
-      24 * 1024 * 1024;  // command buffers, before large incomplete commands fail
+  // Replies that clients have not taken.
+  std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;
+  // Command buffers, before large incomplete commands fail.
+  std::size_t max_buffered_bytes = std::size_t{24} * 1024 * 1024;
   std::size_t unsent_bytes = 0;
   std::size_t buffered_bytes = 0;
   std::uint64_t uses = 0;  // a logical clock: counts progress on any connection
