--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -101,7 +101,7 @@
 
 void ClientConnection::process_input(Ms now) {
   if (closed_ || lingering_) return;
-  // The buffered commands of a client that has gone must not be forwarded.
+  // The buffered commands of a disconnected client must not be forwarded.
   if (paused_ && stream_->peer_closed()) return close(now, CloseReason::kClientClosed);
   // Where all replies are written at once there is capacity again, and no event would take up the rest.
   bool more_buffered = true;
--- a/src/resp/client_connection.h
+++ b/src/resp/client_connection.h
@@ -36,7 +36,7 @@
   // it is written or can't be any more.
   virtual void on_reply_pending(std::uint64_t identity) = 0;
   virtual void on_reply_flushed(std::uint64_t identity) = 0;
-  // The client has gone before the reply to this request.
+  // The client has disconnected before the reply to this request.
   virtual void on_client_disconnected(Ms now, std::uint64_t request_id) = 0;
   // There is capacity again for the streamed value of this request.
   virtual void on_client_writable(Ms, std::uint64_t /*request_id*/) {}
@@ -81,7 +81,7 @@
   std::size_t unread_bytes() const { return stream_->unread_bytes(); }
   // No whole command has come yet.
   bool is_silent() const { return !replies_.has_replied() && replies_.empty() && !lingering_; }
-  // Larger: rather closed to make room for a new connection. 0: never, as a reply is pending.
+  // Larger values are closed first where a new connection needs capacity. 0: never, as a reply is pending.
   int eviction_priority() const;
   // The input of `may_close`.
   ConnectionState state(Ms now) const;
@@ -95,7 +95,7 @@
   // Closes what has timed out: no command, an incomplete command, no further command, or a client that reads
   // no replies. To be called a few times a second.
   void close_if_timed_out(Ms now);
-  // Closes if the client has gone while nothing is read from it.
+  // Closes if the client has disconnected while nothing is read from it.
   void check_disconnected(Ms now);
   // Unless `may_close` forbids it: that is counted in `ClientTotals::forbidden_closes`.
   void close(Ms now, CloseReason reason);
@@ -153,7 +153,7 @@
   bool write_blocked_ = false;           // `on_writable` is awaited
   bool write_failed_ = false;            // closed in `on_posted`
   bool dispatching_ = false;             // replies are written after the batch of commands
-  bool paused_ = false;                  // no commands are taken until the client has read replies
+  bool paused_ = false;                  // no commands are dispatched until the client reads replies
   bool resume_posted_ = false;           // `on_posted` takes up commands again
   bool capacity_notice_posted_ = false;  // `on_posted` calls `on_client_writable`
   bool input_rejected_ = false;          // what comes in is dropped
--- a/src/resp/client_connection_closing.cpp
+++ b/src/resp/client_connection_closing.cpp
@@ -1,5 +1,4 @@
-// When and how a client connection ends. `may_close` holds the rules; what is asked of it, and in which
-// order, is here.
+// When and how a client connection ends, by the rules of `may_close`.
 #include "resp/client_connection.h"
 
 namespace cometfold::resp {
@@ -10,7 +9,7 @@
 
 }  // namespace
 
-// Buffered commands of a paused connection are owed a reply, though they have no slot yet.
+// Buffered commands of a paused connection must be answered, though they have no slot yet.
 int ClientConnection::eviction_priority() const {
   if (!replies_.empty() || paused_) return 0;
   if (lingering_) return 3;
@@ -99,7 +98,7 @@
 
 // Lingering close: closing a socket with unread bytes sends a reset, which may destroy the last reply on its
 // way. What follows a protocol error is read and dropped. A request that crosses this end stays unread, so
-// that its client may send it elsewhere; read, it would be owed a reply that can't be sent any more.
+// that its client may send it elsewhere; its reply could not be sent any more.
 void ClientConnection::linger(Ms now) {
   if (lingering_) return;
   lingering_ = true;
--- a/src/resp/client_connection_replies.cpp
+++ b/src/resp/client_connection_replies.cpp
@@ -12,8 +12,8 @@
 
 namespace {
 
-constexpr std::size_t kMaxValueAheadBytes =
-    std::size_t{48} * 1024;                     // of a streamed value, not yet taken by its client
+// Of a streamed value, written or buffered ahead of what its client reads.
+constexpr std::size_t kMaxValueAheadBytes = std::size_t{48} * 1024;
 constexpr std::size_t kMaxInvalidCommands = 8;  // of one connection, before it is closed
 
 }  // namespace
@@ -116,8 +116,8 @@
   send_reply(now, sequence, reply);
 }
 
-// An identity stays taken until its client has the whole reply. Another request with it would be served
-// meanwhile, and two clients could not tell their replies apart.
+// An identity stays in use until the reply is fully written. Another request with it would be served
+// meanwhile, and two clients could not distinguish their replies.
 void ClientConnection::hold_identity(const CommandResult& command) {
   if (!command.is_request || closed_ || mutant(Mutant::kFreesIdentityEarly)) return;
   replies_.hold_identity(command.identity);
--- a/src/resp/client_totals.h
+++ b/src/resp/client_totals.h
@@ -10,9 +10,9 @@
 namespace cometfold::resp {
 
 struct ClientTotals {
-  // Replies that clients have not taken.
+  // Reply bytes that are not written yet.
   std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;
-  // Command buffers, before large incomplete commands fail.
+  // Bytes of command buffers, beyond which large incomplete commands fail.
   std::size_t max_buffered_bytes = std::size_t{24} * 1024 * 1024;
   std::size_t unsent_bytes = 0;
   std::size_t buffered_bytes = 0;
--- a/src/resp/close_rules.h
+++ b/src/resp/close_rules.h
@@ -12,15 +12,15 @@
 namespace cometfold::resp {
 
 enum class CloseReason : std::uint8_t {
-  kClientClosed,       // the client has ended it or is gone
-  kWriteFailed,        // the client is gone, as a write showed
+  kClientClosed,       // the client has ended it or has disconnected
+  kWriteFailed,        // the client has disconnected, as a write showed
   kStalled,            // the client reads nothing of its replies
   kNoCommand,          // no command came
   kIncompleteCommand,  // the rest of a command did not come
   kIdle,               // no further command came
   kDrain,              // unused while this gateway drains or stops
   kAfterLastReply,     // the last reply on it is written
-  kEvicted,            // closed to make room for another connection
+  kEvicted,            // closed to free capacity for another connection
 };
 // Exported as metric labels, in the order of `CloseReason`.
 inline constexpr std::string_view kCloseReasonNames[] = {
--- a/src/resp/command_input.cpp
+++ b/src/resp/command_input.cpp
@@ -5,10 +5,10 @@
 namespace cometfold::resp {
 namespace {
 
-// A smaller buffer is never given up for the limit over all connections.
+// A command in a buffer up to this size never fails because of the limit over all connections.
 constexpr std::size_t kMaxExemptBufferBytes = std::size_t{16} * 1024;
-constexpr std::size_t kMaxReadAheadBytes =
-    std::size_t{512} * 1024;  // of a client whose commands are not taken for now
+// Of a client whose commands are not dispatched for now.
+constexpr std::size_t kMaxReadAheadBytes = std::size_t{512} * 1024;
 
 }  // namespace
 
--- a/src/resp/command_input.h
+++ b/src/resp/command_input.h
@@ -21,7 +21,7 @@
   // `bytes` of that space have been filled. `awaits_command`: the client had commands before, so that the
   // wait for its next one begins with these bytes if none were buffered.
   void commit(Ms now, std::size_t bytes, bool awaits_command);
-  // The same while no commands are taken from the client; leaves all times as they are.
+  // The same while no commands are dispatched; leaves all times as they are.
   void commit_ahead(std::size_t bytes) { reader_.commit(bytes); }
   // The next command, then in `frame`. Also fails where all clients together buffer too much and this one has
   // a large incomplete command.
@@ -32,7 +32,7 @@
 
   // Nothing is buffered but the command that `next` returned last.
   bool empty() const { return reader_.empty(); }
-  // Whether more may be read from a client whose commands are not taken for now.
+  // Whether more may be read while no commands are dispatched.
   bool may_read_ahead() const;
   // Gives the memory of the buffer back to the totals. For a connection that is closed.
   void release_accounting();
--- a/src/resp/host_connection.cpp
+++ b/src/resp/host_connection.cpp
@@ -195,7 +195,7 @@
   if (request_.capacity() > kMaxIdleRequestBytes) std::string().swap(request_);
   written_ = request_.size();
   // The host's system may hold back an unsolicited second reply until the first is acknowledged, by the next
-  // request at the latest, whose reply it would then be taken for.
+  // request at the latest, and then pass for its reply.
   stream_->send_pending_ack();
   idle_since_ = now;
   pool_->add_idle(self());
--- a/src/resp/reply_queue.cpp
+++ b/src/resp/reply_queue.cpp
@@ -6,10 +6,10 @@
 namespace cometfold::resp {
 namespace {
 
-constexpr std::size_t kMaxWrittenPrefixBytes =
-    std::size_t{48} * 1024;  // written bytes that still occupy the output
-constexpr std::size_t kMaxIdleOutputBytes =
-    std::size_t{256} * 1024;  // a larger output is freed once it is written
+// Written bytes that still occupy the front of the output.
+constexpr std::size_t kMaxWrittenPrefixBytes = std::size_t{48} * 1024;
+// A larger output is freed once it is written.
+constexpr std::size_t kMaxIdleOutputBytes = std::size_t{256} * 1024;
 
 }  // namespace
 
--- a/src/resp/request_parser.h
+++ b/src/resp/request_parser.h
@@ -43,7 +43,7 @@
   kMissingIdempotencyKey,  // the class needs one
   kWrongCommandForClass,   // queries are for idempotent classes, submits for all others
 };
-// Without the error line's first word. Sent to clients: the texts are part of the protocol.
+// Without the leading `ERR`. Sent to clients: the texts are part of the protocol.
 std::string_view text_of(RequestError error);
 
 struct ParsedRequest {
@@ -53,7 +53,7 @@
   std::unique_ptr<HostCommand> command;
 };
 
-// Equal but for the case of ASCII letters in `word`; `upper_case` must have none in lower case.
+// Equal but for the case of ASCII letters in `word`; `upper_case` must contain no lower-case letter.
 bool equals_ignoring_case(std::string_view word, std::string_view upper_case);
 // Whether a command's first word, in any case, begins a request.
 bool is_request_command(std::string_view word);
--- a/src/resp/resp_handler.h
+++ b/src/resp/resp_handler.h
@@ -20,7 +20,7 @@
 class ReplySink {
  public:
   virtual ~ReplySink() = default;
-  // `reply` is one whole RESP value. Does nothing if the client is gone. Must not call back.
+  // `reply` is one whole RESP value. Does nothing if the client has disconnected. Must not call back.
   virtual void send_reply(Ms now, ResponseHandle handle, std::string_view reply) = 0;
   virtual void send_error(Ms now, ResponseHandle handle, std::string_view message) = 0;
   virtual void start_value(Ms now, ResponseHandle handle, std::size_t size) = 0;
@@ -38,7 +38,7 @@
   // A command of a client. `CommandResult::request_id` is for `Engine::on_client_disconnected`.
   // `elapsed_ms`: milliseconds of the client's timeout that have passed already.
   CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words, Ms elapsed_ms = 0);
-  // Between these calls an answered request's identity stays taken: its reply is on its way to the client.
+  // Between these calls an answered request's identity stays in use: its reply is on its way to the client.
   void on_reply_pending(std::uint64_t identity) { unflushed_identities_.insert(identity); }
   void on_reply_flushed(std::uint64_t identity) { unflushed_identities_.erase(identity); }
   // From here on PING is answered with PONG.
--- a/src/resp/resp_reader.cpp
+++ b/src/resp/resp_reader.cpp
@@ -7,8 +7,8 @@
 namespace {
 
 constexpr std::size_t kInitialBufferBytes = 2048;
-constexpr std::size_t kMaxIdleBufferBytes =
-    std::size_t{16} * 1024;                  // a larger buffer is freed once it is empty
+// A larger buffer is freed once it is empty.
+constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxLengthDigits = 9;  // keeps a length within 32 bits
 constexpr std::size_t kLineEndBytes = 2;     // CR LF
 
