--- a/src/http2/grpc.cpp
+++ b/src/http2/grpc.cpp
@@ -7,32 +7,35 @@
 
 namespace {
 
+constexpr std::size_t kMaxIdleBufferBytes = 4096;  // a larger buffer is freed after its message
+constexpr std::size_t kMaxTimeoutChars = 9;        // eight digits and a unit
+
 std::size_t length_of(std::string_view prefix) {
-  std::size_t n = 0;
-  for (std::size_t i = 1; i < kPrefix; ++i) n = n << 8 | static_cast<unsigned char>(prefix[i]);
-  return n;
+  std::size_t length = 0;
+  for (std::size_t i = 1; i < kPrefix; ++i) length = length << 8 | static_cast<unsigned char>(prefix[i]);
+  return length;
 }
 
 std::string percent_encoded(std::string_view message) {
   constexpr char kHex[] = "0123456789ABCDEF";
-  std::string out;
+  std::string encoded;
   for (const char c : message) {
     const auto byte = static_cast<unsigned char>(c);
     if (byte >= 0x20 && byte <= 0x7e && c != '%') {
-      out += c;
+      encoded += c;
     } else {
-      out += {'%', kHex[byte >> 4], kHex[byte & 15]};
+      encoded += {'%', kHex[byte >> 4], kHex[byte & 15]};
     }
   }
-  return out;
+  return encoded;
 }
 
 }  // namespace
 
 Headers trailers(const Status& status) {
-  Headers all{{"grpc-status", std::to_string(static_cast<int>(status.code))}};
-  if (!status.message.empty()) all.push_back({"grpc-message", percent_encoded(status.message)});
-  return all;
+  Headers fields{{"grpc-status", std::to_string(static_cast<int>(status.code))}};
+  if (!status.message.empty()) fields.push_back({"grpc-message", percent_encoded(status.message)});
+  return fields;
 }
 
 void append_prefix(std::string& out, std::size_t message_bytes) {
@@ -41,73 +44,86 @@
 }
 
 bool MessageReader::next(std::string_view& bytes, std::string_view& message) {
-  if (taken_) {
-    held_.clear();
-    if (held_.capacity() > 4096) held_.shrink_to_fit();
-    taken_ = false;
-  }
+  drop_delivered();
   if (status_.code != Code::kOk) return false;
-  if (held_.size() < kPrefix) {
-    // A message that has come whole is not copied.
-    const bool direct = held_.empty() && bytes.size() >= kPrefix;
-    if (!direct) {
-      const auto part = bytes.substr(0, kPrefix - held_.size());
-      held_ += part;
-      bytes.remove_prefix(part.size());
-      if (held_.size() < kPrefix) return false;
-    }
-    const std::string_view prefix = direct ? bytes : std::string_view(held_);
-    const auto length = length_of(prefix);
-    if (prefix[0] != 0) {
-      status_ = {Code::kUnimplemented, "compressed messages are not taken: send them with identity encoding"};
-      return false;
-    }
-    if (length > most_) {
-      status_ = {Code::kResourceExhausted, "a message of " + std::to_string(length) + " bytes; at most " +
-                                               std::to_string(most_) + " are taken"};
-      return false;
-    }
-    if (direct) {
-      if (bytes.size() - kPrefix >= length) {
-        message = bytes.substr(kPrefix, length);
-        bytes.remove_prefix(kPrefix + length);
-        return true;
-      }
-      held_ = bytes;
-      bytes = {};
-      return false;
-    }
+  if (buffer_.empty() && bytes.size() >= kPrefix) return next_unbuffered(bytes, message);
+  return next_buffered(bytes, message);
+}
+
+void MessageReader::drop_delivered() {
+  if (!delivered_) return;
+  buffer_.clear();
+  if (buffer_.capacity() > kMaxIdleBufferBytes) buffer_.shrink_to_fit();
+  delivered_ = false;
+}
+
+// False, with a status, if no message with this prefix is accepted.
+bool MessageReader::check_prefix(std::string_view prefix) {
+  if (prefix[0] != 0) {
+    status_ = {Code::kUnimplemented, "compressed messages are not taken: send them with identity encoding"};
+    return false;
+  }
+  const auto length = length_of(prefix);
+  if (length > max_message_bytes_) {
+    status_ = {Code::kResourceExhausted, "a message of " + std::to_string(length) + " bytes; at most " +
+                                             std::to_string(max_message_bytes_) + " are taken"};
+    return false;
   }
-  const auto length = length_of(held_);
-  const auto part = bytes.substr(0, kPrefix + length - held_.size());
-  held_ += part;
-  bytes.remove_prefix(part.size());
-  if (held_.size() < kPrefix + length) return false;
-  message = std::string_view(held_).substr(kPrefix);
-  taken_ = true;
   return true;
 }
 
+// A message that has arrived as a whole is not copied.
+bool MessageReader::next_unbuffered(std::string_view& bytes, std::string_view& message) {
+  if (!check_prefix(bytes)) return false;
+  const auto length = length_of(bytes);
+  if (bytes.size() - kPrefix < length) {
+    buffer_ = bytes;
+    bytes = {};
+    return false;
+  }
+  message = bytes.substr(kPrefix, length);
+  bytes.remove_prefix(kPrefix + length);
+  return true;
+}
+
+bool MessageReader::next_buffered(std::string_view& bytes, std::string_view& message) {
+  if (buffer_.size() < kPrefix) {
+    if (!fill_buffer(bytes, kPrefix) || !check_prefix(buffer_)) return false;
+  }
+  if (!fill_buffer(bytes, kPrefix + length_of(buffer_))) return false;
+  message = std::string_view(buffer_).substr(kPrefix);
+  delivered_ = true;
+  return true;
+}
+
+// Takes from `bytes` what is missing. True if the buffer then holds `size` bytes.
+bool MessageReader::fill_buffer(std::string_view& bytes, std::size_t size) {
+  const auto part = bytes.substr(0, size - buffer_.size());
+  buffer_ += part;
+  bytes.remove_prefix(part.size());
+  return buffer_.size() == size;
+}
+
 std::optional<Ms> parse_timeout(std::string_view text) {
-  if (text.size() < 2 || text.size() > 9) return {};
+  if (text.size() < 2 || text.size() > kMaxTimeoutChars) return {};
   std::uint32_t digits = 0;
   const auto* end = text.data() + text.size() - 1;
   const auto [at, error] = std::from_chars(text.data(), end, digits);
   if (error != std::errc{} || at != end) return {};
-  const double n = digits;
+  const double value = digits;
   switch (text.back()) {
     case 'H':
-      return n * 3'600'000;
+      return value * 3'600'000;
     case 'M':
-      return n * 60'000;
+      return value * 60'000;
     case 'S':
-      return n * 1000;
+      return value * 1000;
     case 'm':
-      return n;
+      return value;
     case 'u':
-      return n / 1000;
+      return value / 1000;
     case 'n':
-      return n / 1'000'000;
+      return value / 1'000'000;
     default:
       return {};
   }
--- a/src/http2/grpc_client.cpp
+++ b/src/http2/grpc_client.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-std::string decoded(std::string_view text) {
+std::string percent_decoded(std::string_view text) {
   std::string out;
   for (std::size_t i = 0; i < text.size(); ++i) {
     unsigned byte = 0;
@@ -24,7 +24,7 @@
   return out;
 }
 
-Code by_http_status(std::string_view status) {
+Code code_of_http_status(std::string_view status) {
   if (status == "400") return Code::kInternal;
   if (status == "403") return Code::kPermissionDenied;
   if (status == "404") return Code::kUnimplemented;
@@ -32,7 +32,7 @@
   return Code::kUnknown;
 }
 
-Code by_error(ErrorCode code) {
+Code code_of_stream_error(ErrorCode code) {
   switch (code) {
     case NGHTTP2_REFUSED_STREAM:
       return Code::kUnavailable;
@@ -49,8 +49,8 @@
 
 class Exchange : public StreamEvents, public ClientCall {
  public:
-  Exchange(std::unique_ptr<ClientCallEvents> events, std::size_t most)
-      : events_(std::move(events)), reader_(most) {}
+  Exchange(std::unique_ptr<ClientCallEvents> events, std::size_t max_message_bytes)
+      : events_(std::move(events)), reader_(max_message_bytes) {}
   void attach(Stream& stream) { stream_ = &stream; }
 
   void send(std::string_view message) override {
@@ -67,17 +67,18 @@
   void cancel() override { stream_->reset(NGHTTP2_CANCEL); }
 
   void on_headers(Ms, HeaderBlock headers) override {
-    const auto status = find(headers, ":status");
-    if (!status.empty() && status != "200")
-      status_ = {by_http_status(status), "HTTP status " + std::string(status)};
+    const auto http_status = find(headers, ":status");
+    if (!http_status.empty() && http_status != "200") {
+      status_ = {code_of_http_status(http_status), "HTTP status " + std::string(http_status)};
+    }
     const auto code = find(headers, "grpc-status");
     if (code.empty()) return;
-    int number = static_cast<int>(Code::kUnknown);
-    std::from_chars(code.data(), code.data() + code.size(), number);
-    status_ = {static_cast<Code>(number), decoded(find(headers, "grpc-message"))};
+    int status_code = static_cast<int>(Code::kUnknown);
+    std::from_chars(code.data(), code.data() + code.size(), status_code);
+    status_ = {static_cast<Code>(status_code), percent_decoded(find(headers, "grpc-message"))};
   }
   void on_data(Ms now, std::string_view bytes) override {
-    if (status_) return;  // an HTTP error's page
+    if (status_) return;  // the body of an HTTP error
     std::string_view message;
     while (reader_.next(bytes, message)) events_->on_message(now, message);
     if (reader_.status().code != Code::kOk) {
@@ -86,11 +87,11 @@
     }
   }
   void on_end(Ms) override {
-    if (!half_closed_) cancel();  // the status is there: what is still to be sent is wanted by nobody
+    if (!half_closed_) cancel();  // the status has come, so the server needs no more messages
   }
   void on_closed(Ms now, ErrorCode code) override {
     if (!status_) {
-      status_ = {code == NGHTTP2_NO_ERROR ? Code::kInternal : by_error(code),
+      status_ = {code == NGHTTP2_NO_ERROR ? Code::kInternal : code_of_stream_error(code),
                  "the stream ended without a status, code " + std::to_string(code)};
     }
     events_->on_status(now, *status_);
@@ -108,7 +109,7 @@
 
 ClientCall* start_call(Session& session, std::string_view authority, std::string_view path,
                        const Headers& metadata, std::unique_ptr<ClientCallEvents> events,
-                       std::size_t message_bytes) {
+                       std::size_t max_message_bytes) {
   Headers headers{{":method", "POST"},
                   {":scheme", "http"},
                   {":path", std::string(path)},
@@ -116,7 +117,7 @@
                   {"content-type", "application/grpc"},
                   {"te", "trailers"}};
   headers.insert(headers.end(), metadata.begin(), metadata.end());
-  auto exchange = std::make_unique<Exchange>(std::move(events), message_bytes);
+  auto exchange = std::make_unique<Exchange>(std::move(events), max_message_bytes);
   Exchange* call = exchange.get();
   Stream* stream = session.request(headers, std::move(exchange), false);
   if (!stream) return nullptr;
--- a/src/http2/grpc_client.h
+++ b/src/http2/grpc_client.h
@@ -1,4 +1,4 @@
-// The client side of gRPC on one HTTP/2 connection (`Session` in the client role). Pure, as that is.
+// The client side of gRPC on one HTTP/2 connection (`Session` in the client role). Does no I/O.
 #pragma once
 
 #include <memory>
@@ -12,10 +12,10 @@
 class ClientCallEvents {
  public:
   virtual ~ClientCallEvents() = default;
-  // Lasts until the call returns.
+  // `message` is valid until the call returns.
   virtual void on_message(Ms now, std::string_view message) = 0;
-  // The call is over; the last event. Without a status from the server: one from how the stream ended, as
-  // grpc/doc/http-grpc-status-mapping.md and the table of HTTP/2 error codes have it.
+  // The call is over; the last event. Without a status from the server it is derived from how the stream
+  // ended, by grpc/doc/http-grpc-status-mapping.md and its table of HTTP/2 error codes.
   virtual void on_status(Ms now, const Status& status) = 0;
 };
 
@@ -28,9 +28,9 @@
   virtual void cancel() = 0;
 };
 
-// Null if no stream is to be had. `message_bytes`: of one message from the server.
+// Null if no stream can be opened. `max_message_bytes`: of one message from the server.
 ClientCall* start_call(Session& session, std::string_view authority, std::string_view path,
                        const Headers& metadata, std::unique_ptr<ClientCallEvents> events,
-                       std::size_t message_bytes = 4 * 1024 * 1024);
+                       std::size_t max_message_bytes = std::size_t{4} * 1024 * 1024);
 
 }  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_server.cpp
+++ b/src/http2/grpc_server.cpp
@@ -6,32 +6,34 @@
 
 namespace {
 
-void answer_plain(Stream& stream, const char* status, const char* why) {
+constexpr std::size_t kMaxEchoedPathBytes = 200;
+
+void respond_with_text(Stream& stream, const char* status, const char* message) {
   stream.respond({{":status", status}, {"content-type", "text/plain"}});
-  stream.write(why);
+  stream.write(message);
   stream.finish();
 }
 
 // The response of a call that ends before it begins: headers only.
-void answer_status(Stream& stream, const Status& status) {
+void respond_with_status(Stream& stream, const Status& status) {
   Headers headers{{":status", "200"}, {"content-type", "application/grpc"}};
-  for (auto& t : trailers(status)) headers.push_back(std::move(t));
+  for (Header& trailer : trailers(status)) headers.push_back(std::move(trailer));
   stream.respond(headers, true);
 }
 
-const Headers kResponse{{":status", "200"}, {"content-type", "application/grpc"}};
+const Headers kResponseHeaders{{":status", "200"}, {"content-type", "application/grpc"}};
 
 }  // namespace
 
 class Connection::Exchange : public StreamEvents, public Call {
  public:
   Exchange(Connection& owner, Stream& stream, Ms now)
-      : owner_(owner), stream_(stream), reader_(owner.limits_.message_bytes), since_(now) {
-    next_ = owner.silent_;
+      : owner_(owner), stream_(stream), reader_(owner.limits_.message_bytes), opened_at_(now) {
+    next_ = owner.first_silent_;
     if (next_) next_->previous_ = this;
-    owner.silent_ = this;
+    owner.first_silent_ = this;
   }
-  ~Exchange() override { heard(); }
+  ~Exchange() override { leave_silent_list(); }
 
   void open(Ms now, Service& service, HeaderBlock headers) { events_ = service.open(now, *this, headers); }
 
@@ -40,60 +42,60 @@
     if (finished_) return;
     std::string prefix;
     append_prefix(prefix, message.size());
-    last_ = prefix.size() + message.size();
-    stream_.respond(kResponse);
+    last_message_bytes_ = prefix.size() + message.size();
+    stream_.respond(kResponseHeaders);
     stream_.write(prefix);
     stream_.write(message);
   }
   bool take_back() override {
-    if (last_ == 0 || finished_ || !stream_.take_back(last_)) return false;
-    last_ = 0;
+    if (last_message_bytes_ == 0 || finished_ || !stream_.take_back(last_message_bytes_)) return false;
+    last_message_bytes_ = 0;
     return true;
   }
   void finish(const Status& status) override {
     if (finished_) return;
     finished_ = true;
-    if (!stream_.responded()) return answer_status(stream_, status);
+    if (!stream_.responded()) return respond_with_status(stream_, status);
     stream_.finish(trailers(status));
   }
 
   // StreamEvents
   void on_headers(Ms, HeaderBlock) override {}  // trailers of a request: gRPC has none
   void on_data(Ms now, std::string_view bytes) override {
-    const auto before = reader_.held();
+    const auto before = reader_.buffered_bytes();
     std::string_view message;
     while (!finished_ && reader_.next(bytes, message)) {
-      heard();
+      leave_silent_list();
       owner_.session_.earn();
       events_->on_message(now, message);
     }
-    owner_.unread_ += reader_.held() - before;
+    owner_.incomplete_bytes_ += reader_.buffered_bytes() - before;
     if (finished_) return;
     if (reader_.status().code != Code::kOk) return finish(reader_.status());
-    if (owner_.unread_ > owner_.limits_.unread_bytes) {
+    if (owner_.incomplete_bytes_ > owner_.limits_.unread_bytes) {
       finish({Code::kResourceExhausted, "too many messages of this connection are half sent"});
     }
   }
   void on_end(Ms now) override {
     if (finished_) return;
-    if (!reader_.clean()) return finish({Code::kInternal, "the call ended inside a message"});
+    if (!reader_.empty()) return finish({Code::kInternal, "the call ended inside a message"});
     events_->on_half_closed(now);
   }
   void on_closed(Ms now, ErrorCode) override {
     finished_ = true;
-    owner_.unread_ -= reader_.held();
+    owner_.incomplete_bytes_ -= reader_.buffered_bytes();
     if (events_) events_->on_gone(now);
   }
 
   Exchange* next() const { return next_; }
-  Ms since() const { return since_; }
+  Ms opened_at() const { return opened_at_; }
 
  private:
-  // It has said something, or is over: it leaves the list.
-  void heard() {
-    if (heard_) return;
-    heard_ = true;
-    (previous_ ? previous_->next_ : owner_.silent_) = next_;
+  // After its first message, or at its end.
+  void leave_silent_list() {
+    if (!silent_) return;
+    silent_ = false;
+    (previous_ ? previous_->next_ : owner_.first_silent_) = next_;
     if (next_) next_->previous_ = previous_;
   }
 
@@ -101,10 +103,12 @@
   Stream& stream_;
   std::unique_ptr<CallEvents> events_;
   MessageReader reader_;
-  std::size_t last_ = 0;  // bytes of the latest message sent
-  Ms since_;
-  Exchange *previous_ = nullptr, *next_ = nullptr;
-  bool heard_ = false, finished_ = false;
+  std::size_t last_message_bytes_ = 0;  // bytes of the latest message sent
+  Ms opened_at_;
+  Exchange* previous_ = nullptr;
+  Exchange* next_ = nullptr;
+  bool silent_ = true;  // in the list of calls without a message
+  bool finished_ = false;
 };
 
 Connection::Connection(const ServerLimits& limits, Methods& methods, SessionEvents& owner, Ms now)
@@ -113,17 +117,18 @@
 
 std::unique_ptr<StreamEvents> Connection::on_request(Ms now, Stream& stream, HeaderBlock headers) {
   if (find(headers, ":method") != "POST") {
-    answer_plain(stream, "405", "gRPC calls are made by POST\n");
+    respond_with_text(stream, "405", "gRPC calls are made by POST\n");
     return {};
   }
   if (!is_grpc(find(headers, "content-type"))) {
-    answer_plain(stream, "415", "the content-type of gRPC calls is application/grpc\n");
+    respond_with_text(stream, "415", "the content-type of gRPC calls is application/grpc\n");
     return {};
   }
   const auto path = find(headers, ":path");
   Service* service = methods_.find(path);
   if (!service) {
-    answer_status(stream, {Code::kUnimplemented, "no method " + std::string(path.substr(0, 200))});
+    respond_with_status(
+        stream, {Code::kUnimplemented, "no method " + std::string(path.substr(0, kMaxEchoedPathBytes))});
     return {};
   }
   auto exchange = std::make_unique<Exchange>(*this, stream, now);
@@ -132,12 +137,12 @@
 }
 
 void Connection::sweep(Ms now) {
-  for (Exchange* e = silent_; e;) {
-    Exchange* next = e->next();
-    if (now - e->since() >= limits_.first_message) {
-      e->finish({Code::kDeadlineExceeded, "the call said nothing for too long"});
+  for (Exchange* call = first_silent_; call;) {
+    Exchange* next = call->next();
+    if (now - call->opened_at() >= limits_.first_message) {
+      call->finish({Code::kDeadlineExceeded, "the call said nothing for too long"});
     }
-    e = next;
+    call = next;
   }
 }
 
--- a/src/http2/grpc_server.h
+++ b/src/http2/grpc_server.h
@@ -1,4 +1,4 @@
-// The server side of gRPC on one HTTP/2 connection: calls with messages both ways. Pure, as `Session` is.
+// The server side of gRPC on one HTTP/2 connection: calls with messages both ways. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,58 +14,60 @@
 
 class Connection;
 
-// What a service hears of one call. Destroyed after `on_client_disconnected`.
+// The service's side of one call. Destroyed after `on_gone`.
 class CallEvents {
  public:
   virtual ~CallEvents() = default;
-  // Lasts until the call returns.
+  // `message` is valid until the call returns.
   virtual void on_message(Ms now, std::string_view message) = 0;
   virtual void on_half_closed(Ms now) = 0;  // the client sends nothing more
-  // The call is over: its status is out, or the client or the connection has ended it. Nothing may be sent.
+  // The call is over: its status is sent, or the client or the connection has ended it. Nothing may be sent
+  // any more.
   virtual void on_gone(Ms now) = 0;
 };
 
-// One call, for the service. Valid until `on_client_disconnected` has returned.
+// One call, for the service. Valid until `CallEvents::on_gone` has returned.
 class Call {
  public:
   virtual ~Call() = default;
   virtual void send(std::string_view message) = 0;
-  // Takes back the latest message, if none of it has left yet.
+  // Withdraws the latest message. False if some of it has been rendered.
   virtual bool take_back() = 0;
-  // The end, once. What was sent goes out before it.
+  // Ends the call, once. Messages sent before go out first.
   virtual void finish(const Status& status) = 0;
 };
 
 class Service {
  public:
   virtual ~Service() = default;
-  // A call of the method that this service stands for. `headers`, the call's metadata, last until the return.
+  // A call of this service's method. `headers` hold the call's metadata and are valid until the return.
   virtual std::unique_ptr<CallEvents> open(Ms now, Call& call, HeaderBlock headers) = 0;
 };
 
 struct ServerLimits {
   Limits http2;
-  std::size_t message_bytes = 1024 * 1024;     // of one message
-  std::size_t unread_bytes = 8 * 1024 * 1024;  // of messages that are half read, over the connection
-  Ms first_message = 10'000;                   // a call that says nothing for so long is ended
+  std::size_t message_bytes = std::size_t{1024} * 1024;     // of one message
+  std::size_t unread_bytes = std::size_t{8} * 1024 * 1024;  // of incomplete messages, over the connection
+  Ms first_message = 10'000;  // milliseconds without a message, after which a call is ended
 };
 
-// The methods that a server has, by their path.
+// The methods of a server, by their path.
 class Methods {
  public:
   virtual ~Methods() = default;
-  virtual Service* find(std::string_view path) = 0;  // null: there is none
+  virtual Service* find(std::string_view path) = 0;  // null if there is none
 };
 
 class Connection : private SessionEvents {
  public:
-  // `on_output` as in SessionEvents.
+  // `owner` gets `SessionEvents::on_output` only. All references must outlive this object.
   Connection(const ServerLimits& limits, Methods& methods, SessionEvents& owner, Ms now);
   ~Connection() override;
 
   Session& session() { return session_; }
-  std::size_t unread() const { return unread_; }
-  // Ends calls that have said nothing for too long.
+  // Bytes of incomplete messages.
+  std::size_t unread() const { return incomplete_bytes_; }
+  // Ends calls without a message for too long.
   void sweep(Ms now);
 
  private:
@@ -77,9 +79,9 @@
   ServerLimits limits_;
   Methods& methods_;
   SessionEvents& owner_;
-  std::size_t unread_ = 0;
-  Exchange* silent_ = nullptr;  // calls without a message yet: a list, in any order
-  Session session_;             // last: its end is heard by what stands above
+  std::size_t incomplete_bytes_ = 0;
+  Exchange* first_silent_ = nullptr;  // list of calls without a message yet, newest first
+  Session session_;                   // destroyed first, as its streams use the members above
 };
 
 }  // namespace cometfold::http2::grpc
--- a/src/http2/headers.h
+++ b/src/http2/headers.h
@@ -1,4 +1,4 @@
-// Headers of HTTP, as they go out and as they come.
+// HTTP headers, outgoing and incoming.
 #pragma once
 
 #include <span>
@@ -15,7 +15,7 @@
 };
 using Headers = std::vector<Header>;
 
-// Headers that came, as views that last until the call with them returns.
+// An incoming header. Valid until the call that it is passed to returns.
 struct HeaderView {
   std::string_view name, value;
 };
--- a/tests/http2_support.h
+++ b/tests/http2_support.h
@@ -1,5 +1,5 @@
-// An HTTP/2 connection in memory: a gRPC server and a client session, or frames made by hand, with the bytes
-// carried between them in pieces of any size.
+// An HTTP/2 connection in memory: a gRPC server and a client session, or hand-made frames, with the bytes
+// transferred in chunks of any size.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -15,7 +15,7 @@
 
 namespace cometfold::http2::testing {
 
-// One frame, as RFC 9113 section 4.1 has it.
+// One frame (RFC 9113 section 4.1).
 inline std::string frame(unsigned type, unsigned flags, std::uint32_t stream, std::string_view payload = {}) {
   std::string out;
   for (int shift = 16; shift >= 0; shift -= 8) out += static_cast<char>(payload.size() >> shift & 0xff);
@@ -51,39 +51,40 @@
   return out + std::string(text);
 }
 
-// A service that answers each message with itself, and keeps what it hears of its calls.
+// A service that echoes each message and records its calls.
 class Echo : public grpc::Service {
  public:
-  struct Seen {
+  struct CallRecord {
     std::vector<std::string> messages;
-    bool half_closed = false, gone = false;
+    bool half_closed = false;
+    bool closed = false;
     grpc::Call* call = nullptr;
   };
   std::unique_ptr<grpc::CallEvents> open(Ms, grpc::Call& call, HeaderBlock) override {
-    calls.push_back(std::make_shared<Seen>());
+    calls.push_back(std::make_shared<CallRecord>());
     calls.back()->call = &call;
-    return std::make_unique<One>(*this, calls.back());
+    return std::make_unique<EchoedCall>(*this, calls.back());
   }
-  std::vector<std::shared_ptr<Seen>> calls;
-  bool silent = false;  // keeps the answers to itself
+  std::vector<std::shared_ptr<CallRecord>> calls;
+  bool answers_nothing = false;
 
  private:
-  struct One : grpc::CallEvents {
-    One(Echo& o, std::shared_ptr<Seen> s) : owner(o), seen(std::move(s)) {}
-    void on_message(Ms, std::string_view m) override {
-      seen->messages.emplace_back(m);
-      if (!owner.silent) seen->call->send(m);
+  struct EchoedCall : grpc::CallEvents {
+    EchoedCall(Echo& echo, std::shared_ptr<CallRecord> call) : owner(echo), record(std::move(call)) {}
+    void on_message(Ms, std::string_view message) override {
+      record->messages.emplace_back(message);
+      if (!owner.answers_nothing) record->call->send(message);
     }
     void on_half_closed(Ms) override {
-      seen->half_closed = true;
-      if (!owner.silent) seen->call->finish({});
+      record->half_closed = true;
+      if (!owner.answers_nothing) record->call->finish({});
     }
     void on_gone(Ms) override {
-      seen->gone = true;
-      seen->call = nullptr;
+      record->closed = true;
+      record->call = nullptr;
     }
     Echo& owner;
-    std::shared_ptr<Seen> seen;
+    std::shared_ptr<CallRecord> record;
   };
 };
 
@@ -101,7 +102,7 @@
   bool feed(std::string_view bytes, Ms now = 0) {
     return alive = connection->session().feed(now, bytes) && alive;
   }
-  std::string taken() {
+  std::string take_output() {
     std::string out;
     for (auto part = connection->session().output(); !part.empty(); part = connection->session().output()) {
       out += part;
@@ -120,8 +121,8 @@
   std::unique_ptr<grpc::Connection> connection;
 };
 
-// What a client heard of one call.
-struct Heard {
+// What a client got for one call.
+struct ClientCallRecord {
   std::vector<std::string> messages;
   std::optional<grpc::Status> status;
   grpc::ClientCall* call = nullptr;
@@ -130,28 +131,29 @@
 class Client : private SessionEvents {
  public:
   explicit Client(Limits limits = {}) : session(Role::kClient, limits, *this, 0) {}
-  std::shared_ptr<Heard> call(std::string_view path = "/test.Echo/Echo", const Headers& metadata = {}) {
-    auto heard = std::make_shared<Heard>();
-    heard->call = grpc::start_call(session, "a", path, metadata, std::make_unique<One>(heard));
-    return heard;
+  std::shared_ptr<ClientCallRecord> call(std::string_view path = "/test.Echo/Echo",
+                                         const Headers& metadata = {}) {
+    auto record = std::make_shared<ClientCallRecord>();
+    record->call = grpc::start_call(session, "a", path, metadata, std::make_unique<RecordedCall>(record));
+    return record;
   }
-  // Carries what is there to and fro until nothing is left, in pieces of at most `piece` bytes.
-  void carry(Server& server, Ms now = 0, std::size_t piece = 1 << 20) {
-    for (bool some = true; some;) {
-      some = false;
-      const auto there = taken();
-      for (std::size_t at = 0; at < there.size(); at += piece) {
-        server.feed(std::string_view(there).substr(at, piece), now);
-        some = true;
+  // Transfers bytes in both directions until none are left, in chunks of at most `chunk_bytes`.
+  void carry(Server& server, Ms now = 0, std::size_t chunk_bytes = 1 << 20) {
+    for (bool transferred = true; transferred;) {
+      transferred = false;
+      const auto requests = take_output();
+      for (std::size_t at = 0; at < requests.size(); at += chunk_bytes) {
+        server.feed(std::string_view(requests).substr(at, chunk_bytes), now);
+        transferred = true;
       }
-      const auto here = server.taken();
-      for (std::size_t at = 0; at < here.size(); at += piece) {
-        session.feed(now, std::string_view(here).substr(at, piece));
-        some = true;
+      const auto responses = server.take_output();
+      for (std::size_t at = 0; at < responses.size(); at += chunk_bytes) {
+        session.feed(now, std::string_view(responses).substr(at, chunk_bytes));
+        transferred = true;
       }
     }
   }
-  std::string taken() {
+  std::string take_output() {
     std::string out;
     for (auto part = session.output(); !part.empty(); part = session.output()) {
       out += part;
@@ -161,15 +163,15 @@
   }
 
  private:
-  struct One : grpc::ClientCallEvents {
-    explicit One(std::shared_ptr<Heard> h) : heard(std::move(h)) {}
-    void on_message(Ms, std::string_view m) override { heard->messages.emplace_back(m); }
+  struct RecordedCall : grpc::ClientCallEvents {
+    explicit RecordedCall(std::shared_ptr<ClientCallRecord> call) : record(std::move(call)) {}
+    void on_message(Ms, std::string_view message) override { record->messages.emplace_back(message); }
     void on_status(Ms, const grpc::Status& status) override {
-      EXPECT_FALSE(heard->status) << "two ends of one call";
-      heard->status = status;
-      heard->call = nullptr;
+      EXPECT_FALSE(record->status) << "two ends of one call";
+      record->status = status;
+      record->call = nullptr;
     }
-    std::shared_ptr<Heard> heard;
+    std::shared_ptr<ClientCallRecord> record;
   };
   std::unique_ptr<StreamEvents> on_request(Ms, Stream&, HeaderBlock) override { return {}; }
   void on_output() override {}
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -1,5 +1,5 @@
-// HTTP/2 and gRPC as state machines: calls as they should be, wherever the bytes are cut, and peers that try
-// to make the server hold or do more than they pay for.
+// HTTP/2 and gRPC as state machines: well-formed calls, however their bytes are split, and peers that try to
+// cause more memory use or work than they do themselves.
 #include <random>
 
 #include "http2_support.h"
@@ -9,23 +9,23 @@
 
 using grpc::Code;
 
-TEST(Grpc, MessagesComeBackWhereverTheBytesAreCut) {
-  for (const std::size_t piece : {1, 2, 3, 7, 1000, 1 << 20}) {
+TEST(Grpc, EchoesMessagesHoweverTheBytesAreSplit) {
+  for (const std::size_t chunk_bytes : {1, 2, 3, 7, 1000, 1 << 20}) {
     Server server;
     Client client;
-    const auto heard = client.call();
+    const auto record = client.call();
     const std::string large(100'000, 'x');
-    heard->call->send("");
-    heard->call->send("one");
-    heard->call->send(large);
-    client.carry(server, 0, piece);
-    EXPECT_EQ(heard->messages, (std::vector<std::string>{"", "one", large})) << piece;
-    EXPECT_FALSE(heard->status);
-    heard->call->half_close();
-    client.carry(server, 0, piece);
-    ASSERT_TRUE(heard->status);
-    EXPECT_EQ(heard->status->code, Code::kOk);
-    EXPECT_TRUE(server.echo.calls.at(0)->gone);
+    record->call->send("");
+    record->call->send("one");
+    record->call->send(large);
+    client.carry(server, 0, chunk_bytes);
+    EXPECT_EQ(record->messages, (std::vector<std::string>{"", "one", large})) << chunk_bytes;
+    EXPECT_FALSE(record->status);
+    record->call->half_close();
+    client.carry(server, 0, chunk_bytes);
+    ASSERT_TRUE(record->status);
+    EXPECT_EQ(record->status->code, Code::kOk);
+    EXPECT_TRUE(server.echo.calls.at(0)->closed);
     EXPECT_EQ(server.connection->session().streams(), 0u);
     EXPECT_EQ(server.connection->session().unsent(), 0u);
     EXPECT_EQ(server.connection->unread(), 0u);
@@ -35,35 +35,35 @@
 TEST(Grpc, ManyCallsShareAConnection) {
   Server server;
   Client client;
-  std::vector<std::shared_ptr<Heard>> all;
+  std::vector<std::shared_ptr<ClientCallRecord>> records;
   for (int i = 0; i < 1000; ++i) {
-    all.push_back(client.call());
-    all.back()->call->send(std::to_string(i));
+    records.push_back(client.call());
+    records.back()->call->send(std::to_string(i));
   }
   client.carry(server);
-  for (int i = 0; i < 1000; ++i) EXPECT_EQ(all[i]->messages, std::vector{std::to_string(i)});
+  for (int i = 0; i < 1000; ++i) EXPECT_EQ(records[i]->messages, std::vector{std::to_string(i)});
   EXPECT_EQ(server.connection->session().streams(), 1000u);
 }
 
-TEST(Grpc, AnEndBeforeTheClientsOwnComesWholeAndFreesTheStream) {
+TEST(Grpc, AServersEarlyFinishIsDeliveredAndFreesTheStream) {
   Server server;
-  server.echo.silent = true;
+  server.echo.answers_nothing = true;
   Client client;
-  const auto heard = client.call();
-  heard->call->send("one");
+  const auto record = client.call();
+  record->call->send("one");
   client.carry(server);
   server.echo.calls.at(0)->call->send(std::string(50'000, 'y'));
   server.echo.calls.at(0)->call->finish({Code::kAborted, "100% \n done"});
   client.carry(server);
-  ASSERT_EQ(heard->messages.size(), 1u);
-  EXPECT_EQ(heard->messages[0].size(), 50'000u);
-  ASSERT_TRUE(heard->status);
-  EXPECT_EQ(heard->status->code, Code::kAborted);
-  EXPECT_EQ(heard->status->message, "100% \n done");
+  ASSERT_EQ(record->messages.size(), 1u);
+  EXPECT_EQ(record->messages[0].size(), 50'000u);
+  ASSERT_TRUE(record->status);
+  EXPECT_EQ(record->status->code, Code::kAborted);
+  EXPECT_EQ(record->status->message, "100% \n done");
   EXPECT_EQ(server.connection->session().streams(), 0u);
 }
 
-TEST(Grpc, WhatIsNoCallIsAnsweredAsPublished) {
+TEST(Grpc, RespondsToInvalidCallsAsPublished) {
   Server server;
   Client client;
   const auto unknown = client.call("/test.Echo/Nothing");
@@ -77,32 +77,32 @@
              frame(kHeadersFrame, kEndHeaders | kEndStream, 1,
                    literal(":method", "POST") + literal(":scheme", "http") + literal(":path", "/x") +
                        literal(":authority", "a") + literal("content-type", "application/json")));
-  EXPECT_NE(plain.taken().find("application/grpc\n"),
-            std::string::npos);  // the page that says so, behind 415
+  EXPECT_NE(plain.take_output().find("application/grpc\n"),
+            std::string::npos);  // the body of the response 415
   plain.feed(frame(kHeadersFrame, kEndHeaders | kEndStream, 3,
                    literal(":method", "GET") + literal(":scheme", "http") + literal(":path", "/x") +
                        literal(":authority", "a")));
-  EXPECT_NE(plain.taken().find("POST"), std::string::npos);
+  EXPECT_NE(plain.take_output().find("POST"), std::string::npos);
   EXPECT_TRUE(plain.alive);
   EXPECT_EQ(plain.connection->session().streams(), 0u);
 }
 
-TEST(Grpc, BadMessagesEndTheirCallAloneWithAStatus) {
+TEST(Grpc, InvalidMessagesEndOnlyTheirCallWithAStatus) {
   const auto status_of = [](const std::string& bytes, bool end) {
     grpc::ServerLimits limits;
     limits.message_bytes = 1000;
     Server server(limits);
     Client client;
-    const auto beside = client.call();
-    const auto heard = client.call();
+    const auto other = client.call();
+    const auto record = client.call();
     client.carry(server);
-    // Past the client's own framing: a second client's bytes on its stream.
+    // Not through the client's own framing.
     server.feed(frame(kDataFrame, end ? kEndStream : 0, 3, bytes));
     client.carry(server);
-    beside->call->send("still");
+    other->call->send("still");
     client.carry(server);
-    EXPECT_EQ(beside->messages, std::vector<std::string>{"still"});
-    return heard->status ? heard->status->code : Code::kOk;
+    EXPECT_EQ(other->messages, std::vector<std::string>{"still"});
+    return record->status ? record->status->code : Code::kOk;
   };
   EXPECT_EQ(status_of(message("good"), false), Code::kOk);
   EXPECT_EQ(status_of(std::string("\1\0\0\0\1x", 6), false), Code::kUnimplemented);     // compressed
@@ -112,7 +112,7 @@
   EXPECT_EQ(status_of(std::string("\0\0\0\0\5ab", 7), true), Code::kInternal);  // ... inside the message
 }
 
-TEST(Grpc, HalfReadMessagesAreBoundedOverTheConnection) {
+TEST(Grpc, BoundsIncompleteMessagesOfAConnection) {
   grpc::ServerLimits limits;
   limits.unread_bytes = 10'000;
   Server server(limits);
@@ -122,14 +122,14 @@
   part += std::string(2995, 'x');
   for (std::uint32_t id = 1; id <= 19; id += 2) {
     server.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()) + frame(kDataFrame, 0, id, part));
-    server.taken();
+    server.take_output();
     EXPECT_LE(server.connection->unread(), 13'000u);
   }
   EXPECT_TRUE(server.alive);
-  EXPECT_EQ(server.connection->session().streams(), 3u);  // the others were ended
+  EXPECT_EQ(server.connection->session().streams(), 3u);  // the others have been ended
 }
 
-TEST(Grpc, ACallThatSaysNothingIsEnded) {
+TEST(Grpc, EndsACallWithoutAFirstMessage) {
   Server server;
   Client client;
   const auto silent = client.call(), speaking = client.call();
@@ -145,12 +145,12 @@
   EXPECT_FALSE(speaking->status);
 }
 
-TEST(Grpc, AMessageIsTakenBackOnlyWhileNoneOfItHasLeft) {
+TEST(Grpc, WithdrawsAMessageOnlyBeforeItIsRendered) {
   Server server;
-  server.echo.silent = true;
+  server.echo.answers_nothing = true;
   Client client;
-  const auto heard = client.call();
-  heard->call->send("one");
+  const auto record = client.call();
+  record->call->send("one");
   client.carry(server);
   auto* call = server.echo.calls.at(0)->call;
   call->send("wrong");
@@ -158,11 +158,11 @@
   EXPECT_FALSE(call->take_back());
   call->send("right");
   client.carry(server);
-  EXPECT_EQ(heard->messages, std::vector<std::string>{"right"});
+  EXPECT_EQ(record->messages, std::vector<std::string>{"right"});
   EXPECT_FALSE(call->take_back());
 }
 
-TEST(Grpc, Timeouts) {
+TEST(Grpc, ParsesTimeouts) {
   EXPECT_EQ(grpc::parse_timeout("100m"), 100);
   EXPECT_EQ(grpc::parse_timeout("2S"), 2000);
   EXPECT_EQ(grpc::parse_timeout("99999999H"), 99999999.0 * 3'600'000);
@@ -174,12 +174,12 @@
 
 // ---- peers that attack ----
 
-ErrorCode ended_for(Server& server, const std::string& flood, std::size_t times,
-                    const std::string& opening = kPreface) {
+ErrorCode error_after_flood(Server& server, const std::string& flood, std::size_t times,
+                            const std::string& opening = kPreface) {
   server.feed(opening);
   for (std::size_t i = 0; i < times && server.alive; ++i) {
     server.feed(flood);
-    server.taken();
+    server.take_output();
   }
   return server.connection->session().ended_for();
 }
@@ -192,14 +192,14 @@
   };
   for (const auto& [name, flood] : floods) {
     Server server;
-    EXPECT_EQ(ended_for(server, flood, 1900), 0u) << name;  // what is at once is allowed
+    EXPECT_EQ(error_after_flood(server, flood, 1900), 0u) << name;  // within the burst
     Server flooded;
-    EXPECT_EQ(ended_for(flooded, flood, 2100), NGHTTP2_ENHANCE_YOUR_CALM) << name;
+    EXPECT_EQ(error_after_flood(flooded, flood, 2100), NGHTTP2_ENHANCE_YOUR_CALM) << name;
     EXPECT_FALSE(flooded.alive);
   }
   Server empty;
-  EXPECT_EQ(ended_for(empty, frame(kDataFrame, 0, 1), 2100,
-                      kPreface + frame(kHeadersFrame, kEndHeaders, 1, call_headers())),
+  EXPECT_EQ(error_after_flood(empty, frame(kDataFrame, 0, 1), 2100,
+                              kPreface + frame(kHeadersFrame, kEndHeaders, 1, call_headers())),
             NGHTTP2_ENHANCE_YOUR_CALM);
 }
 
@@ -210,10 +210,11 @@
   for (; id < 10'000 && attacked.alive; id += 2) {
     attacked.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()) +
                   frame(kResetFrame, 0, id, std::string("\0\0\0\10", 4)));
-    attacked.taken();
+    attacked.take_output();
   }
   EXPECT_EQ(attacked.connection->session().ended_for(), NGHTTP2_ENHANCE_YOUR_CALM);
-  EXPECT_NEAR(id / 2, 2000, 5);
+  const std::uint32_t opened_streams = id / 2;
+  EXPECT_NEAR(opened_streams, 2000, 5);
   EXPECT_LE(attacked.connection->session().streams(), 1u);
 
   Server busy;
@@ -222,7 +223,7 @@
     busy.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()) +
               frame(kDataFrame, 0, id, message("work")) +
               frame(kResetFrame, 0, id, std::string("\0\0\0\10", 4)));
-    busy.taken();
+    busy.take_output();
   }
   EXPECT_TRUE(busy.alive);
 }
@@ -238,7 +239,7 @@
   EXPECT_LE(sent, 10u);
 }
 
-TEST(Attack, AHeaderBombIsNotUnfolded) {
+TEST(Attack, AHeaderBombIsNotExpanded) {
   // One header of 4,000 bytes goes into the table; each further byte refers to it.
   std::string first = call_headers();
   first += std::string(1, '\x40');  // with incremental indexing, new name
@@ -247,7 +248,7 @@
            std::string(1, static_cast<char>((4000 - 127) >> 7)) + std::string(4000, 'v');
   Server server;
   server.feed(kPreface + frame(kHeadersFrame, kEndHeaders, 1, first));
-  server.taken();
+  server.take_output();
   EXPECT_TRUE(server.alive);
   EXPECT_EQ(server.echo.calls.size(), 1u);
   const std::string bomb = call_headers() + std::string(15'000, '\xbe');  // index 62: the newest entry
@@ -256,7 +257,7 @@
   EXPECT_EQ(server.echo.calls.size(), 1u);
 }
 
-TEST(Attack, LargeHeadersAreRefusedAndTheConnectionGoesOn) {
+TEST(Attack, LargeHeadersAreRejectedAndTheConnectionStaysOpen) {
   Server server;
   const std::string large = call_headers() + literal("x-large", std::string(14'000, 'v')) +
                             literal("x-larger", std::string(14'000, 'v'));
@@ -264,7 +265,7 @@
               frame(kContinuationFrame, kEndHeaders, 1, large.substr(16'000)));
   EXPECT_TRUE(server.alive);
   EXPECT_EQ(server.echo.calls.size(), 0u);
-  server.taken();
+  server.take_output();
   EXPECT_EQ(server.connection->session().streams(), 0u);
   server.feed(frame(kHeadersFrame, kEndHeaders, 3, call_headers()) + frame(kDataFrame, 0, 3, message("x")));
   EXPECT_EQ(server.echo.calls.at(0)->messages, std::vector<std::string>{"x"});
@@ -275,11 +276,11 @@
   limits.http2.streams = 100;
   Server server(limits);
   server.feed(kPreface);
-  server.feed(frame(kSettingsFrame, 1, 0));  // it has seen our limit
-  server.taken();
+  server.feed(frame(kSettingsFrame, 1, 0));  // acknowledges the limit
+  server.take_output();
   for (std::uint32_t id = 1; id < 2000; id += 2) {
     server.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()));
-    server.taken();
+    server.take_output();
     EXPECT_LE(server.connection->session().streams(), 100u);
   }
   EXPECT_EQ(server.echo.calls.size(), 100u);
@@ -301,54 +302,54 @@
   EXPECT_LE(server.connection->session().unsent(), 200'000u);
 }
 
-TEST(Attack, AnyBytesEndInAClearWayAndNothingIsLeft) {
+TEST(Attack, AnyBytesLeaveNoCallOpen) {
   std::mt19937 random(7);
   Client sample;
-  const auto heard = sample.call();
-  heard->call->send("something to be spoilt");
-  const std::string good = sample.taken();
+  const auto record = sample.call();
+  record->call->send("something to be corrupted");
+  const std::string good = sample.take_output();
   for (int round = 0; round < 3000; ++round) {
     Server server;
     std::string bytes = good;
-    const int spoilt = static_cast<int>(random() % 6);
-    for (int i = 0; i < spoilt; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
+    const int corrupted_bytes = static_cast<int>(random() % 6);
+    for (int i = 0; i < corrupted_bytes; ++i) bytes[random() % bytes.size()] = static_cast<char>(random());
     if (random() % 4 == 0) bytes.resize(1 + random() % (bytes.size() - 1));
     if (random() % 4 == 0) bytes += bytes.substr(random() % bytes.size());
     for (std::size_t at = 0; at < bytes.size();) {
-      const std::size_t n = 1 + random() % 40;
-      server.feed(std::string_view(bytes).substr(at, n));
-      server.taken();
-      at += n;
+      const std::size_t chunk_bytes = 1 + random() % 40;
+      server.feed(std::string_view(bytes).substr(at, chunk_bytes));
+      server.take_output();
+      at += chunk_bytes;
     }
     auto calls = server.echo.calls;
     server.connection.reset();
-    for (const auto& c : calls) EXPECT_TRUE(c->gone);
+    for (const auto& call : calls) EXPECT_TRUE(call->closed);
   }
 }
 
-TEST(Drain, NewCallsAreTakenUntilTheSecondWordAndOpenOnesEnd) {
+TEST(Drain, AcceptsCallsUntilTheSecondGoawayAndFinishesOpenOnes) {
   Server server;
   Client client;
   const auto before = client.call();
   before->call->send("a");
   client.carry(server);
   server.connection->session().announce_drain();
-  const auto on_its_way = client.call();  // sent before the client knows
-  on_its_way->call->send("b");
-  server.feed(client.taken());
+  const auto crossing = client.call();  // sent before the client gets the notice
+  crossing->call->send("b");
+  server.feed(client.take_output());
   client.carry(server);
-  EXPECT_EQ(on_its_way->messages, std::vector<std::string>{"b"});
+  EXPECT_EQ(crossing->messages, std::vector<std::string>{"b"});
   server.connection->session().drain();
   EXPECT_FALSE(server.connection->session().done());
   client.carry(server);
   EXPECT_EQ(client.call()->call, nullptr);
   before->call->send("c");
   before->call->half_close();
-  on_its_way->call->half_close();
+  crossing->call->half_close();
   client.carry(server);
   EXPECT_EQ(before->messages, (std::vector<std::string>{"a", "c"}));
   EXPECT_EQ(before->status.value().code, Code::kOk);
-  EXPECT_EQ(on_its_way->status.value().code, Code::kOk);
+  EXPECT_EQ(crossing->status.value().code, Code::kOk);
   EXPECT_TRUE(server.connection->session().done());
 }
 
