--- a/src/net/active_config.cpp
+++ b/src/net/active_config.cpp
@@ -22,7 +22,7 @@
 }
 
 settings::NumberedSettings ActiveConfig::renumber(const Config& fresh) const {
-  const settings::NumberedSettings current{config_.class_names, config_.plan_names, config_.settings};
+  settings::NumberedSettings current{config_.class_names, config_.plan_names, config_.settings};
   if (!has_other_settings(fresh)) return current;
   return settings::renumber(current, {fresh.class_names, fresh.plan_names, fresh.settings});
 }
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -20,7 +20,7 @@
 
 constexpr std::size_t kMaxConnections = 24;
 constexpr std::uint32_t kMaxHeaderBytes = 8 * 1024;
-constexpr std::uint64_t kMaxBodyBytes = 16 * 1024;
+constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{16} * 1024;
 constexpr std::size_t kReadAheadBytes = 1024;
 constexpr int kBacklog = 128;
 constexpr int kHttp11 = 11;
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -35,8 +35,9 @@
   std::size_t max_connections = 512;
   std::size_t max_unused_connections = 256;  // without a request after a reply
   // Over all connections.
-  std::size_t max_unsent_bytes = 24 * 1024 * 1024;    // of replies
-  std::size_t max_buffered_bytes = 24 * 1024 * 1024;  // of commands; beyond that large ones are rejected
+  std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;  // of replies
+  std::size_t max_buffered_bytes =
+      std::size_t{24} * 1024 * 1024;  // of commands; beyond that large ones are rejected
 };
 
 class ClientServer : public resp::ReplySink, public resp::ClientConnectionCallbacks {
--- a/src/net/discovery_error.h
+++ b/src/net/discovery_error.h
@@ -11,7 +11,7 @@
 // `location` is discovery's address; the text leaves it out, as the log names the watch.
 class DiscoveryError : public Error {
  public:
-  DiscoveryError(std::string address, std::string problem)
+  DiscoveryError(std::string address, const std::string& problem)
       : Error({std::move(address), problem, {}}, problem) {}
 };
 
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -21,6 +21,7 @@
 
 constexpr auto kSilenceTimeout = 3s;  // discovery sends a line every 2 s
 constexpr unsigned kHttp11 = 11;
+constexpr std::size_t kReadBufferBytes = std::size_t{16} * 1024;
 
 struct CallTimeouts {
   std::chrono::milliseconds connect;
@@ -183,7 +184,7 @@
                               on_list(list);
                               return !closed_;
                             }});
-  std::array<char, 16 * 1024> bytes;
+  std::array<char, kReadBufferBytes> bytes;
   while (!parser.is_done()) {
     parser.get().body().data = bytes.data();
     parser.get().body().size = bytes.size();
--- a/src/net/event_log.cpp
+++ b/src/net/event_log.cpp
@@ -47,7 +47,7 @@
   if (!dropped) return;
   boost::json::object line{{"event", event}};
   if (*dropped > 0) line["left_out_before"] = *dropped;
-  for (auto& [key, value] : fields) line[key] = std::move(value);
+  for (auto& field : fields) line[field.key()] = std::move(field.value());
   const std::string text = boost::json::serialize(line);
   // The logger's pattern has the outer braces.
   logger().log(level == LogLevel::kInfo ? spdlog::level::info : spdlog::level::warn,
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -22,7 +22,7 @@
 constexpr Ms kMaxDrainDeadline = 3000;
 constexpr Ms kDrainMargin = 450;
 
-constexpr std::size_t kBytesPerMegabyte = 1024 * 1024;
+constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
 // Of the memory, one part each for request bodies, for replies not sent yet, and for command buffers.
 // Attempts hold copies of bodies, so the sum stays well below the limit.
 constexpr std::size_t kMemoryParts = 8;
--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -65,8 +65,10 @@
 
 GatewaySettingsError GatewaySettingsError::invalid_value(const SettingsLocation& location, std::string key,
                                                          const std::string& expected) {
-  const ErrorDetails details{location.to_text(), key + " has another value", expected};
-  const std::string text = details.location + ": " + key + " must be " + expected;
+  const bool is_top_level = key.find('.') == std::string::npos;
+  const std::string shown_key = is_top_level ? "'" + key + "'" : key;
+  const ErrorDetails details{location.to_text(), shown_key + " has another value", expected};
+  const std::string text = details.location + ": " + shown_key + " must be " + expected;
   return {location, std::move(key), details, text};
 }
 
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -16,7 +16,7 @@
 
 namespace {
 
-constexpr std::size_t kReadBufferBytes = 32 * 1024;
+constexpr std::size_t kReadBufferBytes = std::size_t{32} * 1024;
 constexpr int kBacklog = 1024;
 constexpr auto kSweepInterval = std::chrono::milliseconds(250);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(5);
--- a/src/net/host_list.h
+++ b/src/net/host_list.h
@@ -39,7 +39,8 @@
 // A list that does not have the form of one. `location` is the key at fault, if it is a single one.
 class HostListError : public Error {
  public:
-  HostListError(std::string key, std::string problem) : Error({std::move(key), problem, {}}, problem) {}
+  HostListError(std::string key, const std::string& problem)
+      : Error({std::move(key), problem, {}}, problem) {}
 };
 
 // Throws HostListError.
--- a/src/net/host_list_stream.h
+++ b/src/net/host_list_stream.h
@@ -9,7 +9,7 @@
 
 namespace cometfold::net {
 
-constexpr std::size_t kMaxHostListBytes = 4 * 1024 * 1024;
+constexpr std::size_t kMaxHostListBytes = std::size_t{4} * 1024 * 1024;
 
 class HostListStream {
  public:
--- a/src/net/toml_table.cpp
+++ b/src/net/toml_table.cpp
@@ -18,6 +18,22 @@
   return text;
 }
 
+std::string quoted(const std::string& key) { return "'" + key + "'"; }
+
+std::string full_key(const std::string& table_name, const std::string& key) {
+  return table_name.empty() ? key : table_name + "." + key;
+}
+
+GatewaySettingsError unknown_key(const SettingsLocation& location, const std::string& table_name,
+                                 const std::string& key, const Table& table) {
+  if (table_name.empty()) {
+    return {location, key, "no table " + quoted(key), "there are " + joined_keys(table)};
+  }
+  std::string problem = "[" + table_name;
+  problem += "] has no " + quoted(key);
+  return {location, full_key(table_name, key), problem, "it has " + joined_keys(table)};
+}
+
 std::string without_brackets(const std::string& ip) {
   const bool has_brackets = ip.size() > 2 && ip.front() == '[' && ip.back() == ']';
   return has_brackets ? ip.substr(1, ip.size() - 2) : ip;
@@ -49,16 +65,13 @@
 void read(const std::string& file, const std::string& name, const toml::table& values, const Table& table) {
   for (const auto& [toml_key, node] : values) {
     const std::string key(toml_key.str());
-    const std::string full_key = name.empty() ? key : name + "." + key;
     const auto it = table.find(key);
     if (it == table.end()) {
-      const auto problem = name.empty() ? "no table '" + key + "'" : "[" + name + "] has no '" + key + "'";
-      const auto remedy = (name.empty() ? "there are " : "it has ") + joined_keys(table);
-      throw GatewaySettingsError(location_of(file, toml_key.source()), full_key, problem, remedy);
+      throw unknown_key(location_of(file, toml_key.source()), name, key, table);
     }
     if (const auto expected = it->second(node)) {
-      const auto shown_key = name.empty() ? "'" + key + "'" : full_key;
-      throw GatewaySettingsError::invalid_value(location_of(file, node.source()), shown_key, *expected);
+      throw GatewaySettingsError::invalid_value(location_of(file, node.source()), full_key(name, key),
+                                                *expected);
     }
   }
 }
--- a/tests/hosts_test.cpp
+++ b/tests/hosts_test.cpp
@@ -1,12 +1,11 @@
 // Attempts and pools against scripted hosts, and what the settings' reader refuses.
-#include "net/upstream_hosts.h"
-
 #include <cstring>
 #include <map>
 #include <thread>
 
 #include "net/config.h"
 #include "net/gateway.h"
+#include "net/upstream_hosts.h"
 #include "net_support.h"
 
 namespace cometfold::net::testing {
