--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -107,16 +107,16 @@
   EXPECT_TRUE(settings.processor_address->address().is_v6());
   EXPECT_FALSE(settings.processor.destination.header);
   EXPECT_TRUE(settings.processor.destination.metadata);
-  EXPECT_EQ(settings.processor.repeats, extproc::Repeats::kMarked);
-  EXPECT_EQ(settings.processor.not_run, std::vector{503});
+  EXPECT_EQ(settings.processor.proxy_retries, extproc::ProxyRetries::kMarked);
+  EXPECT_EQ(settings.processor.not_executed_statuses, std::vector{503});
   EXPECT_EQ(settings.grpc.calls.http2.streams, 50u);
   EXPECT_EQ(settings.processor.mapping.class_header, "");
   EXPECT_EQ(settings.processor.mapping.default_class, "lookup");
   ASSERT_EQ(settings.processor.mapping.rules.size(), 2u);
   EXPECT_EQ(settings.processor.mapping.rules[0].path, "/pay*");
-  EXPECT_TRUE(settings.processor.mapping.rules[0].at.ends_with(":12"));
+  EXPECT_TRUE(settings.processor.mapping.rules[0].source.ends_with(":12"));
   EXPECT_EQ(settings.processor.mapping.rules[1].units, 0.5);
-  EXPECT_EQ(settings.processor.load.queue.size(), 2u);
+  EXPECT_EQ(settings.processor.load.queue_length.size(), 2u);
 }
 
 TEST(GatewaySettings, ErrorsOfTheExternalProcessorNameTheRemedy) {
--- a/tests/host_pool_test.cpp
+++ b/tests/host_pool_test.cpp
@@ -34,7 +34,7 @@
   Clock clock;
   RecordedEnds ends;
   std::vector<std::unique_ptr<FixedCommand>> commands;  // of attempts, until the end
-  Hosts hosts;
+  UpstreamHosts hosts;
   explicit PoolFixture(HostPoolLimits limits = {}) : hosts(io, clock, ends, limits) {}
   resp::HostPool& pool() { return hosts.pool(); }
   StartResult start(AttemptId attempt, HostId host, const std::string& text) {
@@ -226,22 +226,22 @@
 
 TEST(Config, ReadsTheWiresNamesAndReportsMissingKeys) {
   const auto good = config(list(7, true, {target("s-1", 9)}), 9);
-  const auto read = read_config(good);
+  const auto read = parse_config(good);
   EXPECT_EQ(read.settings.classes.at(1).idempotency, Idempotency::kIdempotencyKey);
   EXPECT_EQ(read.settings.classes.at(1).idempotency_scope, IdempotencyScope::kAll);
   EXPECT_EQ(read.settings.plans.at(0).quota_rate, 100000);
   EXPECT_EQ(read.settings.gateway_count, 2);
   EXPECT_EQ(read.settings.load_report_fields, std::vector{LoadField::kQueueLength});
   EXPECT_EQ(read.seed, 0x8c1f30d27a5be964u);
-  EXPECT_EQ(read.known.version, 7u);
+  EXPECT_EQ(read.cached_hosts.version, 7u);
   EXPECT_EQ(read.zones, std::vector<std::string>{"a"});
   for (const auto& [key, value] : good.at("settings").as_object()) {
     if (key == "zones" || key == "host_types" || key == "load_report") continue;
     auto bad = good;
     bad["settings"].as_object().erase(key);
-    EXPECT_THROW(read_config(bad), ConfigError) << key;
+    EXPECT_THROW(parse_config(bad), ConfigError) << key;
     bad["settings"].as_object()[key] = "so";
-    EXPECT_THROW(read_config(bad), ConfigError) << key;
+    EXPECT_THROW(parse_config(bad), ConfigError) << key;
   }
 }
 
