--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -129,6 +129,7 @@
   std::vector<Statistics> statistics(thread_count);
   std::atomic<std::size_t> next_chunk{0};
   std::vector<std::jthread> threads;
+  threads.reserve(thread_count);
   for (auto& own : statistics) {
     threads.emplace_back([&] {
       const ActiveMutant active(mutant);
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -196,11 +196,11 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Plays the real engine and connections through every interleaving of small configurations."};
-  Options options;
-  add_options(app, options);
-  CLI11_PARSE(app, argc, argv);
   try {
+    CLI::App app{"Plays the real engine and connections through every interleaving of small configurations."};
+    Options options;
+    add_options(app, options);
+    CLI11_PARSE(app, argc, argv);
     return run(options);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "cometfold-explore: %s\n", error.what());
