--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -149,9 +149,8 @@
   return 0;
 }
 
-}  // namespace
-
-int main(int argc, char** argv) {
+// The exit code.
+int run_command(int argc, char** argv) {
   Options options;
   if (argc > 1) {
     CLI::App app{
@@ -166,10 +165,24 @@
   }
   if (options.print_outcomes) return print_outcomes(options);
   if (!options.config_path.empty()) return check_config(options);
+  return serve(options);
+}
+
+// The top of the program: each error that nobody has handled becomes one line of the log.
+void log_start_failure(const std::exception& error) noexcept {
   try {
-    return serve(options);
-  } catch (const std::exception& error) {
     log_line("cometfold can't start", error.what());
+  } catch (const std::exception&) {  // no memory for the line: the exit code alone tells
+  }
+}
+
+}  // namespace
+
+int main(int argc, char** argv) {
+  try {
+    return run_command(argc, argv);
+  } catch (const std::exception& error) {
+    log_start_failure(error);
     return 1;
   }
 }
--- a/tests/fuzz/run.sh
+++ b/tests/fuzz/run.sh
@@ -27,7 +27,8 @@
 pids=()
 objects=()
 for source in "${sources[@]}"; do
-  object=$folder/$(basename "$source").o
+  path=${source#"$root"/}
+  object=$folder/${path//\//_}.o
   objects+=("$object")
   clang++ "${flags[@]}" -c "$source" -o "$object" &
   pids+=($!)
--- a/tools/check.sh
+++ b/tools/check.sh
@@ -13,4 +13,5 @@
 python3 tests/deploy_platform.py "$run"
 cmake --preset test
 cmake --build --preset test
+python3 tools/lint.py . build-test
 python3 tools/run_tests.py . ctest --preset test
