--- a/emulators/h2_peer.h
+++ b/emulators/h2_peer.h
@@ -13,7 +13,7 @@
 
 class H2Peer : private http2::SessionEvents {
  public:
-  explicit H2Peer(int port, const http2::Limits& limits = patient())
+  explicit H2Peer(int port, const http2::SessionLimits& limits = patient())
       : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)),
         session_(http2::Role::kClient, limits, *this, 0) {
     const auto at = loopback(port);
@@ -25,9 +25,9 @@
   }
 
   // A client that takes whatever frames its server sends.
-  static http2::Limits patient() {
-    http2::Limits limits;
-    limits.cheap_rate = limits.cheap_burst = 1e9;
+  static http2::SessionLimits patient() {
+    http2::SessionLimits limits;
+    limits.cheap_frames_per_second = limits.cheap_frame_burst = 1e9;
     return limits;
   }
   int fd() const { return fd_.get(); }
--- a/emulators/relay.cpp
+++ b/emulators/relay.cpp
@@ -44,7 +44,7 @@
   bool to_client() {
     std::string out;
     while (answers_.next(frame_) == resp::ReadResult::kFrame) {
-      if (frame_.array) {
+      if (frame_.is_array) {
         resp::append_bulk(out, frame_.items.at(0).text);
       } else {
         resp::append_error(out, frame_.items.at(0).text);
--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -26,7 +26,7 @@
   return mutant(Mutant::kSendsAfterReply) || mutant(Mutant::kServesAbandonedAttempt);
 }
 bool mutant_sends_to_drained_host() {
-  return mutant(Mutant::kForgetsWaitingDrain) || mutant(Mutant::kNoRetirementOnPolicyException);
+  return mutant(Mutant::kKeepsWaitingAttemptsOnDrain) || mutant(Mutant::kNoRetirementOnPolicyException);
 }
 
 }  // namespace
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -107,10 +107,10 @@
 
   // The settings that attempts and rejections are held to, for requests that are accepted from now on.
   // Without them only deadlines, replies and the host list bind.
-  void set_rules(const AdmissionSettings& settings) { gate_.update_settings(settings); }
+  void update_settings(const AdmissionSettings& settings) { gate_.update_settings(settings); }
   // The listener is called for each step of each request, from inside the engine's calls; it must not call
   // back.
-  void set_trace(RequestEventListener listener) { tracer_.set_listener(std::move(listener)); }
+  void set_event_listener(RequestEventListener listener) { tracer_.set_listener(std::move(listener)); }
   // For what is accepted from now on.
   void set_limits(const EngineLimits& limits) { limits_ = limits; }
 
--- a/src/engine/faults.h
+++ b/src/engine/faults.h
@@ -7,23 +7,23 @@
 
 enum class Mutant : unsigned char {
   kNone,
-  kDuplicateReply,           // a second final reply reaches the front end
-  kResendsAfterReset,        // a connection lost after the last byte is reported as a failed connect
-  kForgetsWaitingDrain,      // a drained host's attempts that wait for their connection are kept
-  kSendsAfterReply,          // attempts that wait for their connection are not withdrawn after the reply
-  kServesAbandonedAttempt,   // the reply of an attempt that was abandoned is still used
-  kIgnoresNoise,             // bytes behind a complete reply are taken for the next one
-  kIgnoresClientDisconnect,  // the engine ignores that a client has disconnected
-  kNoDeadlineTimer,          // no timer for a request's deadline
+  kDuplicateReply,                // a second final reply reaches the front end
+  kReportsResetAsConnectFailure,  // a connection lost after the last byte is reported as a failed connect
+  kKeepsWaitingAttemptsOnDrain,   // a drained host's attempts that wait for their connection are kept
+  kSendsAfterReply,               // attempts that wait for their connection are not withdrawn after the reply
+  kServesAbandonedAttempt,        // the reply of an attempt that was abandoned is still used
+  kAcceptsExtraBytes,             // bytes behind a complete reply are taken for the next one
+  kIgnoresClientDisconnect,       // the engine ignores that a client has disconnected
+  kNoDeadlineTimer,               // no timer for a request's deadline
   kDropsRequestOnPolicyException,  // a request on which the policy threw is forgotten without a reply
-  kServesSpoilt,                   // a malformed reply is passed on as a value
+  kServesMalformedReply,           // a malformed reply is passed on as a value
   kNoRetirementOnPolicyException,  // hosts are not retired if the policy throws on the host list
   kAllowsDuplicateIdentity,        // two open requests may have one identity
-  kAnswersOutOfOrder,              // replies on one client connection are written as they arrive
+  kRepliesOutOfOrder,              // replies on one client connection are written as they arrive
   kShutdownWithoutReplies,         // the shutdown leaves open requests without a reply
   kLeaksIdentity,                  // an identity stays reserved after its request's reply
-  kReadsOnAfterSpoilt,             // what follows a malformed reply is taken for the reply
-  kFreesIdentityEarly,             // an identity is free before its reply is written completely
+  kReadsAfterMalformedReply,       // what follows a malformed reply is taken for the reply
+  kReleasesIdentityEarly,          // an identity is free before its reply is written completely
   kReportsAttemptEndTwice,         // the policy is notified of one attempt end twice
 };
 
--- a/src/engine/request_event.h
+++ b/src/engine/request_event.h
@@ -26,7 +26,7 @@
   Ms at = 0;
   RequestId request = 0;
   std::uint64_t identity = 0;                         // its id on the clients' and hosts' wire
-  ResponseHandle ticket = {};                         // kAccepted
+  ResponseHandle response = {};                       // kAccepted
   Ms remaining_ms = 0;                                // kAccepted, kSent, kFirstByte: until the deadline
   AttemptId attempt = 0;                              // kSent to kEnded
   HostId host = 0;                                    // kSent to kEnded: the attempt's host
--- a/src/engine/request_tracer.h
+++ b/src/engine/request_tracer.h
@@ -36,7 +36,7 @@
             .at = now,
             .request = id,
             .identity = request.identity,
-            .ticket = request.response,
+            .response = request.response,
             .remaining_ms = expires_at - now,
             .reason = reason};
   }
--- a/src/extproc/exchange.cpp
+++ b/src/extproc/exchange.cpp
@@ -135,7 +135,7 @@
 }
 
 bool Processor::Exchange::withdraw_decision() {
-  if (awaits_decision_ || finished_ || response_seen_ || !call_.take_back()) return false;
+  if (awaits_decision_ || finished_ || response_seen_ || !call_.withdraw()) return false;
   awaits_decision_ = true;
   return true;
 }
@@ -164,7 +164,7 @@
   call_.finish({});
 }
 
-void Processor::Exchange::on_gone(Ms now) {
+void Processor::Exchange::on_call_closed(Ms now) {
   owner_.on_call_closed(now, *this);
   finished_ = true;
 }
--- a/src/extproc/exchange.h
+++ b/src/extproc/exchange.h
@@ -23,7 +23,7 @@
   // http2::grpc::CallEvents
   void on_message(Ms now, std::string_view message) override;
   void on_half_closed(Ms now) override;
-  void on_gone(Ms now) override;
+  void on_call_closed(Ms now) override;
 
   // The request that this call carries; 0: none.
   PendingId pending_id() const { return pending_id_; }
--- a/src/http2/grpc_server.cpp
+++ b/src/http2/grpc_server.cpp
@@ -28,7 +28,7 @@
 class Connection::Exchange : public StreamEvents, public Call {
  public:
   Exchange(Connection& owner, Stream& stream, Ms now)
-      : owner_(owner), stream_(stream), reader_(owner.limits_.message_bytes), opened_at_(now) {
+      : owner_(owner), stream_(stream), reader_(owner.limits_.max_message_bytes), opened_at_(now) {
     next_ = owner.first_silent_;
     if (next_) next_->previous_ = this;
     owner.first_silent_ = this;
@@ -47,8 +47,8 @@
     stream_.write(prefix);
     stream_.write(message);
   }
-  bool take_back() override {
-    if (last_message_bytes_ == 0 || finished_ || !stream_.take_back(last_message_bytes_)) return false;
+  bool withdraw() override {
+    if (last_message_bytes_ == 0 || finished_ || !stream_.withdraw(last_message_bytes_)) return false;
     last_message_bytes_ = 0;
     return true;
   }
@@ -66,13 +66,13 @@
     std::string_view message;
     while (!finished_ && reader_.next(bytes, message)) {
       leave_silent_list();
-      owner_.session_.earn();
+      owner_.session_.on_work_done();
       events_->on_message(now, message);
     }
     owner_.incomplete_bytes_ += reader_.buffered_bytes() - before;
     if (finished_) return;
     if (reader_.status().code != Code::kOk) return finish(reader_.status());
-    if (owner_.incomplete_bytes_ > owner_.limits_.unread_bytes) {
+    if (owner_.incomplete_bytes_ > owner_.limits_.max_incomplete_bytes) {
       finish({Code::kResourceExhausted, "too many messages of this connection are half sent"});
     }
   }
@@ -84,7 +84,7 @@
   void on_closed(Ms now, ErrorCode) override {
     finished_ = true;
     owner_.incomplete_bytes_ -= reader_.buffered_bytes();
-    if (events_) events_->on_gone(now);
+    if (events_) events_->on_call_closed(now);
   }
 
   Exchange* next() const { return next_; }
@@ -139,7 +139,7 @@
 void Connection::sweep(Ms now) {
   for (Exchange* call = first_silent_; call;) {
     Exchange* next = call->next();
-    if (now - call->opened_at() >= limits_.first_message) {
+    if (now - call->opened_at() >= limits_.first_message_timeout_ms) {
       call->finish({Code::kDeadlineExceeded, "the call said nothing for too long"});
     }
     call = next;
--- a/src/http2/grpc_server.h
+++ b/src/http2/grpc_server.h
@@ -23,7 +23,7 @@
   virtual void on_half_closed(Ms now) = 0;  // the client sends nothing more
   // The call is over: its status is sent, or the client or the connection has ended it. Nothing may be sent
   // any more.
-  virtual void on_gone(Ms now) = 0;
+  virtual void on_call_closed(Ms now) = 0;
 };
 
 // One call, for the service. Valid until `CallEvents::on_gone` has returned.
@@ -32,7 +32,7 @@
   virtual ~Call() = default;
   virtual void send(std::string_view message) = 0;
   // Withdraws the latest message. False if some of it has been rendered.
-  virtual bool take_back() = 0;
+  virtual bool withdraw() = 0;
   // Ends the call, once. Messages sent before go out first.
   virtual void finish(const Status& status) = 0;
 };
@@ -45,10 +45,11 @@
 };
 
 struct ServerLimits {
-  Limits http2;
-  std::size_t message_bytes = std::size_t{1024} * 1024;     // of one message
-  std::size_t unread_bytes = std::size_t{8} * 1024 * 1024;  // of incomplete messages, over the connection
-  Ms first_message = 10'000;  // milliseconds without a message, after which a call is ended
+  SessionLimits http2;
+  std::size_t max_message_bytes = std::size_t{1024} * 1024;  // of one message
+  std::size_t max_incomplete_bytes =
+      std::size_t{8} * 1024 * 1024;      // of incomplete messages, over the connection
+  Ms first_message_timeout_ms = 10'000;  // milliseconds without a message, after which a call is ended
 };
 
 // The methods of a server, by their path.
@@ -66,7 +67,7 @@
 
   Session& session() { return session_; }
   // Bytes of incomplete messages.
-  std::size_t unread() const { return incomplete_bytes_; }
+  std::size_t incomplete_bytes() const { return incomplete_bytes_; }
   // Ends calls without a message for too long.
   void sweep(Ms now);
 
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -19,13 +19,14 @@
 
 }  // namespace
 
-Session::Session(Role role, const Limits& limits, SessionEvents& events, Ms now)
+Session::Session(Role role, const SessionLimits& limits, SessionEvents& events, Ms now)
     : role_(role),
       limits_(limits),
       events_(events),
       now_(now),
-      header_block_(limits.header_bytes),
-      flood_guard_(limits.cheap_rate, limits.cheap_burst, limits.cheap_earned, now) {
+      header_block_(limits.max_header_bytes),
+      flood_guard_(limits.cheap_frames_per_second, limits.cheap_frame_burst, limits.cheap_frames_per_work,
+                   now) {
   nghttp2_option* option = nullptr;
   nghttp2_option_new(&option);
   nghttp2_option_set_max_outbound_ack(option, kMaxQueuedAcks);
@@ -35,9 +36,9 @@
   nghttp2_option_set_no_closed_streams(option, 1);
   nghttp2_option_set_no_auto_ping_ack(option, 0);
   const nghttp2_settings_entry settings[] = {
-      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits.streams},
-      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, limits.window},
-      {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.header_bytes)},
+      {NGHTTP2_SETTINGS_MAX_CONCURRENT_STREAMS, limits.max_concurrent_streams},
+      {NGHTTP2_SETTINGS_INITIAL_WINDOW_SIZE, limits.stream_window_bytes},
+      {NGHTTP2_SETTINGS_MAX_HEADER_LIST_SIZE, static_cast<std::uint32_t>(limits.max_header_bytes)},
       {NGHTTP2_SETTINGS_ENABLE_PUSH, 0}};
   if (role == Role::kServer) {
     nghttp2_session_server_new2(&session_, Callbacks::table(), this, option);
@@ -48,7 +49,7 @@
   }
   nghttp2_option_del(option);
   nghttp2_session_set_local_window_size(session_, NGHTTP2_FLAG_NONE, 0,
-                                        static_cast<std::int32_t>(limits.connection_window));
+                                        static_cast<std::int32_t>(limits.connection_window_bytes));
 }
 
 Session::~Session() {
@@ -120,7 +121,7 @@
   stream->events_ = std::move(events);
   Stream* made = stream.get();
   streams_.emplace(id, std::move(stream));
-  earn();
+  on_work_done();
   notify_output();
   return made;
 }
@@ -190,7 +191,7 @@
   if (it == streams_.end()) return;
   const auto stream = std::move(it->second);
   streams_.erase(it);
-  stream_bytes_ -= stream->unsent();
+  stream_bytes_ -= stream->unsent_bytes();
   if (stream->events_) stream->events_->on_closed(now_, code);
 }
 
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -28,15 +28,16 @@
 
 namespace cometfold::http2 {
 
-struct Limits {
-  std::uint32_t streams = 10'000;                     // open at once, begun by the peer
-  std::size_t header_bytes = std::size_t{16} * 1024;  // of one block, as RFC 9113 section 6.5.2 counts it
-  std::size_t unsent = std::size_t{1024} * 1024;      // bytes to be sent; above it `wants_input` is false
-  double cheap_rate = 1000;                           // frames a second that cost their sender little
-  double cheap_burst = 2000;                          // of them at once
-  double cheap_earned = 3;                            // more of them for each piece of work done, see `earn`
-  std::uint32_t window = std::uint32_t{256} * 1024;   // flow control: bytes of one stream
-  std::uint32_t connection_window = std::uint32_t{4} * 1024 * 1024;
+struct SessionLimits {
+  std::uint32_t max_concurrent_streams = 10'000;          // open at once, begun by the peer
+  std::size_t max_header_bytes = std::size_t{16} * 1024;  // of one block, as RFC 9113 section 6.5.2 counts it
+  std::size_t max_unsent_bytes =
+      std::size_t{1024} * 1024;           // bytes to be sent; above it `wants_input` is false
+  double cheap_frames_per_second = 1000;  // frames a second that cost their sender little
+  double cheap_frame_burst = 2000;        // of them at once
+  double cheap_frames_per_work = 3;       // more of them for each piece of work done, see `earn`
+  std::uint32_t stream_window_bytes = std::uint32_t{256} * 1024;  // flow control: bytes of one stream
+  std::uint32_t connection_window_bytes = std::uint32_t{4} * 1024 * 1024;
 };
 
 enum class Role : std::uint8_t { kServer, kClient };
@@ -53,7 +54,7 @@
 class Session {
  public:
   // `events` must outlive this object.
-  Session(Role role, const Limits& limits, SessionEvents& events, Ms now);
+  Session(Role role, const SessionLimits& limits, SessionEvents& events, Ms now);
   // Closes open streams: each listener gets `on_closed` with CANCEL from inside.
   ~Session();
   Session(const Session&) = delete;
@@ -64,7 +65,7 @@
   // Bytes to write; empty if there are none now. The same until `consumed`.
   std::string_view output();
   void consumed(std::size_t bytes);
-  bool wants_input() const { return unsent() <= limits_.unsent; }
+  bool wants_input() const { return unsent_bytes() <= limits_.max_unsent_bytes; }
   // No stream is open and none may come any more.
   bool done() const;
 
@@ -73,7 +74,7 @@
   Stream* request(const Headers& headers, std::unique_ptr<StreamEvents> events, bool end);
 
   // A piece of work was done on the peer's request: a frame that ends it is no flood.
-  void earn() { flood_guard_.on_work_done(); }
+  void on_work_done() { flood_guard_.on_work_done(); }
   void ping();
   // Graceful shutdown in two steps: announces the end of the connection (new streams still come), then takes
   // no new streams.
@@ -82,12 +83,12 @@
   // Ends it at once, with a reason.
   void terminate(ErrorCode code);
 
-  std::size_t streams() const { return streams_.size(); }
-  std::size_t unsent() const { return stream_bytes_ + unwritten_output(); }
+  std::size_t stream_count() const { return streams_.size(); }
+  std::size_t unsent_bytes() const { return stream_bytes_ + unwritten_output(); }
   // The peer's preface and first frame header have come.
-  bool began() const { return preface_received_; }
+  bool preface_received() const { return preface_received_; }
   // Why the connection was ended by this side; 0: it was not.
-  ErrorCode ended_for() const { return termination_code_; }
+  ErrorCode termination_code() const { return termination_code_; }
 
  private:
   friend class Stream;
@@ -103,7 +104,7 @@
   void notify_output() { events_.on_output(); }
 
   Role role_;
-  Limits limits_;
+  SessionLimits limits_;
   SessionEvents& events_;
   nghttp2_session* session_ = nullptr;
   Ms now_;
--- a/src/http2/session_callbacks.cpp
+++ b/src/http2/session_callbacks.cpp
@@ -89,7 +89,7 @@
                                 std::size_t size, void* user_data) {
   Session& session = session_of(user_data);
   Stream* stream = session.find_stream(id);
-  if (session.role_ == Role::kClient) session.earn();  // what a server sends was requested
+  if (session.role_ == Role::kClient) session.on_work_done();  // what a server sends was requested
   // A server that has responded drops the rest of the request.
   if (!stream || !stream->events_ || (session.role_ == Role::kServer && stream->finished_)) return 0;
   stream->events_->on_data(session.now_, to_text(bytes, size));
@@ -118,7 +118,7 @@
                                         std::size_t max_bytes, std::uint32_t* flags,
                                         nghttp2_data_source* source, void* user_data) {
   Stream& stream = *static_cast<Stream*>(source->ptr);
-  const std::size_t bytes = std::min(max_bytes, stream.unsent());
+  const std::size_t bytes = std::min(max_bytes, stream.unsent_bytes());
   if (bytes == 0 && !stream.finished_) {
     stream.deferred_ = true;
     return NGHTTP2_ERR_DEFERRED;
@@ -126,7 +126,7 @@
   std::memcpy(into, stream.output_.data() + stream.rendered_, bytes);
   stream.rendered_ += bytes;
   session_of(user_data).stream_bytes_ -= bytes;
-  if (stream.unsent() == 0) finish_output(session, stream, flags);
+  if (stream.unsent_bytes() == 0) finish_output(session, stream, flags);
   return static_cast<ssize_t>(bytes);
 }
 
--- a/src/http2/stream.cpp
+++ b/src/http2/stream.cpp
@@ -26,8 +26,8 @@
   session_.resume(*this);
 }
 
-bool Stream::take_back(std::size_t bytes) {
-  if (unsent() < bytes) return false;
+bool Stream::withdraw(std::size_t bytes) {
+  if (unsent_bytes() < bytes) return false;
   output_.resize(output_.size() - bytes);
   session_.stream_bytes_ -= bytes;
   return true;
--- a/src/http2/stream.h
+++ b/src/http2/stream.h
@@ -36,14 +36,14 @@
   void respond(const Headers& headers, bool end = false);
   void write(std::string_view bytes);
   // Withdraws the last `bytes` written. False if some of them have been rendered.
-  bool take_back(std::size_t bytes);
+  bool withdraw(std::size_t bytes);
   // Ends this side, with trailers if there are any. Once; nothing may be written after it. A server then asks
   // the client to stop sending, if it has not ended by then.
   void finish(const Headers& trailers = {});
   // Client role with an open request body.
   void end() { finish(); }
   void reset(ErrorCode code);
-  std::size_t unsent() const { return output_.size() - rendered_; }
+  std::size_t unsent_bytes() const { return output_.size() - rendered_; }
   bool responded() const { return responded_; }
 
  private:
--- a/src/limits/attempt_limits.cpp
+++ b/src/limits/attempt_limits.cpp
@@ -27,11 +27,11 @@
 
 std::optional<LimitError> check_network(const LimitsFile& file) {
   if (!is_valid(file.network_delay)) {
-    return LimitError{file.file, file.network_delay_line, "limits.network_ms",
+    return LimitError{file.path, file.network_delay_line, "limits.network_ms",
                       "is no interval: two times from 0 upward, the smaller first", "[0, 50]"};
   }
   if (!(file.clock_error_ms >= 0 && file.clock_error_ms <= kMaxTimeMs)) {
-    return LimitError{file.file, file.network_delay_line, "limits.clock_error_ms",
+    return LimitError{file.path, file.network_delay_line, "limits.clock_error_ms",
                       "is " + number_text(file.clock_error_ms) + ", not a time from 0 upward", "5 ms"};
   }
   return std::nullopt;
@@ -63,7 +63,7 @@
 
  private:
   void report(const LimitEntry& entry, std::string setting, std::string description) {
-    result_.errors.push_back({file_.file, entry.line, std::move(setting), std::move(description), ""});
+    result_.errors.push_back({file_.path, entry.line, std::move(setting), std::move(description), ""});
   }
 
   void prove_entry(std::size_t index) {
--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -45,7 +45,7 @@
 
 // The limits of a settings file as read.
 struct LimitsFile {
-  std::string file;
+  std::string path;
   Interval network_delay{0, 0};  // one way between gateway and host
   int network_delay_line = 0;
   Ms clock_error_ms = 0;  // between the gateway's clock and a host's
--- a/src/limits/entry_proof.cpp
+++ b/src/limits/entry_proof.cpp
@@ -46,7 +46,7 @@
 void EntryProof::report(int line, const char* key, std::string description, std::string nearest_valid) const {
   const std::string table =
       entry_.route.empty() ? "limits.class." + entry_.class_name : "route " + entry_.route;
-  errors_.push_back({file_.file, line, table + "." + key, std::move(description), std::move(nearest_valid)});
+  errors_.push_back({file_.path, line, table + "." + key, std::move(description), std::move(nearest_valid)});
 }
 
 void EntryProof::check_max_attempts(const RequestBounds& inherited) const {
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -62,7 +62,7 @@
     responding_ = true;
     response_.version(kHttp11);
     response_.result(static_cast<unsigned>(response.status));
-    response_.set(http::field::content_type, response.type);
+    response_.set(http::field::content_type, response.content_type);
     response_.set(http::field::cache_control, "no-store");
     response_.keep_alive(false);
     response_.body() = std::move(response.body);
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -55,9 +55,10 @@
       ready_timer_(io) {
   const Config& in_use = config_.get();
   hosts_.set_descriptor_source([this] { return clients_.evict_one(); });
-  engine_.set_rules(in_use.settings);
+  engine_.update_settings(in_use.settings);
   if (in_use.gateway_settings.log_requests) {
-    engine_.set_trace([](const engine::RequestEvent& event) { log_line("request", to_line(event)); });
+    engine_.set_event_listener(
+        [](const engine::RequestEvent& event) { log_line("request", to_line(event)); });
   }
   if (in_use.admin) admin_ = std::make_unique<AdminServer>(io, static_cast<ops::GatewayOperations&>(*this));
   upgrade_ = std::make_unique<UpgradeCoordinator>(io, in_use.handover_path, clients_,
@@ -180,7 +181,7 @@
 void Gateway::apply_settings(const Config& config, const settings::NumberedSettings& numbered) {
   config_.set_settings(config, numbered);
   policy_.update_settings(clock_.now(), config_.get().settings);
-  engine_.set_rules(config_.get().settings);
+  engine_.update_settings(config_.get().settings);
   apply_limits();
   command_handler_.set_names(config_.command_names());
   log_line("new settings are in use", std::to_string(config.class_names.size()) + " classes, " +
--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -88,7 +88,7 @@
 GatewaySettings load_gateway_settings(const std::string& path) {
   GatewaySettings settings;
   settings.processor.mapping.source = path;
-  settings.limits.file = path;
+  settings.limits.path = path;
   const toml::table file = parse_file(path);
   toml_table::read(path, "", file,
                    {{"hosts", nested(path, "hosts", hosts_table(settings))},
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -72,7 +72,7 @@
     const Ms silence = now - last_received_at_;
     // A client that does not read would keep its replies in memory.
     if (blocked_ && now - last_written_at_ > limits.response_timeout_ms) return close();
-    if (!calls_->session().began() && silence > limits.response_timeout_ms) return close();
+    if (!calls_->session().preface_received() && silence > limits.response_timeout_ms) return close();
     if (silence <= limits.silence_timeout_ms) return;
     if (!ping_sent_) {
       ping_sent_ = true;
--- a/src/net/processor_table.cpp
+++ b/src/net/processor_table.cpp
@@ -196,17 +196,18 @@
 Table grpc_table(GrpcLimits& grpc) {
   auto& calls = grpc.calls;
   auto& http2 = calls.http2;
-  return {{"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
-          {"streams", number(http2.streams, 1, 100'000, "a whole number from 1 to 100000")},
-          {"header_bytes", bytes(http2.header_bytes)},
-          {"message_bytes", bytes(calls.message_bytes)},
-          {"unread_bytes", bytes(calls.unread_bytes)},
-          {"unsent_bytes", bytes(http2.unsent)},
-          {"cheap_frames", number(http2.cheap_rate, 1, 1e6, "a number a second from 1 to 1000000")},
-          {"cheap_frames_at_once", number(http2.cheap_burst, 10, 1e6, "a number from 10 to 1000000")},
-          {"first_message_ms", timeout(calls.first_message)},
-          {"silent_ms", timeout(grpc.silence_timeout_ms)},
-          {"answer_ms", timeout(grpc.response_timeout_ms)}};
+  return {
+      {"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
+      {"streams", number(http2.max_concurrent_streams, 1, 100'000, "a whole number from 1 to 100000")},
+      {"header_bytes", bytes(http2.max_header_bytes)},
+      {"message_bytes", bytes(calls.max_message_bytes)},
+      {"unread_bytes", bytes(calls.max_incomplete_bytes)},
+      {"unsent_bytes", bytes(http2.max_unsent_bytes)},
+      {"cheap_frames", number(http2.cheap_frames_per_second, 1, 1e6, "a number a second from 1 to 1000000")},
+      {"cheap_frames_at_once", number(http2.cheap_frame_burst, 10, 1e6, "a number from 10 to 1000000")},
+      {"first_message_ms", timeout(calls.first_message_timeout_ms)},
+      {"silent_ms", timeout(grpc.silence_timeout_ms)},
+      {"answer_ms", timeout(grpc.response_timeout_ms)}};
 }
 
 }  // namespace
--- a/src/net/request_log.cpp
+++ b/src/net/request_log.cpp
@@ -28,7 +28,8 @@
                            static_cast<unsigned long long>(event.identity), kStepNames[event.kind],
                            event.remaining_ms);
   std::string line(text, static_cast<std::size_t>(size));
-  if (event.kind == RequestEvent::kAccepted) line += " connection=" + std::to_string(event.ticket.connection);
+  if (event.kind == RequestEvent::kAccepted)
+    line += " connection=" + std::to_string(event.response.connection);
   if (is_attempt_event(event.kind)) {
     size = std::snprintf(text, sizeof text, " attempt=%llu host=%08x",
                          static_cast<unsigned long long>(event.attempt), event.host);
--- a/src/ops/handover_state.cpp
+++ b/src/ops/handover_state.cpp
@@ -170,7 +170,7 @@
                                                       std::span<const PlanSettings> plans) {
   std::vector<const CustomerSnapshot*> selected;
   for (const auto& customer : customers) selected.push_back(&customer);
-  if (selected.size() <= kMaxHandedCustomers) return selected;
+  if (selected.size() <= kMaxHandoverCustomers) return selected;
   const auto rank = [&](const CustomerSnapshot* customer) {
     const bool has_ceiling =
         customer->plan_index < plans.size() && plans[customer->plan_index].ceiling_rate > 0;
@@ -178,7 +178,7 @@
   };
   std::sort(selected.begin(), selected.end(),
             [&](const auto* one, const auto* other) { return rank(one) < rank(other); });
-  selected.resize(kMaxHandedCustomers);
+  selected.resize(kMaxHandoverCustomers);
   return selected;
 }
 
@@ -225,13 +225,13 @@
                             std::span<const PlanSettings> plans) {
   // The successor takes a customer that is left out for a new one, whose ceiling is full. If the gateway
   // claims to have just started, the successor starts the ceilings of unknown customers empty instead.
-  const bool all = state.customers.size() <= kMaxHandedCustomers;
+  const bool all = state.customers.size() <= kMaxHandoverCustomers;
   json::array customers;
   for (const auto* customer : select_customers(state.customers, plans)) {
     customers.push_back(encode_customer(*customer));
   }
   const std::span all_hosts(state.hosts);
-  const auto hosts = all_hosts.first(std::min(all_hosts.size(), kMaxHandedCustomers));
+  const auto hosts = all_hosts.first(std::min(all_hosts.size(), kMaxHandoverCustomers));
   json::array class_latency;
   for (const Ms latency : state.class_latency_ms) class_latency.emplace_back(latency);
   return json::serialize(json::object{
--- a/src/ops/handover_state.h
+++ b/src/ops/handover_state.h
@@ -30,7 +30,7 @@
 };
 
 // Further customers are left out; those with a ceiling go first, then the most recently active.
-constexpr std::size_t kMaxHandedCustomers = 20'000;
+constexpr std::size_t kMaxHandoverCustomers = 20'000;
 constexpr std::size_t kMaxHandoverBytes = std::size_t{8} * 1024 * 1024;  // of the text
 
 // Without a line feed. `plans` by index.
--- a/src/ops/operator_calls.h
+++ b/src/ops/operator_calls.h
@@ -25,7 +25,7 @@
 struct CallResponse {
   int status = 200;  // of HTTP (RFC 9110, section 15)
   std::string body;
-  std::string type = "text/plain";  // content type
+  std::string content_type = "text/plain";  // content type
 };
 
 // `target` as in the request line; its query is ignored.
--- a/src/resp/client_connection_replies.cpp
+++ b/src/resp/client_connection_replies.cpp
@@ -34,7 +34,7 @@
   }
   slot->complete = true;
   const CommandResult command = std::exchange(slot->command, CommandResult{});
-  if (!replies_.is_first(sequence) && !mutant(Mutant::kAnswersOutOfOrder)) {
+  if (!replies_.is_first(sequence) && !mutant(Mutant::kRepliesOutOfOrder)) {
     replies_.buffer(*slot, reply);
     return hold_identity(command);
   }
@@ -119,7 +119,7 @@
 // An identity stays in use until the reply is fully written. Another request with it would be served
 // meanwhile, and two clients could not distinguish their replies.
 void ClientConnection::hold_identity(const CommandResult& command) {
-  if (!command.is_request || closed_ || mutant(Mutant::kFreesIdentityEarly)) return;
+  if (!command.is_request || closed_ || mutant(Mutant::kReleasesIdentityEarly)) return;
   replies_.hold_identity(command.identity);
   callbacks_.on_reply_pending(command.identity);
 }
--- a/src/resp/host_connection.cpp
+++ b/src/resp/host_connection.cpp
@@ -38,7 +38,7 @@
   if (connected_) begin_request(remaining_ms);
 }
 
-bool HostConnection::is_quiet() { return mutant(Mutant::kIgnoresNoise) || stream_->is_quiet(); }
+bool HostConnection::is_quiet() { return mutant(Mutant::kAcceptsExtraBytes) || stream_->is_quiet(); }
 
 void HostConnection::fail(Ms now, Outcome outcome) {
   if (closed_) return;
@@ -73,7 +73,7 @@
   if (ended) return fail(now, outcome_of_break());
   reader_.commit(bytes);
   if (attempt_ == 0) {  // unsolicited bytes: nothing that follows can be matched to a request
-    if (mutant(Mutant::kIgnoresNoise)) return read();
+    if (mutant(Mutant::kAcceptsExtraBytes)) return read();
     return fail(now, Outcome::kConnectionLost);
   }
   process_input(now);
@@ -106,7 +106,7 @@
 
 // Only a request that is fully written can have begun to run. One that breaks before that may be sent again.
 Outcome HostConnection::outcome_of_break() const {
-  const bool may_have_run = fully_written() && !mutant(Mutant::kResendsAfterReset);
+  const bool may_have_run = fully_written() && !mutant(Mutant::kReportsResetAsConnectFailure);
   return may_have_run ? Outcome::kConnectionLost : Outcome::kConnectFailed;
 }
 
@@ -177,12 +177,12 @@
   const auto keep_alive = self();
   const HostReply reply = read_host_reply(frame_);
   if (reply.error != ReplyError::kNone) {
-    if (mutant(Mutant::kReadsOnAfterSpoilt)) return process_input(now);
+    if (mutant(Mutant::kReadsAfterMalformedReply)) return process_input(now);
     return fail_malformed(now, text_of(reply.error));
   }
   const AttemptId attempt = std::exchange(attempt_, 0);
   value_started_ = false;
-  const bool reusable = fully_written() && (reader_.empty() || mutant(Mutant::kIgnoresNoise));
+  const bool reusable = fully_written() && (reader_.empty() || mutant(Mutant::kAcceptsExtraBytes));
   // The report may start the next attempt, which could take this connection: it stays out of the pool until
   // the value, which lies in its reader, has been passed on.
   context_.end_attempt(now, attempt, reply.outcome, reply.value, reply.load_report);
--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -51,7 +51,7 @@
   retired_pools_.insert_or_assign(host, pool);
   active_pools_.erase(it);
   pool->retire();
-  if (mutant(Mutant::kForgetsWaitingDrain)) return;
+  if (mutant(Mutant::kKeepsWaitingAttemptsOnDrain)) return;
   // An attempt that waits for its connection could be written after the host's grace period.
   pool->fail_connecting(now);
 }
--- a/src/resp/host_reply.cpp
+++ b/src/resp/host_reply.cpp
@@ -30,7 +30,7 @@
 std::string_view first_word(std::string_view text) { return text.substr(0, text.find(' ')); }
 
 HostReply read_array(const std::vector<Item>& items) {
-  const bool accepted = is_well_formed(items) || (mutant(Mutant::kServesSpoilt) && !items.empty());
+  const bool accepted = is_well_formed(items) || (mutant(Mutant::kServesMalformedReply) && !items.empty());
   if (!accepted) return {.error = ReplyError::kMalformedArray};
   HostReply reply{.outcome = Outcome::kOk, .value = items[kValue].text};
   if (items.size() > kLoadReport && items[kLoadReport].type == ItemType::kBulk) {
@@ -66,7 +66,7 @@
 }
 
 HostReply read_host_reply(const Frame& frame) {
-  if (frame.array) return read_array(frame.items);
+  if (frame.is_array) return read_array(frame.items);
   const Item& item = frame.items[0];
   if (item.type == ItemType::kError) return read_error_line(item.text);
   return {.error = ReplyError::kUnexpectedType};
--- a/src/resp/resp_reader.cpp
+++ b/src/resp/resp_reader.cpp
@@ -186,7 +186,7 @@
 }
 
 void RespReader::fill(Frame& frame) {
-  frame.array = is_array_;
+  frame.is_array = is_array_;
   frame.items.clear();
   for (const ItemPosition& item : items_) {
     frame.items.push_back({item.type, {buffer_.data() + begin_ + item.offset, item.size}});
--- a/src/resp/resp_reader.h
+++ b/src/resp/resp_reader.h
@@ -34,7 +34,7 @@
 
 // A whole command or reply. Its texts are valid until the next call of a non-const member of the reader.
 struct Frame {
-  bool array = false;  // else `items` holds the one value
+  bool is_array = false;  // else `items` holds the one value
   std::vector<Item> items;
 };
 
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -420,7 +420,7 @@
   };
   for (const auto& [settings, verdict] : cases) {
     Fixture f;
-    f.engine.set_rules(settings);
+    f.engine.update_settings(settings);
     list_hosts(f.engine, 0);
     f.policy.request_action = send_to(1);
     f.policy.attempt_end_action = [](const AttemptResult& end, ActionSink& out) {
@@ -436,7 +436,7 @@
 TEST(AttemptRules, TurnARejectionIntoAFailureIfAnAttemptMayHaveExecuted) {
   for (const bool may_have_executed : {false, true}) {
     Fixture f;
-    f.engine.set_rules(settings_for(Idempotency::kNonIdempotent));
+    f.engine.update_settings(settings_for(Idempotency::kNonIdempotent));
     list_hosts(f.engine, 0);
     f.policy.request_action = send_to(1);
     f.policy.attempt_end_action = [](const AttemptResult&, ActionSink& out) {
@@ -453,7 +453,7 @@
 // An attempt waits for its connection until its first byte may be written.
 struct WaitingAttempt : Fixture {
   explicit WaitingAttempt(const AdmissionSettings& settings = settings_for(Idempotency::kIdempotencyKey)) {
-    engine.set_rules(settings);
+    engine.update_settings(settings);
     list_hosts(engine, 0);
     transport.connecting = true;
     policy.request_action = send_to(1);
--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -97,7 +97,7 @@
     out.emplace_back(message);
     if (!held) flush();
   }
-  bool take_back() override {
+  bool withdraw() override {
     if (out.empty()) return false;
     out.pop_back();
     return true;
@@ -213,7 +213,7 @@
                  all, details.empty() ? HeaderList{} : HeaderList{{"response.code_details", details}}));
   }
   void gone(OpenCall& c) {
-    c.events->on_gone(now);
+    c.events->on_call_closed(now);
     c.events.reset();
   }
   void pass(Ms ms) {
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -645,7 +645,7 @@
   settings.retry_wait_ms = 10'000;
   for (const bool late : {true, false}) {
     Bench b(settings);
-    b.engine.set_rules(terms);
+    b.engine.update_settings(terms);
     auto& c = b.ask({}, "hold", "id");
     const HostId first = c.call.decision().endpoint == Bench::endpoint(1) ? 1 : 2, second = 3 - first;
     b.report(c, 500);
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -109,7 +109,7 @@
   EXPECT_TRUE(settings.processor.destination.metadata);
   EXPECT_EQ(settings.processor.proxy_retries, extproc::ProxyRetries::kMarked);
   EXPECT_EQ(settings.processor.not_executed_statuses, std::vector{503});
-  EXPECT_EQ(settings.grpc.calls.http2.streams, 50u);
+  EXPECT_EQ(settings.grpc.calls.http2.max_concurrent_streams, 50u);
   EXPECT_EQ(settings.processor.mapping.class_header, "");
   EXPECT_EQ(settings.processor.mapping.default_class, "lookup");
   ASSERT_EQ(settings.processor.mapping.rules.size(), 2u);
--- a/tests/http2_support.h
+++ b/tests/http2_support.h
@@ -79,7 +79,7 @@
       record->half_closed = true;
       if (!owner.answers_nothing) record->call->finish({});
     }
-    void on_gone(Ms) override {
+    void on_call_closed(Ms) override {
       record->closed = true;
       record->call = nullptr;
     }
@@ -130,7 +130,7 @@
 
 class Client : private SessionEvents {
  public:
-  explicit Client(Limits limits = {}) : session(Role::kClient, limits, *this, 0) {}
+  explicit Client(SessionLimits limits = {}) : session(Role::kClient, limits, *this, 0) {}
   std::shared_ptr<ClientCallRecord> call(std::string_view path = "/test.Echo/Echo",
                                          const Headers& metadata = {}) {
     auto record = std::make_shared<ClientCallRecord>();
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -26,9 +26,9 @@
     ASSERT_TRUE(record->status);
     EXPECT_EQ(record->status->code, Code::kOk);
     EXPECT_TRUE(server.echo.calls.at(0)->closed);
-    EXPECT_EQ(server.connection->session().streams(), 0u);
-    EXPECT_EQ(server.connection->session().unsent(), 0u);
-    EXPECT_EQ(server.connection->unread(), 0u);
+    EXPECT_EQ(server.connection->session().stream_count(), 0u);
+    EXPECT_EQ(server.connection->session().unsent_bytes(), 0u);
+    EXPECT_EQ(server.connection->incomplete_bytes(), 0u);
   }
 }
 
@@ -42,7 +42,7 @@
   }
   client.carry(server);
   for (int i = 0; i < 1000; ++i) EXPECT_EQ(records[i]->messages, std::vector{std::to_string(i)});
-  EXPECT_EQ(server.connection->session().streams(), 1000u);
+  EXPECT_EQ(server.connection->session().stream_count(), 1000u);
 }
 
 TEST(Grpc, AServersEarlyFinishIsDeliveredAndFreesTheStream) {
@@ -60,7 +60,7 @@
   ASSERT_TRUE(record->status);
   EXPECT_EQ(record->status->code, Code::kAborted);
   EXPECT_EQ(record->status->message, "100% \n done");
-  EXPECT_EQ(server.connection->session().streams(), 0u);
+  EXPECT_EQ(server.connection->session().stream_count(), 0u);
 }
 
 TEST(Grpc, RespondsToInvalidCallsAsPublished) {
@@ -84,13 +84,13 @@
                        literal(":authority", "a")));
   EXPECT_NE(plain.take_output().find("POST"), std::string::npos);
   EXPECT_TRUE(plain.alive);
-  EXPECT_EQ(plain.connection->session().streams(), 0u);
+  EXPECT_EQ(plain.connection->session().stream_count(), 0u);
 }
 
 TEST(Grpc, InvalidMessagesEndOnlyTheirCallWithAStatus) {
   const auto status_of = [](const std::string& bytes, bool end) {
     grpc::ServerLimits limits;
-    limits.message_bytes = 1000;
+    limits.max_message_bytes = 1000;
     Server server(limits);
     Client client;
     const auto other = client.call();
@@ -114,7 +114,7 @@
 
 TEST(Grpc, BoundsIncompleteMessagesOfAConnection) {
   grpc::ServerLimits limits;
-  limits.unread_bytes = 10'000;
+  limits.max_incomplete_bytes = 10'000;
   Server server(limits);
   server.feed(kPreface);
   std::string part;
@@ -123,10 +123,10 @@
   for (std::uint32_t id = 1; id <= 19; id += 2) {
     server.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()) + frame(kDataFrame, 0, id, part));
     server.take_output();
-    EXPECT_LE(server.connection->unread(), 13'000u);
+    EXPECT_LE(server.connection->incomplete_bytes(), 13'000u);
   }
   EXPECT_TRUE(server.alive);
-  EXPECT_EQ(server.connection->session().streams(), 3u);  // the others have been ended
+  EXPECT_EQ(server.connection->session().stream_count(), 3u);  // the others have been ended
 }
 
 TEST(Grpc, EndsACallWithoutAFirstMessage) {
@@ -154,12 +154,12 @@
   client.carry(server);
   auto* call = server.echo.calls.at(0)->call;
   call->send("wrong");
-  EXPECT_TRUE(call->take_back());
-  EXPECT_FALSE(call->take_back());
+  EXPECT_TRUE(call->withdraw());
+  EXPECT_FALSE(call->withdraw());
   call->send("right");
   client.carry(server);
   EXPECT_EQ(record->messages, std::vector<std::string>{"right"});
-  EXPECT_FALSE(call->take_back());
+  EXPECT_FALSE(call->withdraw());
 }
 
 TEST(Grpc, ParsesTimeouts) {
@@ -181,7 +181,7 @@
     server.feed(flood);
     server.take_output();
   }
-  return server.connection->session().ended_for();
+  return server.connection->session().termination_code();
 }
 
 TEST(Attack, FloodsOfCheapFramesEndTheConnection) {
@@ -212,10 +212,10 @@
                   frame(kResetFrame, 0, id, std::string("\0\0\0\10", 4)));
     attacked.take_output();
   }
-  EXPECT_EQ(attacked.connection->session().ended_for(), NGHTTP2_ENHANCE_YOUR_CALM);
+  EXPECT_EQ(attacked.connection->session().termination_code(), NGHTTP2_ENHANCE_YOUR_CALM);
   const std::uint32_t opened_streams = id / 2;
   EXPECT_NEAR(opened_streams, 2000, 5);
-  EXPECT_LE(attacked.connection->session().streams(), 1u);
+  EXPECT_LE(attacked.connection->session().stream_count(), 1u);
 
   Server busy;
   busy.feed(kPreface);
@@ -253,7 +253,7 @@
   EXPECT_EQ(server.echo.calls.size(), 1u);
   const std::string bomb = call_headers() + std::string(15'000, '\xbe');  // index 62: the newest entry
   server.feed(frame(kHeadersFrame, kEndHeaders, 3, bomb));                // 60 MB if it were kept
-  EXPECT_EQ(server.connection->session().ended_for(), NGHTTP2_ENHANCE_YOUR_CALM);
+  EXPECT_EQ(server.connection->session().termination_code(), NGHTTP2_ENHANCE_YOUR_CALM);
   EXPECT_EQ(server.echo.calls.size(), 1u);
 }
 
@@ -266,14 +266,14 @@
   EXPECT_TRUE(server.alive);
   EXPECT_EQ(server.echo.calls.size(), 0u);
   server.take_output();
-  EXPECT_EQ(server.connection->session().streams(), 0u);
+  EXPECT_EQ(server.connection->session().stream_count(), 0u);
   server.feed(frame(kHeadersFrame, kEndHeaders, 3, call_headers()) + frame(kDataFrame, 0, 3, message("x")));
   EXPECT_EQ(server.echo.calls.at(0)->messages, std::vector<std::string>{"x"});
 }
 
 TEST(Attack, StreamsAreBoundedWhateverTheClientOpens) {
   grpc::ServerLimits limits;
-  limits.http2.streams = 100;
+  limits.http2.max_concurrent_streams = 100;
   Server server(limits);
   server.feed(kPreface);
   server.feed(frame(kSettingsFrame, 1, 0));  // acknowledges the limit
@@ -281,14 +281,14 @@
   for (std::uint32_t id = 1; id < 2000; id += 2) {
     server.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()));
     server.take_output();
-    EXPECT_LE(server.connection->session().streams(), 100u);
+    EXPECT_LE(server.connection->session().stream_count(), 100u);
   }
   EXPECT_EQ(server.echo.calls.size(), 100u);
 }
 
 TEST(Attack, AClientThatDoesNotReadIsNotReadFrom) {
   grpc::ServerLimits limits;
-  limits.http2.unsent = 100'000;
+  limits.http2.max_unsent_bytes = 100'000;
   Server server(limits);
   server.feed(kPreface + frame(kHeadersFrame, kEndHeaders, 1, call_headers()));
   const std::string large(10'000, 'x');
@@ -299,7 +299,7 @@
   }
   EXPECT_LE(fed, 12u);
   EXPECT_FALSE(server.connection->session().wants_input());
-  EXPECT_LE(server.connection->session().unsent(), 200'000u);
+  EXPECT_LE(server.connection->session().unsent_bytes(), 200'000u);
 }
 
 TEST(Attack, AnyBytesLeaveNoCallOpen) {
--- a/tests/operator_calls_test.cpp
+++ b/tests/operator_calls_test.cpp
@@ -22,7 +22,7 @@
   const auto response = ops::handle_call(gateway, method, target);
   EXPECT_EQ(response.status, status) << method << ' ' << target;
   EXPECT_EQ(response.body, body) << method << ' ' << target;
-  EXPECT_EQ(response.type, content_type) << method << ' ' << target;
+  EXPECT_EQ(response.content_type, content_type) << method << ' ' << target;
 }
 
 TEST(OperatorCalls, ReportReadiness) {
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -340,7 +340,7 @@
   }
   serve("after a flood");
   {  // calls that say nothing
-    http2::Limits limits = H2Peer::patient();
+    http2::SessionLimits limits = H2Peer::patient();
     H2Peer half(program.port, limits);
     std::vector<std::shared_ptr<Heard>> heard;
     for (int i = 0; i < 9000; ++i) {
--- a/tests/resp_reader_test.cpp
+++ b/tests/resp_reader_test.cpp
@@ -74,7 +74,7 @@
   Frame frame;
   std::vector<std::string> values;
   ASSERT_EQ(parse("*3\r\n$2\r\nok\r\n$-1\r\n$7\r\nqueue=2\r\n", false, frame, values), ReadResult::kFrame);
-  EXPECT_TRUE(frame.array);
+  EXPECT_TRUE(frame.is_array);
   EXPECT_EQ(frame.items[1].type, ItemType::kNull);
   EXPECT_EQ(values[2], "queue=2");
   ASSERT_EQ(parse("-BUSY queue=3\r\n", false, frame, values), ReadResult::kFrame);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -336,12 +336,12 @@
   plans[1].ceiling_rate = 1;
   HandoverSnapshot state;
   state.age_ms = 1e6;
-  for (std::size_t i = 0; i < ops::kMaxHandedCustomers + 10; ++i)
+  for (std::size_t i = 0; i < ops::kMaxHandoverCustomers + 10; ++i)
     state.customers.push_back({.id = i, .class_levels = {1}});
   state.customers.back().plan_index = 1;
   const auto decoded =
       ops::decode_handover(ops::encode_handover(state, {classes, names}, plans), {classes, names});
-  EXPECT_EQ(decoded.customers.size(), ops::kMaxHandedCustomers);
+  EXPECT_EQ(decoded.customers.size(), ops::kMaxHandoverCustomers);
   EXPECT_EQ(decoded.customers.front().plan_index, 1u);
   EXPECT_EQ(decoded.age_ms, 0);  // so that those left out do not get a full ceiling
 }
