--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -95,7 +95,7 @@
 
 void as_connection(TestProcessor& world, std::string_view bytes) {
   http2::grpc::ServerLimits limits;
-  limits.message_bytes = 4096;
+  limits.max_message_bytes = 4096;
   http2::grpc::Connection connection(limits, world, world, world.now);
   auto& session = connection.session();
   bool more = true;
@@ -104,7 +104,7 @@
     bytes.remove_prefix(part.size());
     more = session.feed(world.now, part);
     for (auto out = session.output(); !out.empty(); out = session.output()) session.consumed(out.size());
-    if (session.unsent() > 8 * 1024 * 1024) std::abort();
+    if (session.unsent_bytes() > 8 * 1024 * 1024) std::abort();
     world.pass(1);
   }
 }
@@ -114,7 +114,7 @@
     if (finished) std::abort();
     ++waiting;
   }
-  bool take_back() override {
+  bool withdraw() override {
     if (waiting == 0) return false;
     --waiting;
     return true;
@@ -151,12 +151,12 @@
       world.engine.on_host_list(world.now, HostListUpdate::kDelta, {&entry, 1});
     }
     if ((what & 48) == 32) {
-      calls[at]->on_gone(world.now);
+      calls[at]->on_call_closed(world.now);
       sinks[at] = std::make_unique<Sink>();
       calls[at] = world.processor.open(world.now, *sinks[at], {});
     }
   }
-  for (auto& c : calls) c->on_gone(world.now);
+  for (auto& c : calls) c->on_call_closed(world.now);
 }
 
 }  // namespace
