--- a/src/cli/main.cpp
+++ b/src/cli/main.cpp
@@ -1,4 +1,4 @@
-// cometfold-ctl: operators' calls to a running gateway, over its operators' listener.
+// cometfold-ctl: makes operators' calls to a running gateway through its operators' listener.
 #include <CLI/CLI.hpp>
 #include <boost/json.hpp>
 #include <chrono>
@@ -28,15 +28,17 @@
 }
 
 int run(int argc, char** argv) {
-  CLI::App app{"Asks running gateways, over their operators' listeners."};
+  CLI::App app{"Queries running gateways through their operators' listeners."};
   app.set_version_flag("--version", "cometfold-ctl " COMETFOLD_VERSION);
   app.require_subcommand(1);
-  auto* members = app.add_subcommand("members", "the members of the cluster, as one gateway sees them");
+  auto* members = app.add_subcommand("members", "show the members of the cluster as one gateway sees them");
   MembersOptions options;
-  members->add_option("--at", options.address, "the gateway's operators' address, such as 127.0.0.1:9901")
+  members
+      ->add_option("--at", options.address,
+                   "address and port of the gateway's operators' listener, such as 127.0.0.1:9901")
       ->required();
-  members->add_flag("--json", options.as_json, "as one JSON object");
-  members->add_option("--timeout", options.timeout_seconds, "seconds to wait for the answer")
+  members->add_flag("--json", options.as_json, "print one JSON object instead of a table");
+  members->add_option("--timeout", options.timeout_seconds, "seconds to wait for the response")
       ->check(CLI::Range(0.1, 600.0));
   CLI11_PARSE(app, argc, argv);
   show_members(options);
--- a/src/cli/members_table.cpp
+++ b/src/cli/members_table.cpp
@@ -31,14 +31,13 @@
 }  // namespace
 
 void print_members(const json::object& view) {
-  std::printf("%s (start %s) stands %s for %s\n", text_of(view, "name").c_str(),
-              text_of(view, "start").c_str(), text_of(view, "standing").c_str(),
-              seconds_of(view, "standing_since_ms").c_str());
+  std::printf("%s (start %s): %s for %s\n", text_of(view, "name").c_str(), text_of(view, "start").c_str(),
+              text_of(view, "standing").c_str(), seconds_of(view, "standing_since_ms").c_str());
   if (view.at("starved").as_bool()) {
-    std::printf("it was stopped or starved just now: silence of others is likely its own fault\n");
+    std::printf("this gateway was recently paused or starved of CPU: other members may only seem silent\n");
   }
   if (const auto* conflict = view.if_contains("conflict")) {
-    std::printf("ANOTHER PROCESS HAS THIS NAME, at %s: end one of the two\n",
+    std::printf("WARNING: another process uses this name, at %s: stop one of the two\n",
                 text_of(conflict->as_object(), "address").c_str());
   }
   std::printf("%-24s %-22s %-9s %10s  %-24s %9s %6s\n", "name", "address", "state", "since", "by", "trip ms",
--- a/src/cli/operators_client.cpp
+++ b/src/cli/operators_client.cpp
@@ -23,10 +23,11 @@
   return text;
 }
 
-// One request and its response. Asynchronous, as a stream's timeout applies to no other operations.
+// One HTTP request and its response. Uses asynchronous operations because the timeout of a beast::tcp_stream
+// does not apply to synchronous ones.
 class Exchange {
  public:
-  // The timeout begins now.
+  // The timeout starts at construction.
   Exchange(const std::string& host, const std::string& target, std::chrono::milliseconds timeout)
       : stream_(io_), request_(http::verb::get, target, kHttp11) {
     request_.set(http::field::host, host);
@@ -85,9 +86,9 @@
   if (unresolved) throw CallError(address, unresolved.message());
   const beast::error_code error = exchange.run(endpoints);
   if (error == beast::error::timeout) {
-    throw CallError(address, "no answer in time", "is the gateway stopped?");
+    throw CallError(address, "no response within the timeout", "check that the gateway is running");
   }
-  if (error) throw CallError(address, error.message(), "is this the gateway's operators' address?");
+  if (error) throw CallError(address, error.message(), "check that --at names the operators' listener");
   const auto& response = exchange.response();
   if (response.result() != http::status::ok) {
     throw CallError(address, std::to_string(response.result_int()) + ": " + response.body());
--- a/src/cli/operators_client.h
+++ b/src/cli/operators_client.h
@@ -1,4 +1,4 @@
-// HTTP calls to a gateway's operators' listener.
+// HTTP client for a gateway's operators' listener.
 #pragma once
 
 #include <chrono>
@@ -7,7 +7,7 @@
 
 namespace cometfold::cli {
 
-// A call failed. `what()` is `address: problem`, with the remedy where there is one.
+// A failed call. `what()` is `address: problem`, followed by the remedy if there is one.
 class CallError : public std::runtime_error {
  public:
   CallError(std::string address, std::string problem, std::string remedy = "");
@@ -20,8 +20,8 @@
   std::string address_, problem_, remedy_;
 };
 
-// The body of the response to `GET target`. `address` is HOST:PORT. Throws CallError, also on any status but
-// 200.
+// Returns the body of the response to `GET target`. `address` is HOST:PORT. Throws CallError if the call
+// fails or the status is not 200.
 std::string get(const std::string& address, const std::string& target, std::chrono::milliseconds timeout);
 
 }  // namespace cometfold::cli
--- a/src/membership/anti_entropy.cpp
+++ b/src/membership/anti_entropy.cpp
@@ -11,7 +11,8 @@
 
 constexpr int kSyncsPerTick = 2;
 constexpr int kMaxDatagramsPerSync = 3;
-// Ping intervals for which the own digest has to be stable: while gossip is under way digests differ anyway.
+// Ping intervals for which the local digest has to be unchanged before a difference triggers a sync: digests
+// differ anyway while gossip is still spreading updates.
 constexpr double kStableIntervals = 3;
 
 }  // namespace
@@ -51,8 +52,8 @@
   return differing;
 }
 
-// Starts at a random record, so that each has its turn where not all fit. The last datagram of a reply has
-// the digests, which request the other side's records.
+// Starts at a random record, so that every record is eventually sent even if not all fit. The last datagram
+// of a reply carries this gateway's bucket digests, which request the other side's records.
 void AntiEntropy::send_differing_records(Ms now, const Message& received, Message::Type type) {
   const auto differing = members_of_differing_buckets(received);
   const bool reply = type == Message::kSyncReply;
--- a/src/membership/anti_entropy.h
+++ b/src/membership/anti_entropy.h
@@ -1,5 +1,5 @@
-// Finds what gossip has missed: gateways compare digests of their tables and exchange the records of the
-// buckets that differ, in up to three messages (request, reply, final).
+// Anti-entropy: repairs what gossip has missed. Gateways compare digests of their member tables and exchange
+// the records of the buckets that differ, in up to three steps (request, reply, final).
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,18 @@
 
 class AntiEntropy {
  public:
-  // All references outlive this.
+  // All references must outlive this object.
   AntiEntropy(const MembershipSettings& settings, const Draw& draw, const MemberTable& table, Outbox& outbox,
               MembershipMetrics& metrics)
       : settings_(settings), draw_(draw), table_(table), outbox_(outbox), metrics_(metrics) {}
 
-  // To be called at each tick.
+  // Must be called at each tick.
   void reset_budget();
   void request_sync(Ms now, const std::string& to);
-  // Requests a sync if the sender's table differs from this one.
+  // Requests a sync if the sender's digest differs from this table's, provided that this table has been
+  // unchanged for a while and that syncs are left in this tick.
   void compare_digest(Ms now, const Message& message);
-  // A sync request, reply or final message.
+  // Answers a sync request or reply with the records that differ; ignores other messages.
   void receive(Ms now, const Message& message);
 
  private:
@@ -38,7 +39,7 @@
   const MemberTable& table_;
   Outbox& outbox_;
   MembershipMetrics& metrics_;
-  int syncs_left_ = 0;  // that a differing digest may start before the next tick
+  int syncs_left_ = 0;  // syncs that differing digests may still start before the next tick
 };
 
 }  // namespace cometfold::membership
--- a/src/membership/connectivity.cpp
+++ b/src/membership/connectivity.cpp
@@ -18,7 +18,7 @@
     return false;
   }
   if (sampled > state_) return enter(now, sampled);
-  // The first contact ever ends isolation at once: there is no earlier state to flap back to.
+  // The first contact after the start ends isolation at once: there is no earlier state to flap back to.
   const bool first_contact = state_ == ConnectivityState::kIsolated && since_ == 0;
   if (first_contact) return enter(now, sampled);
   if (!recovery_) recovery_ = Recovery{now, sampled};
--- a/src/membership/connectivity.h
+++ b/src/membership/connectivity.h
@@ -1,21 +1,21 @@
-// How well a gateway is connected to its cluster, as concluded from the members that it reaches. Pure.
+// Classifies a gateway's connectivity to its cluster by the members that it reaches. No I/O, no clock.
 //
-// No promise of a gateway to its clients may depend on another gateway's state: in each of these states it
-// keeps serving by its own state. What each state implies:
+// No guarantee of a gateway to its clients may depend on another gateway's state: in every connectivity state
+// the gateway keeps serving by its local state. What each connectivity state implies:
 //
-//   connected    Nearly all known members are reachable, directly or through another one. A member that is
-//                declared failed probably does not run or reaches no other. Nothing is certain about the
-//                present state of other members.
-//   degraded     A quarter or more are unreachable, or this process was itself paused or starved of late, or
-//                another process has its name. Silent members probably fail, but part of the silence may be
-//                this process's own.
+//   connected    More than three quarters of the known members are reachable, directly or through another
+//                member. A member that is declared failed probably does not run or reaches no other member.
+//                Nothing is certain about the current state of other members.
+//   degraded     A quarter or more are unreachable, or this process was recently paused or starved of CPU, or
+//                another process uses its name. Silent members have probably failed, but some may only seem
+//                silent because of a fault of this process.
 //   partitioned  Less than half are reachable. This gateway declares no member failed: silent members stay
-//                suspects, and after a long time are excluded from its own view alone. Others have probably
-//                declared this one failed, so its incarnation may be over, and rights given to it may have
-//                been taken back.
+//                suspects, and after a long time are excluded from the local view only. Others have probably
+//                declared this gateway failed, so its incarnation may have ended, and rights given to it may
+//                have been revoked.
 //   isolated     No other member is reachable, or none is known.
 //
-// A worse state takes effect at once, a better one only after it has lasted (hysteresis).
+// A worse state takes effect at once, a better one only after it has lasted for a while (hysteresis).
 #pragma once
 
 #include <cstddef>
@@ -30,8 +30,8 @@
 enum class ConnectivityState : std::uint8_t { kConnected, kDegraded, kPartitioned, kIsolated };
 
 struct ReachabilitySample {
-  std::size_t known = 1, reachable = 1;  // members neither failed nor left, this one included
-  bool local_fault = false;  // this process was paused or starved, or its name is in use elsewhere
+  std::size_t known = 1, reachable = 1;  // members neither failed nor left, including this gateway
+  bool local_fault = false;  // this process was paused or starved of CPU, or another one uses its name
 };
 
 class ConnectivityTracker {
@@ -39,9 +39,9 @@
   // `recovery_hold`: how long a better state has to last before it takes effect, in ms.
   explicit ConnectivityTracker(Ms recovery_hold) : recovery_hold_(recovery_hold) {}
 
-  // The state that this sample alone implies.
+  // The state that this sample implies on its own, without hysteresis.
   static ConnectivityState classify(const ReachabilitySample& sample);
-  // Returns whether the state changed.
+  // Takes a new sample. Returns whether the state changed.
   bool update(Ms now, const ReachabilitySample& sample);
   ConnectivityState state() const { return state_; }
   Ms since() const { return since_; }
--- a/src/membership/events.h
+++ b/src/membership/events.h
@@ -1,4 +1,5 @@
-// What membership reports to its embedder: changes of members, of connectivity and of its own identity.
+// Events that membership reports to its embedder: changes of members, of connectivity and of the local
+// identity.
 #pragma once
 
 #include <cstddef>
@@ -13,12 +14,12 @@
 
 struct MembershipEvent {
   enum Kind : std::uint8_t {
-    kMemberChanged,        // `name` at `incarnation` went to `state`; members that are forgotten do not show
+    kMemberChanged,        // `name` at `incarnation` entered `state`; no event when a member is forgotten
     kConnectivityChanged,  // `detail` is the name of the new state
-    kNewIncarnation,       // this gateway takes part with another incarnation; `detail` is the reason
-    kNameConflict,         // another process has this gateway's name; `detail` is its address
+    kNewIncarnation,       // this gateway has taken a new incarnation; `detail` is the reason
+    kNameConflict,         // another process uses this gateway's name; `detail` is its address
     kNameConflictResolved,
-    kProcessPaused,  // this process did not run for `detail` milliseconds
+    kProcessPaused,  // this process was paused for `detail` milliseconds
   };
   Kind kind = kMemberChanged;
   std::string name;
@@ -27,7 +28,7 @@
   std::string detail;
 };
 
-// Events until the embedder takes them. Bounded: events beyond `capacity` are dropped.
+// Holds events until the embedder takes them. Events beyond `capacity` are dropped.
 class EventQueue {
  public:
   explicit EventQueue(std::size_t capacity) : capacity_(capacity) {}
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -10,21 +10,23 @@
 
 namespace {
 
-constexpr double kMaxChanceByLoss = 1e-5;  // that a silence taken for a failure comes from loss alone
+constexpr double kMaxChanceByLoss = 1e-5;  // that datagram loss alone explains the misses of a suspicion
 constexpr double kMinAssumedLoss = 0.05;
 constexpr double kMaxAssumedLoss = 0.8;
 constexpr double kMinMisses = 4;
 constexpr double kMaxMisses = 16;
 constexpr std::size_t kMaxUnansweredPings = 64;
-// Gossip rides along only while at most so many pings are unanswered: it would be lost on a silent member.
+// Gossip is piggybacked only while at most this many pings are unanswered: sent to a silent member it would
+// be wasted.
 constexpr std::size_t kMaxUnansweredForGossip = 2;
 constexpr double kSubjectLossWeight = 1.0 / 32;
 constexpr double kOverallLossWeight = 1.0 / 256;
 constexpr double kRoundTripDivisor = 8;
-constexpr double kRoundTripsToWait = 3;      // for an answer, within the two bounds that follow
+constexpr double kRoundTripsToWait = 3;      // before a ping counts as missed, within the next two bounds
 constexpr double kMinIntervalsToWait = 0.8;  // ping intervals
 constexpr double kMaxIntervalsToWait = 4;    // ping intervals
-// A new suspicion expires soon, so that one by mistake does little harm; a lasting one is renewed less often.
+// A new suspicion expires soon, so that a mistaken one does little harm; one that persists gets a longer
+// validity and is renewed less often.
 constexpr Ms kNewSuspicionMs = 3000;
 constexpr Ms kNewSuspicionValidMs = 2000;
 constexpr double kRenewalFraction = 1.0 / 3;  // of a suspicion's validity
@@ -55,8 +57,8 @@
     chosen.emplace(name, same ? previous->second
                               : Subject{.incarnation = member.record.incarnation, .loss_rate = loss_rate_});
   }
-  // A member that is no longer observed is no longer suspected. For one that does not count here nothing is
-  // withdrawn, as gateways for which it does count would take that as a sign of life.
+  // Withdraws suspicions of members that are no longer observed. Suspicions of inactive members are left to
+  // expire, because gateways for which the member is active would take a withdrawal as a sign of life.
   for (auto& [name, subject] : subjects_) {
     Member* member = table_.find(name);
     if (subject.suspected && !chosen.contains(name) && member && is_active(*member)) {
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,5 +1,5 @@
-// Monitors the members that this gateway observes, its subjects, by pings, and suspects those that do not
-// answer. How many pings have to go unanswered follows from the loss of datagrams measured so far.
+// Pings the members that this gateway observes (its subjects) and suspects those that do not answer. The
+// number of pings that have to go unanswered follows from the measured datagram loss.
 #pragma once
 
 #include <cstdint>
@@ -25,7 +25,7 @@
   };
   struct Subject {
     std::uint64_t incarnation = 0;
-    std::deque<Ping> unanswered = {};  // since the last one that was answered
+    std::deque<Ping> unanswered = {};  // pings since the last one that was answered
     Ms round_trip = kUnset;            // smoothed
     double loss_rate = 0;              // smoothed
     bool suspected = false;
@@ -34,26 +34,28 @@
     Ms suspicion_valid_for = 0;
   };
 
-  // All references outlive this.
+  // All references must outlive this object.
   FailureDetector(const MembershipSettings& settings, MemberTable& table, Suspicions& suspicions,
                   const LocalHealth& health, GossipQueue& gossip, Outbox& outbox, MembershipMetrics& metrics);
 
   const std::map<std::string, Subject>& subjects() const { return subjects_; }
-  // Takes the members that have this gateway among their observers as subjects. `takes_part` false: none.
+  // Makes the members that have this gateway among their observers the subjects; none if `takes_part` is
+  // false.
   void update_subjects(Ms now, bool takes_part);
   void clear_subjects() { subjects_.clear(); }
 
   void ping_subjects(Ms now);
   void receive_ack(Ms now, const Message& ack);
-  // Suspects subjects that do not answer, and renews suspicions that would expire.
+  // Suspects subjects that do not answer and renews suspicions before they expire.
   void check_subjects(Ms now);
-  // Forgets pings that may have gone unanswered because this process was paused.
+  // Discards unanswered pings and withdraws this gateway's suspicions: the answers may be missing only
+  // because this process was paused.
   void forgive_silence(Ms now);
-  // A member is in contact if a message of its own arrived within this time.
+  // A member counts as in contact for this long after its last message.
   Ms contact_window() const;
 
  private:
-  // Unanswered pings in a row that loss alone hardly explains.
+  // The number of consecutive unanswered pings that datagram loss alone is unlikely to explain.
   int required_misses(double loss_rate) const;
   void suspect(Ms now, Member& member, Subject& subject);
   void stop_suspecting(Ms now, Member& member, Subject& subject);
@@ -66,7 +68,7 @@
   Outbox& outbox_;
   MembershipMetrics& metrics_;
   std::map<std::string, Subject> subjects_;
-  double loss_rate_ = 0;  // over all subjects
+  double loss_rate_ = 0;  // smoothed, over all subjects
 };
 
 }  // namespace cometfold::membership
--- a/src/membership/faults.h
+++ b/src/membership/faults.h
@@ -1,5 +1,5 @@
-// Deliberate faults, to show that the tests of membership find them. Built in only with COMETFOLD_MUTANTS,
-// for tests; elsewhere `mutant` is a constant false and costs nothing.
+// Mutants: deliberate faults that show that the membership tests detect them. Compiled in only with
+// COMETFOLD_MUTANTS, for tests; otherwise `mutant` is constant false and costs nothing.
 #pragma once
 
 namespace cometfold::membership {
@@ -7,19 +7,19 @@
 enum class Mutant : unsigned char {
   kNone,
   kDeclaresFailuresWhilePartitioned,
-  kIgnoresPause,             // holds the time in which this process did not run against other members
+  kIgnoresPause,             // counts the time in which this process was paused as silence of others
   kNoSuspicionQuorum,        // the suspicion of one observer makes a member failed
   kLastRecordWins,           // the record that arrives last replaces a greater one
-  kTrustsSecondHandRecords,  // takes a name from a member that does not reach it itself
-  kKeepsMembersAfterPause,   // after a pause beyond the tombstones' retention, keeps the members it had
+  kTrustsSecondHandRecords,  // accepts alive records from gateways that do not reach the member
+  kKeepsMembersAfterPause,   // keeps alive members after a pause in which others may forget tombstones
   kForgetsTombstonesAtOnce,
-  kNeverYieldsName,           // of two processes with one name neither gives way
-  kIgnoresOwnFailure,         // keeps its incarnation although others declared it failed
-  kNeverWithdrawsSuspicions,  // a suspicion stands although its subject answers
-  kNoDigestComparison,        // what gossip missed is never found
+  kNeverYieldsName,           // of two processes with the same name neither yields
+  kIgnoresOwnFailure,         // keeps its incarnation although others declared it failed or left
+  kNeverWithdrawsSuspicions,  // keeps suspecting a subject that answers again
+  kNoDigestComparison,        // never starts a sync because digests differ
 };
 
-constexpr int kMutants = 12;  // with kNone
+constexpr int kMutants = 12;  // including kNone
 
 #ifdef COMETFOLD_MUTANTS
 inline thread_local Mutant active_mutant = Mutant::kNone;
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr int kSendsPerObserver = 4;  // how often an update is sent, for each observer of a member
+constexpr int kSendsPerObserver = 4;  // sends of each update, per observer of a member
 
 }  // namespace
 
@@ -34,8 +34,8 @@
 void GossipQueue::remove(const Member& member) { std::erase(queue_, &member); }
 
 void GossipQueue::piggyback(Ms now, Message& message) {
-  // Pings go to the same members in the same order each time. Starting anywhere keeps each of them from
-  // always getting the same part of the queue.
+  // Pings go to the same members in the same order at each tick. Starting at a random entry keeps each
+  // member from always getting the same part of the queue.
   if (queue_.size() > 1) {
     const auto first = static_cast<std::ptrdiff_t>(draw_(queue_.size()));
     std::rotate(queue_.begin(), queue_.begin() + first, queue_.end());
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,5 +1,5 @@
-// Records and suspicions that still have to spread by riding on pings and acks (piggybacking, as in Das et
-// al., "SWIM", 2002).
+// Queue of the records and suspicions that still have to be disseminated, piggybacked on pings and acks (Das
+// et al., "SWIM", 2002).
 #pragma once
 
 #include <cstddef>
@@ -11,23 +11,23 @@
 
 namespace cometfold::membership {
 
-// Refers to members by address: a member is removed before it is destroyed.
+// Holds pointers to members: a member must be removed from the queue before it is destroyed.
 class GossipQueue {
  public:
-  // `settings` and `draw` outlive the queue.
+  // `settings` and `draw` must outlive the queue.
   GossipQueue(const MembershipSettings& settings, const Draw& draw) : settings_(settings), draw_(draw) {}
 
   void enqueue_record(Member& member);
   void enqueue_suspicions(Member& member);
   void remove(const Member& member);
-  // Adds as much as fits into `message`, which has its sender and no records yet.
+  // Adds as many updates as fit to `message`, which must have its sender and no records yet.
   void piggyback(Ms now, Message& message);
   std::size_t size() const { return queue_.size(); }
 
  private:
   int sends() const;
   void enqueue(Member& member);
-  // These add what fits and return false once something does not.
+  // Add the member's pending update, if any, to `message`. Return false if it does not fit.
   static bool add_record(Ms now, Member& member, Message& message, std::size_t& used_bytes);
   static bool add_suspicions(Ms now, Member& member, Message& message, std::size_t& used_bytes);
 
--- a/src/membership/hash.h
+++ b/src/membership/hash.h
@@ -1,4 +1,4 @@
-// Hashes that all gateways compute alike: digests of records and places on the observer rings.
+// Hashes that all gateways must compute identically: record digests and positions on the observer rings.
 #pragma once
 
 #define XXH_INLINE_ALL
@@ -16,7 +16,7 @@
   return XXH3_64bits_withSeed(text.data(), text.size(), seed);
 }
 
-// Never 0, which stands for a record that is not part of a digest.
+// Never 0, because 0 marks a record that is not part of the digests.
 inline std::uint64_t hash_of(const MemberRecord& record) {
   const std::uint64_t fields[] = {record.incarnation, record.process_nonce,
                                   static_cast<std::uint64_t>(record.status)};
--- a/src/membership/local_health.cpp
+++ b/src/membership/local_health.cpp
@@ -11,9 +11,9 @@
 
 constexpr int kMaxScore = 8;
 constexpr int kDegradedScore = 3;
-constexpr Ms kScoreDecayMs = 5000;            // without a late tick, for one point
-constexpr double kLateIntervals = 1;          // ping intervals that a tick may be late
-constexpr double kSeverelyLateIntervals = 4;  // beyond them one late tick makes this process degraded
+constexpr Ms kScoreDecayMs = 5000;            // without a late tick, for each point to decay
+constexpr double kLateIntervals = 1;          // ping intervals by which a tick may be late
+constexpr double kSeverelyLateIntervals = 4;  // a single tick later than this degrades the process
 
 }  // namespace
 
--- a/src/membership/local_health.h
+++ b/src/membership/local_health.h
@@ -1,4 +1,5 @@
-// Whether this process itself is too slow to judge others, as in Dadgar et al., "Lifeguard", 2017.
+// Detects whether the local process is too slow to monitor others reliably (Dadgar et al., "Lifeguard",
+// 2017).
 #pragma once
 
 #include <optional>
@@ -9,18 +10,18 @@
 
 class LocalHealth {
  public:
-  // `settings` outlives this.
+  // `settings` must outlive this object.
   explicit LocalHealth(const MembershipSettings& settings) : settings_(settings) {}
 
-  // To be called at each tick. A tick that is late by more than a ping interval means that this process was
-  // paused or starved: gives by how many ms it was late, else nothing.
+  // Must be called at each tick. If the tick is late by more than a ping interval, this process was paused or
+  // starved of CPU: returns the delay in ms, otherwise nothing.
   std::optional<Ms> observe_tick(Ms now);
 
-  // 0 (healthy) to 8. Each point lets a subject miss one more ping before it is suspected.
+  // From 0 (healthy) to 8. Each point allows a subject one more unanswered ping before it is suspected.
   int score() const { return score_; }
   bool is_degraded() const;
 
-  // For this long the silence of others is put down to the pause.
+  // Until `end` the silence of other members is attributed to a pause of this process.
   void set_paused_until(Ms end) { paused_until_ = end; }
   bool recently_paused(Ms now) const { return now < paused_until_; }
 
--- a/src/membership/local_identity.cpp
+++ b/src/membership/local_identity.cpp
@@ -11,16 +11,16 @@
 
 constexpr std::size_t kMaxClaims = 64;
 
-// As the log shows it.
+// Text for the log, in the order of IncarnationReason.
 constexpr std::string_view text_of(IncarnationReason reason) {
-  constexpr std::string_view kTexts[] = {"others called it failed",
-                                         "others say that it left",
-                                         "the other process of this name is over",
-                                         "a process before it had a higher number",
-                                         "another process has this name",
-                                         "this name was known with a higher number",
-                                         "the others have forgotten lower numbers",
-                                         "it was stopped for longer than the others remember"};
+  constexpr std::string_view kTexts[] = {"other members declared this gateway failed",
+                                         "other members recorded that this gateway left",
+                                         "the other process with this name has ended",
+                                         "an earlier process with this name had a higher incarnation",
+                                         "another process uses this name",
+                                         "this name is known with a higher incarnation",
+                                         "other members reject incarnations this low",
+                                         "the pause may have outlasted others' tombstones"};
   return kTexts[static_cast<std::size_t>(reason)];
 }
 
@@ -52,8 +52,9 @@
   }
 }
 
-// The first time the record may be of this gateway's predecessor, which the others do not know to be over. A
-// process that has ended raises no incarnations: one that is above this gateway's new incarnation again runs.
+// The first such record may be left from this gateway's predecessor, if the others do not know yet that it
+// has ended. A process that has ended cannot raise its incarnation: if it outbids this gateway's new
+// incarnation again, it is running.
 void LocalIdentity::merge_alive(Ms now, const MemberRecord& record) {
   if (conflict_.displaced()) {
     yield_to(now, record);
@@ -65,7 +66,7 @@
     rejoin_above(now, record.incarnation, IncarnationReason::kNameKnownHigher);
     return;
   }
-  // The younger process keeps the name.
+  // The process that started later keeps the name; its nonce is probably the greater one.
   if (record.process_nonce > table_.self().process_nonce && !mutant(Mutant::kNeverYieldsName)) {
     yield_to(now, record);
     return;
@@ -74,7 +75,7 @@
   rejoin_above(now, record.incarnation, IncarnationReason::kNameInUse);
 }
 
-// This process takes no part until the other one is over.
+// This process does not participate until the other one has ended.
 void LocalIdentity::yield_to(Ms now, const MemberRecord& record) {
   if (!conflict_.displaced()) detector_.clear_subjects();
   conflict_.set_displaced(true);
@@ -88,8 +89,8 @@
                 record.address});
 }
 
-// What the other process says of itself may be an old message and proves nothing. That it knows this
-// process's present incarnation does.
+// The other process's own record proves no conflict, as the message may be old. A message that carries this
+// process's current incarnation does prove one.
 void LocalIdentity::receive_from_namesake(Ms now, const Message& message) {
   const MemberRecord& self = table_.self();
   if (message.displaced_by == self.incarnation && !conflict_.displaced()) {
--- a/src/membership/local_identity.h
+++ b/src/membership/local_identity.h
@@ -1,4 +1,4 @@
-// The incarnation under which this gateway takes part, and conflicts over its name.
+// Manages the incarnation under which this gateway participates, and conflicts over its name.
 #pragma once
 
 #include <cstdint>
@@ -14,32 +14,33 @@
 
 namespace cometfold::membership {
 
-// Why this gateway takes a higher incarnation.
+// Why this gateway takes a new, higher incarnation.
 enum class IncarnationReason : std::uint8_t {
   kDeclaredFailed,
   kDeclaredLeft,
   kOtherProcessOver,   // the process that had displaced this one has ended
-  kPredecessorHigher,  // an earlier process of this name, which is over, had a higher one
-  kNameInUse,          // another process has this name
-  kNameKnownHigher,    // the name is known with a higher one, perhaps of a predecessor
+  kPredecessorHigher,  // an earlier process with this name, which has ended, had a higher incarnation
+  kNameInUse,          // another process uses this name
+  kNameKnownHigher,    // others know the name with a higher incarnation, perhaps that of a predecessor
   kForgottenByOthers,  // others reject incarnations up to a floor
-  kPausedTooLong,      // others may have forgotten what happened during the pause
+  kPausedTooLong,      // others may have forgotten tombstones of the time of the pause
 };
 
 class LocalIdentity {
  public:
-  // All references outlive this.
+  // All references must outlive this object.
   LocalIdentity(MemberTable& table, GossipQueue& gossip, FailureDetector& detector, NameConflict& conflict,
                 EventQueue& events, MembershipMetrics& metrics);
 
-  // What others say of this gateway's name.
+  // Merges a record of this gateway's name.
   void merge(Ms now, const MemberRecord& record);
-  // What another process with this name says of itself.
+  // Handles a message of another process with this gateway's name.
   void receive_from_namesake(Ms now, const Message& message);
-  // Takes an incarnation above `incarnation`, unless this gateway has left.
+  // Takes the incarnation after `incarnation`, unless this gateway has left.
   void rejoin_above(Ms now, std::uint64_t incarnation, IncarnationReason reason);
-  // The others reject incarnations up to `floor`.
+  // Takes an incarnation above `floor` if its own is not: others reject incarnations up to `floor`.
   void apply_floor(Ms now, std::uint64_t floor);
+  // Ends a name conflict of which nothing has been observed for a while.
   void expire_conflict(Ms now);
 
   void set_left() { left_ = true; }
@@ -56,7 +57,8 @@
   NameConflict& conflict_;
   EventQueue& events_;
   MembershipMetrics& metrics_;
-  std::unordered_map<std::uint64_t, int> claims_;  // by process nonce: how often it had this name
+  // By process nonce: how many greater alive records with this name have arrived from that process.
+  std::unordered_map<std::uint64_t, int> claims_;
   bool left_ = false;
 };
 
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,4 +1,4 @@
-// What one gateway stores of a member.
+// The state that a gateway stores for each member.
 #pragma once
 
 #include <algorithm>
@@ -12,11 +12,11 @@
 
 namespace cometfold::membership {
 
-// A point in time or the start of a span that is not set.
+// A time that is not set.
 inline constexpr Ms kUnset = -1;
 inline constexpr Ms kLongAgo = -1e12;
 
-// The latest suspicion that one observer has of the member that holds this entry.
+// The latest suspicion raised by one observer against the member that stores this entry.
 struct StoredSuspicion {
   std::string suspector;
   std::uint64_t suspector_incarnation = 0;
@@ -28,29 +28,29 @@
 struct Member {
   MemberRecord record;
   Ms status_since = 0;
-  Ms last_contact_at = kLongAgo;  // when a message of its own last arrived here
+  Ms last_contact_at = kLongAgo;  // when the member's last message arrived
   bool reachable = true;          // directly or through another member, as last evaluated
   Ms unreachable_since = kUnset;
-  Ms quorum_since = kUnset;  // since when a quorum suspects it
-  // It was unreachable for too long while this gateway was partitioned: it no longer counts here. This
-  // is not sent to other gateways.
+  Ms quorum_since = kUnset;  // since when a quorum of observers has suspected it
+  // The member was unreachable for too long while this gateway was partitioned, so this gateway no longer
+  // counts it. Local: other gateways are not told.
   bool excluded_locally = false;
   MemberState state = MemberState::kAlive;  // as last reported
   Ms state_since = 0;
   std::vector<StoredSuspicion> suspicions;
   std::vector<Member*> observers;
-  int record_sends_left = 0, suspicion_sends_left = 0;  // how often gossip still carries them
+  int record_sends_left = 0, suspicion_sends_left = 0;  // remaining sends by gossip
   bool queued_for_gossip = false;
   std::uint64_t name_hash = 0;
-  std::uint64_t digest = 0;  // what it contributes to the digests; 0: nothing
+  std::uint64_t digest = 0;  // its contribution to the table's digests; 0: none
 };
 
-// Whether this gateway counts it as a member of the cluster.
+// Whether this gateway counts `member` as a current member of the cluster.
 inline bool is_active(const Member& member) {
   return member.record.status == MemberStatus::kAlive && !member.excluded_locally;
 }
 
-// The record as this gateway sends it, with its age.
+// The member's record as this gateway sends it, with its age.
 inline MemberRecord advertised_record(Ms now, const Member& member) {
   MemberRecord record = member.record;
   if (record.status != MemberStatus::kAlive) {
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -45,7 +45,7 @@
   member.quorum_since = kUnset;
   if (!same || !alive) member.suspicions.clear();
   if (!same && (!alive || record.age_ms <= 0)) {
-    member.last_contact_at = now;  // a new incarnation gets time for its first message
+    member.last_contact_at = now;  // gives a new incarnation time to send its first message
     member.reachable = true;
   }
   observers_outdated_ = true;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,4 +1,4 @@
-// The members that this gateway has records of, itself included, with the digests over them.
+// The members that this gateway has records of, including itself, and the digests over those records.
 #pragma once
 
 #include <cstddef>
@@ -17,45 +17,48 @@
 
 class MemberTable {
  public:
-  // All references outlive the table.
+  // All references must outlive the table.
   MemberTable(const MembershipSettings& settings, MemberRecord self, GossipQueue& gossip, EventQueue& events)
       : settings_(settings), self_(std::move(self)), gossip_(gossip), events_(events) {}
 
-  // The record of this process. While another process has its name, the table's entry of that name is the
-  // other's.
+  // The record of this process. While another process displaces it, the table's entry for its name holds the
+  // other process's record.
   const MemberRecord& self() const { return self_; }
   MemberRecord& self() { return self_; }
   Member& local_member() { return members_[self_.name]; }
 
-  // By name; addresses of members are stable.
+  // Members by name. Pointers to members stay valid until they are removed.
   std::map<std::string, Member>& members() { return members_; }
   const std::map<std::string, Member>& members() const { return members_; }
   Member* find(const std::string& name);
   const Member* find(const std::string& name) const;
-  // An empty entry for a name that is not in the table.
+  // Adds an empty entry for a name that is not in the table.
   Member& insert(const std::string& name);
-  // Replaces a member's record, and starts its status and suspicions anew where the record says so.
+  // Replaces a member's record. Resets its suspicions and contact time as the new incarnation or status
+  // requires.
   void set_record(Ms now, Member& member, const MemberRecord& record);
-  // A member that was excluded locally counts again.
+  // Counts a member again that was excluded locally.
   void readmit(Ms now, Member& member);
   void exclude_locally(Ms now, Member& member);
 
-  // A suspicion counts while it lasts and its observer is an active member of the same incarnation.
+  // A suspicion counts until it expires or is withdrawn, while its observer is an active member with the same
+  // incarnation.
   bool is_current(Ms now, const StoredSuspicion& suspicion) const;
   std::size_t current_suspicions(Ms now, const Member& member) const;
 
-  // Works out the state to show and reports it if it changed; `force` reports it in any case.
+  // Recomputes the state shown to operators and reports it if it changed or if `force` is set. A locally
+  // excluded member is never reported.
   void update_state(Ms now, Member& member, bool force = false);
-  // Forgets members whose tombstones have expired. Half-way to it a tombstone leaves the digests, so that
-  // gateways that forget it at slightly different times do not differ.
+  // Forgets members whose tombstones have expired. A tombstone leaves the digests after half of its
+  // retention, so that digests do not differ when gateways forget it at slightly different times.
   void expire_tombstones(Ms now);
-  // Silence before now is not held against members, as this process did not run for `pause` ms.
+  // Discounts a pause of this process by `pause` ms: no member counts as silent because of it.
   void forgive_silence(Ms pause);
-  // Removes all alive members but this gateway and returns their addresses.
+  // Removes all alive members except this gateway and returns their addresses.
   std::vector<std::string> remove_alive_members();
 
-  // Alive records up to this incarnation are rejected where the name is not in the table: tombstones as high
-  // have been forgotten.
+  // Alive records of unknown names are rejected up to this incarnation, as tombstones with incarnations up to
+  // it have been forgotten.
   std::uint64_t incarnation_floor() const { return incarnation_floor_; }
   std::uint64_t digest() const { return digest_; }
   const std::vector<std::uint64_t>& bucket_digests() const { return bucket_digests_; }
--- a/src/membership/member_view.h
+++ b/src/membership/member_view.h
@@ -1,4 +1,4 @@
-// Members as one gateway shows them to operators.
+// The view of members that a gateway shows to operators.
 #pragma once
 
 #include <cstdint>
@@ -9,17 +9,17 @@
 
 namespace cometfold::membership {
 
-// A record's status, or suspect where an alive member is suspected or unreachable.
+// The status of a member's record, or suspect if the member is alive but suspected or unreachable.
 enum class MemberState : std::uint8_t { kAlive, kSuspect, kFailed, kLeft };
 
 struct MemberView {
   std::string name, address;
   std::uint64_t incarnation = 0;
   MemberState state = MemberState::kAlive;
-  Ms since = 0;                     // when this gateway saw it enter the state
+  Ms since = 0;                     // when the member entered the state, as far as this gateway knows
   std::string reported_by;          // the member that reported the state
-  std::optional<Ms> round_trip_ms;  // smoothed; of subjects of this gateway only
-  std::optional<double> loss_rate;  // fraction of unanswered pings; of subjects of this gateway only
+  std::optional<Ms> round_trip_ms;  // smoothed; only for subjects of this gateway
+  std::optional<double> loss_rate;  // fraction of unanswered pings; only for subjects of this gateway
 };
 
 }  // namespace cometfold::membership
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,8 +14,8 @@
 constexpr int kCorrectionsPerTick = 8;
 constexpr std::size_t kMaxRecordsPerCorrection = 5;
 constexpr int kLeaveAnnouncements = 3;
-constexpr Ms kReportedPauseMs = 1000;        // shorter pauses raise no event
-constexpr std::size_t kEventsPerMember = 4;  // that are kept until the embedder takes them
+constexpr Ms kReportedPauseMs = 1000;        // pauses up to this long raise no event
+constexpr std::size_t kEventsPerMember = 4;  // capacity of the event queue
 constexpr std::size_t kMapNodeBytes = 48;
 constexpr std::size_t kPointerBytes = sizeof(void*);
 
@@ -67,7 +67,8 @@
   }
 }
 
-// What waited in the socket during a long pause is outdated: at first only answers to later messages count.
+// Datagrams that waited in the socket during a long pause are outdated: until the first answer to a message
+// that was sent after the pause, all others are ignored.
 bool Membership::accepts(const Message& message) {
   if (!answers_only_above_) return true;
   const bool answer = message.type == Message::kSyncReply || message.type == Message::kAck ||
@@ -91,8 +92,8 @@
   if (has_digest) anti_entropy_.compare_digest(now, message);
 }
 
-// The sender's view of a member that was forgotten here is corrected: the member is over, or it takes a new
-// incarnation when it learns of the correction.
+// Corrects the sender's record of a member whose tombstone this gateway may have forgotten: either the member
+// has ended, or it takes a new incarnation when it learns of the correction.
 void Membership::merge_records(Ms now, const Message& message) {
   std::vector<MemberRecord> forgotten;
   for (const auto& record : message.records) {
@@ -124,8 +125,8 @@
   }
 }
 
-// The sender is over, as far as this gateway knows, and gets a correction. What it says of this gateway
-// counts, as after a partition each side takes the other for over.
+// To this gateway the sender is not a current member: it gets a correction. Its records of this gateway count
+// all the same, as after a partition each side has declared the other failed.
 void Membership::receive_stale(Ms now, const Message& message, const Member* sender) {
   ++metrics_.stale_messages;
   const std::uint64_t incarnation = table_.self().incarnation;
@@ -200,8 +201,9 @@
   table_.forgive_silence(*pause);
 }
 
-// After so long a pause others may have forgotten tombstones that this gateway never received: its records of
-// alive members would bring failed ones back. It keeps their addresses, as seeds, and its tombstones.
+// After such a long pause others may have forgotten tombstones that this gateway never received, so its
+// records of alive members would revive failed ones. It removes them, and keeps their addresses as seeds and
+// its own tombstones.
 void Membership::start_over(Ms now) {
   for (const auto& address : table_.remove_alive_members()) rejoiner_.add_seed(address);
   detector_.clear_subjects();
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,11 +1,12 @@
-// The members of one cluster of gateways as one of them sees them. Pure: messages and time go in, messages
-// and events come out; no I/O, no clock, and random numbers are drawn from outside.
+// Cluster membership as seen by one gateway. Deterministic: the embedder passes in messages, the time and the
+// source of random numbers, and takes messages and events out. No I/O, no clock.
 //
 // Each member is monitored by a few others, its observers (observer_rings.h). An observer that gets no
-// answers suspects it (failure_detector.h); a member that a quorum of its observers suspects is declared
-// failed (reachability.h), and that is final for its incarnation. Updates ride on pings and acks
-// (gossip_queue.h), and digests find what was missed (anti_entropy.h). A process that was paused or starved
-// does not judge others (local_health.h).
+// answers suspects the member (failure_detector.h); a member suspected by a quorum of its observers is
+// declared failed (reachability.h), which is final for its incarnation. Updates are piggybacked on pings and
+// acks (gossip_queue.h), and anti-entropy repairs what gossip missed (anti_entropy.h). A process that was
+// paused declares no others failed for a while, and one that is slow is slower to suspect them
+// (local_health.h).
 #pragma once
 
 #include <cstddef>
@@ -37,26 +38,26 @@
 
 namespace cometfold::membership {
 
-// Times are those of one clock that never goes back, in milliseconds above 0.
+// All times must come from one monotonic clock, in milliseconds above 0.
 class Membership {
  public:
   using Draw = membership::Draw;
 
-  // `self` names this member and its address, with a first incarnation (a hint: it is raised where others
-  // know a higher one) and a process nonce. `seeds` are addresses; its own among them does no harm.
+  // `self` is this member's record: name, address, process nonce and an initial incarnation, which is raised
+  // if others know a higher one. `seeds` are addresses; the member's own address is ignored.
   Membership(const MembershipSettings& settings, MemberRecord self, std::vector<std::string> seeds,
              Draw draw);
-  // The parts refer to each other.
+  // Not copyable: the components hold references to each other.
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  // To be called once, before any other call.
+  // Must be called once, before any other method.
   void start(Ms now);
   void receive(Ms now, const Message& message);
-  // To be called at `next_tick`; a late call counts as a pause of this process.
+  // Must be called at `next_tick`; a call that is late by more than a ping interval counts as a pause.
   void tick(Ms now);
   Ms next_tick() const { return next_tick_; }
-  // Announces that this gateway leaves. It still answers, and takes part no more.
+  // Announces that this gateway leaves. It still answers messages, but no longer monitors members.
   void leave(Ms now);
 
   std::vector<OutgoingMessage> take_messages() { return outbox_.take(); }
@@ -65,13 +66,13 @@
   const MemberRecord& self() const { return table_.self(); }
   ConnectivityState connectivity() const { return reachability_.connectivity().state(); }
   Ms connectivity_since() const { return reachability_.connectivity().since(); }
-  // All members by name, this one included.
+  // All members by name, including this one and excluding those that are excluded locally.
   std::vector<MemberView> members(Ms now) const;
   std::uint64_t digest() const { return table_.digest(); }
   const MembershipMetrics& metrics() const { return metrics_; }
-  // The address of another process that has this one's name; empty if there was none of late.
+  // The address of another process that uses this gateway's name; empty if there is no conflict.
   const std::string& conflicting_address() const { return conflict_.address(); }
-  // Whether the silence of others is likely this process's own fault, as it was paused or starved.
+  // Whether the silence of others may be due to a recent pause of this process.
   bool recently_paused(Ms now) const { return health_.recently_paused(now); }
   std::size_t memory_bytes() const;  // an estimate
 
@@ -105,11 +106,11 @@
   Reachability reachability_;
   Rejoiner rejoiner_;
   ObserverRings rings_;
-  // After a long pause only answers to messages with a sequence above this one count, until the first of
-  // them.
+  // Set after a long pause, until the first answer to a message with a sequence above this one arrives; only
+  // such an answer is accepted.
   std::optional<std::uint64_t> answers_only_above_;
   Ms next_tick_ = 0;
-  int corrections_left_ = 0;  // until the next tick
+  int corrections_left_ = 0;  // that may still be sent before the next tick
   int leave_announcements_left_ = 0;
 };
 
--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -1,4 +1,4 @@
-// Another process that takes part under this gateway's name.
+// Tracks another process that uses this gateway's name.
 #pragma once
 
 #include <cstdint>
@@ -10,9 +10,9 @@
 
 class NameConflict {
  public:
-  // A record of the other process arrived. Returns whether it was not known at this address.
+  // Notes that a record of the other process arrived. Returns whether its address is new.
   bool observe(Ms now, const std::string& address, std::uint64_t incarnation);
-  // Whether this process has the name and no record of the other one arrived for a while.
+  // Whether this process holds the name and nothing was observed of the other one for a while.
   bool is_over(Ms now) const;
   void clear() { address_.clear(); }
 
@@ -20,7 +20,7 @@
   const std::string& address() const { return address_; }  // empty: no conflict
   std::uint64_t incarnation() const { return incarnation_; }
 
-  // Whether the other process keeps the name and this one takes no part.
+  // Whether the other process keeps the name and this one does not participate.
   bool displaced() const { return displaced_; }
   void set_displaced(bool displaced) { displaced_ = displaced; }
 
--- a/src/membership/observer_rings.cpp
+++ b/src/membership/observer_rings.cpp
@@ -32,7 +32,7 @@
   }
 }
 
-// The next member on the ring that is not an observer already.
+// The next member after `member` on the ring that does not observe it already.
 Member* ObserverRings::successor(const Ring& ring, std::size_t ring_number, const Member& member) {
   const auto after =
       std::upper_bound(ring.begin(), ring.end(), ring_hash(member.name_hash, ring_number),
--- a/src/membership/observer_rings.h
+++ b/src/membership/observer_rings.h
@@ -1,6 +1,6 @@
-// Which members monitor which, so that all gateways that know the same members choose the same observers:
-// rings of consistent hashes as in Suresh et al., "Stable and Consistent Membership at Scale with Rapid",
-// 2018.
+// Assigns the observers of each member by consistent hashing on several rings, so that gateways that know the
+// same members assign the same observers (Suresh et al., "Stable and Consistent Membership at Scale with
+// Rapid", 2018).
 #pragma once
 
 #include <cstddef>
@@ -15,12 +15,12 @@
 
 class ObserverRings {
  public:
-  // One ring, and up to one observer of each member, for each of `count`.
+  // `count` is the number of rings; each ring assigns at most one observer to each member.
   explicit ObserverRings(std::size_t count) : rings_(count) {}
 
-  // Sets the observers of all members anew; members that are not active have none.
+  // Reassigns the observers of all members. Inactive members get none.
   void assign(std::map<std::string, Member>& members);
-  // To be called before members are destroyed.
+  // Drops the rings' pointers to members. Must be called before active members are destroyed.
   void clear() { rings_.assign(rings_.size(), {}); }
   std::size_t memory_bytes_per_member() const { return rings_.size() * sizeof(Place); }
 
--- a/src/membership/outbox.cpp
+++ b/src/membership/outbox.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-constexpr double kBurst = 100;  // datagrams
+constexpr double kBurst = 100;  // size of the token bucket, in datagrams
 constexpr std::uint64_t kFirstSequenceBound = std::uint64_t{1} << 62;
 
 }  // namespace
--- a/src/membership/outbox.h
+++ b/src/membership/outbox.h
@@ -1,4 +1,4 @@
-// Outgoing messages, within the rate limit.
+// Queue of outgoing messages with a rate limit (token bucket).
 #pragma once
 
 #include <cstdint>
@@ -21,18 +21,19 @@
 
 class Outbox {
  public:
-  // All references outlive this. Draws one random number, for the first sequence.
+  // All references must outlive this object. Draws one random number, for the first sequence number.
   Outbox(const MembershipSettings& settings, const Draw& draw, const MemberTable& table,
          const NameConflict& conflict, MembershipMetrics& metrics);
 
   void start(Ms now);
-  // A message with what each message says of its sender.
+  // Creates a message with the fields that describe the sender.
   Message make(Message::Type type) const;
   std::uint64_t next_sequence() { return ++sequence_; }
   std::uint64_t last_sequence() const { return sequence_; }
-  // Sequences go on from a random number, so that answers to earlier messages are recognized as such.
+  // Continues sequence numbers from a new random one, so that answers to earlier messages can be told apart.
+  // Returns that number.
   std::uint64_t restart_sequences();
-  // Drops the message, and counts it, beyond the rate limit.
+  // Queues the message, or drops and counts it if it exceeds the rate limit.
   void send(Ms now, const std::string& to, Message message);
   std::vector<OutgoingMessage> take() { return std::exchange(messages_, {}); }
 
@@ -43,7 +44,7 @@
   const NameConflict& conflict_;
   MembershipMetrics& metrics_;
   std::uint64_t sequence_ = 0;
-  double tokens_ = 0;  // datagrams that may go out at once
+  double tokens_ = 0;  // datagrams that may be sent now
   Ms refilled_at_ = 0;
   std::vector<OutgoingMessage> messages_;
 };
--- a/src/membership/reachability.cpp
+++ b/src/membership/reachability.cpp
@@ -64,9 +64,9 @@
   }
 }
 
-// A member is reached through its reachable observers if at most half of them suspect it. The majority
-// counts, as a single suspicion that has not arrived yet must not make a whole side of a partition reachable,
-// from observer to observer.
+// A member is reachable through its reachable observers if at most half of them suspect it. One observer that
+// does not suspect it is not enough: a single suspicion that has not arrived yet would make a whole side of a
+// partition seem reachable, from observer to observer.
 bool Reachability::reached_through_observers(Ms now, const Member& member) const {
   std::size_t supporting = 0;
   std::size_t suspecting = 0;
--- a/src/membership/reachability.h
+++ b/src/membership/reachability.h
@@ -1,5 +1,5 @@
-// Which members are reachable, directly or through others; the connectivity that follows from it; and which
-// members are to be declared failed.
+// Determines which members are reachable, directly or through others, derives the gateway's connectivity from
+// that, and declares members failed.
 #pragma once
 
 #include "membership/connectivity.h"
@@ -14,22 +14,24 @@
 
 class Reachability {
  public:
-  // All references outlive this.
+  // All references must outlive this object.
   Reachability(const MembershipSettings& settings, MemberTable& table, const Suspicions& suspicions,
                GossipQueue& gossip, EventQueue& events, MembershipMetrics& metrics);
 
-  // `contact_window`: a member counts as reached directly for this long after a message of its own.
-  // `local_fault`: unreachable members may be this process's own fault.
+  // Re-evaluates reachability and connectivity. A member counts as directly reachable only within
+  // `contact_window` after its last message. `local_fault`: members may seem unreachable because of a fault
+  // of this process.
   void update(Ms now, Ms contact_window, bool local_fault);
-  // Declares members failed that a quorum suspects or that are unreachable for too long. While this gateway
-  // is partitioned it declares nothing and excludes the latter from its own view only.
+  // Declares members failed that a quorum has suspected, or that have been unreachable, for too long. While
+  // this gateway is partitioned or isolated, it declares none and only excludes the unreachable ones locally.
   void declare_failures(Ms now);
 
   const ConnectivityTracker& connectivity() const { return connectivity_; }
 
  private:
-  // Returns whether all active members are.
+  // Determines which active members are directly reachable. Returns whether all are.
   bool update_direct(Ms now, Ms contact_window);
+  // Marks the members reachable that are reachable through their observers.
   void spread_through_observers(Ms now);
   bool reached_through_observers(Ms now, const Member& member) const;
   void declare_failed(Ms now, Member& member);
--- a/src/membership/record_merger.cpp
+++ b/src/membership/record_merger.cpp
@@ -44,8 +44,8 @@
     gossip_.enqueue_record(member);
     return;
   }
-  // A gateway that still reports a failed member as alive gets a correction; the record may be too old for
-  // the digests to show the difference.
+  // Gossips the record again if another gateway still reports an ended member as alive: the tombstone may be
+  // too old for the digests to show the difference.
   const bool over = member.record.status != MemberStatus::kAlive;
   if (over && alive && third_party && member.record_sends_left == 0) gossip_.enqueue_record(member);
 }
@@ -61,8 +61,8 @@
   gossip_.enqueue_record(member);
 }
 
-// Of a member that is not in the table, only gateways that reach it report anything new: others may hold an
-// old copy of its record.
+// An alive record of a member that is not in the table is accepted only from gateways that reach the member:
+// others may hold an old copy.
 bool RecordMerger::is_outdated(const MemberRecord& record, RecordSource source) const {
   if (record.status != MemberStatus::kAlive) return record.age_ms >= settings_.tombstone_retention_ms;
   if (record.incarnation <= table_.incarnation_floor()) return true;
@@ -70,9 +70,9 @@
          !mutant(Mutant::kTrustsSecondHandRecords);
 }
 
-// A copy that another gateway merely stores does not readmit a member: that gateway has to reach it itself.
-// One that counts the member because this gateway, an observer in its eyes, does not suspect it gets a
-// suspicion.
+// A record readmits an excluded member only if its sender reaches the member itself. Another sender may count
+// the member merely because this gateway, as one of its observers, does not suspect it: this gateway
+// therefore raises a suspicion.
 void RecordMerger::merge_excluded(Ms now, Member& member, const MemberRecord& record) {
   const bool reached_by_sender = record.age_ms <= 0 || mutant(Mutant::kTrustsSecondHandRecords);
   if (reached_by_sender && same_incarnation(record, member.record)) {
--- a/src/membership/record_merger.h
+++ b/src/membership/record_merger.h
@@ -1,5 +1,5 @@
-// Merges the records that other gateways send into the table. The greater record wins, so that all gateways
-// come to hold the same ones in whatever order records arrive.
+// Merges received records into the member table. The greater record wins, so that all gateways converge on
+// the same records in whatever order they arrive.
 #pragma once
 
 #include "membership/gossip_queue.h"
@@ -11,17 +11,17 @@
 
 namespace cometfold::membership {
 
-// Who reports a record: its own member, or another one.
+// Who sent a record: the member that it describes, or another one.
 enum class RecordSource : std::uint8_t { kSender, kThirdParty };
 
 class RecordMerger {
  public:
-  // All references outlive this.
+  // All references must outlive this object.
   RecordMerger(const MembershipSettings& settings, MemberTable& table, GossipQueue& gossip,
                Suspicions& suspicions, LocalIdentity& identity, MembershipMetrics& metrics);
 
   void merge(Ms now, const MemberRecord& record, RecordSource source);
-  // A message of the member's own has arrived.
+  // Notes that a message from the member itself has arrived.
   void observe_contact(Ms now, Member& member);
 
  private:
--- a/src/membership/rejoiner.cpp
+++ b/src/membership/rejoiner.cpp
@@ -63,7 +63,7 @@
   outbox_.send(now, *addresses[draw_(addresses.size())], std::move(ping));
 }
 
-// A seed that is no member here may belong to a part of the cluster that does not know this gateway.
+// A seed that is not a reachable member may belong to a part of the cluster that does not know this gateway.
 void Rejoiner::contact_unreached_seed(Ms now) {
   std::vector<const std::string*> unreached;
   for (const auto& seed : seeds_) {
@@ -77,7 +77,7 @@
   if (!unreached.empty()) anti_entropy_.request_sync(now, *unreached[draw_(unreached.size())]);
 }
 
-// Whether the process that has this gateway's name still runs.
+// Checks whether the process that displaces this one still runs.
 void Rejoiner::check_conflict(Ms now) {
   outbox_.send(now, conflict_.address(), outbox_.make(Message::kPing));
   std::vector<const std::string*> addresses;
--- a/src/membership/rejoiner.h
+++ b/src/membership/rejoiner.h
@@ -1,4 +1,4 @@
-// Finds the cluster, and finds back to it: contacts seeds, and members that are silent and may be back.
+// Joins the cluster and rejoins it after a partition or a pause, by contacting seeds and silent members.
 #pragma once
 
 #include <cstdint>
@@ -15,16 +15,16 @@
 
 class Rejoiner {
  public:
-  // All references outlive this. `seeds` are addresses.
+  // All references must outlive this object. `seeds` are addresses.
   Rejoiner(const Draw& draw, const MemberTable& table, const NameConflict& conflict,
            AntiEntropy& anti_entropy, Outbox& outbox, std::vector<std::string> seeds);
 
   void start(Ms now);
-  // To be called at each tick. `isolated`: this gateway reaches no other member.
+  // Must be called at each tick. `isolated`: this gateway reaches no other member.
   void tick(Ms now, bool isolated);
-  // Contacts seeds at each tick for a while, where this gateway is isolated.
+  // For a number of ticks, contacts seeds and silent members at each tick while this gateway is isolated.
   void hurry();
-  // An address that serves as a further seed.
+  // Adds a seed address, up to a bound.
   void add_seed(const std::string& address);
 
  private:
--- a/src/membership/settings.h
+++ b/src/membership/settings.h
@@ -1,4 +1,4 @@
-// Settings of membership, and the source of its random numbers.
+// Settings of the membership protocol, and the type of its source of random numbers.
 #pragma once
 
 #include <cstddef>
@@ -9,20 +9,20 @@
 
 namespace cometfold::membership {
 
-// Uniform from 0 to below its argument.
+// Returns a uniformly distributed number from 0 to below its argument.
 using Draw = std::function<std::uint64_t(std::uint64_t)>;
 
 struct MembershipSettings {
   Ms ping_interval_ms = 250;             // between two pings to each subject
   std::size_t observers_per_member = 5;  // members that monitor each member
-  // Observers whose suspicion makes a member failed; never more than a majority of those it has.
+  // Number of observers whose suspicion makes a member failed; a majority of its observers is always enough.
   std::size_t suspicion_quorum = 3;
-  Ms quorum_hold_ms = 750;  // a quorum has to last, so that a partition is recognized first
-  // A member that is unreachable for longer counts as failed even without a quorum.
+  Ms quorum_hold_ms = 750;  // a quorum has to persist, so that a partition is recognized first
+  // A member that has been unreachable for this long counts as failed even without a quorum.
   Ms unreachable_timeout_ms = 20'000;
   Ms tombstone_retention_ms = 600'000;    // how long failed and left members are remembered
-  Ms recovery_hold_ms = 1000;             // a better connectivity state has to last
-  std::size_t max_members = 4096;         // failed and left members included; further ones are rejected
+  Ms recovery_hold_ms = 1000;             // for which a better connectivity state has to last
+  std::size_t max_members = 4096;         // including failed and left members; further ones are rejected
   double max_datagrams_per_second = 200;  // outgoing; the excess is dropped and counted
 };
 
--- a/src/membership/state_names.h
+++ b/src/membership/state_names.h
@@ -1,5 +1,5 @@
-// The words for states in the members' JSON, the metrics and the log. Operators and other programs read them:
-// they stay as they are.
+// Names of states in the members' JSON, the metrics and the log. They are part of the external interface and
+// must not change.
 #pragma once
 
 #include <cstddef>
--- a/src/membership/suspicions.cpp
+++ b/src/membership/suspicions.cpp
@@ -11,7 +11,7 @@
 namespace {
 
 constexpr std::size_t kMaxSuspicionsPerMember = 16;
-// As long as a late copy of the withdrawn suspicion may arrive.
+// A withdrawal is kept for as long as a late copy of the suspicion may still be valid.
 constexpr Ms kWithdrawalRetentionMs = kMaxSuspicionMs;
 
 }  // namespace
@@ -49,7 +49,8 @@
     return other.suspector == suspicion.suspector;
   });
   if (previous == stored.end()) {
-    // A withdrawal that is stored where the suspicion has already been forgotten would circulate forever.
+    // If gateways that have forgotten the suspicion stored its withdrawal, the withdrawal would circulate
+    // forever.
     if (suspicion.withdrawn) return;
     if (stored.size() >= kMaxSuspicionsPerMember) stored.erase(stored.begin());
     stored.push_back(std::move(suspicion));
--- a/src/membership/wire.cpp
+++ b/src/membership/wire.cpp
@@ -32,7 +32,7 @@
 }
 
 void encode_record(const MemberRecord& record, pb::Record& to) {
-  // First, so that the fields that this version knows replace any of them.
+  // Merged first, so that the known fields set below override them.
   if (!record.unknown_fields.empty()) to.MergeFromString(record.unknown_fields);
   to.set_name(record.name);
   to.set_address(record.address);
@@ -59,7 +59,8 @@
          record.address().size() <= kMaxAddressBytes && record.by().size() <= kMaxNameBytes;
 }
 
-// Encoded fields that this version does not know; the lite library gives no other access to them.
+// The encoded fields that this version does not know. Clearing the known ones is the only access to them in
+// the lite runtime.
 std::string unknown_fields_of(pb::Record record) {
   record.clear_name();
   record.clear_address();
@@ -100,7 +101,7 @@
   return suspicion;
 }
 
-// Checks the frame and gives the body.
+// Checks the frame and sets `body`.
 DecodeError unframe(std::string_view datagram, std::string_view& body) {
   if (datagram.size() < kFrameBytes || std::memcmp(datagram.data(), kMagic, sizeof kMagic) != 0) {
     return DecodeError::kForeign;
--- a/src/ops/handover_state.cpp
+++ b/src/ops/handover_state.cpp
@@ -14,8 +14,8 @@
 
 constexpr int kVersion = 1;
 
-// Keys of the JSON object. Customers, hosts and departed hosts are arrays, whose order the functions below
-// give.
+// Keys of the JSON object. Each customer, host and departed host is encoded as an array; its encode function
+// below defines the order of the elements.
 constexpr char kVersionKey[] = "version";
 constexpr char kAgeKey[] = "age_ms";
 constexpr char kClassNamesKey[] = "classes";
@@ -26,7 +26,7 @@
 constexpr char kUnloadedLatencyKey[] = "calm_ms";
 constexpr char kDepartedHostsKey[] = "departed";
 
-// Names the key that an error of the JSON library belongs to.
+// Adds the key to errors of the JSON library.
 template <class Decode>
 decltype(auto) decode_member(const char* key, Decode decode) {
   try {
@@ -40,7 +40,7 @@
 
 double finite_number(const json::value& value) {
   const double number = value.to_number<double>();
-  if (!std::isfinite(number)) throw std::range_error("a number is not finite");
+  if (!std::isfinite(number)) throw std::range_error("number is not finite");
   return number;
 }
 
@@ -50,12 +50,12 @@
   return encoded;
 }
 
-// From the predecessor's indices to those of `names`; names that are not there get an index past the last.
+// Maps the predecessor's indices to those of `names`. Names that `names` lacks get an index past the last.
 std::vector<std::uint32_t> decode_names(const json::value& value, std::span<const std::string> names) {
   std::vector<std::uint32_t> indices;
   for (const auto& element : value.as_array()) {
     const std::string_view name = element.as_string();
-    // An empty name is a withdrawn one.
+    // The name of a removed class or plan is empty.
     const auto found = name.empty() ? names.end() : std::find(names.begin(), names.end(), name);
     indices.push_back(static_cast<std::uint32_t>(found - names.begin()));
   }
@@ -77,10 +77,10 @@
                      customer.attempts_in_flight};
 }
 
-// `plans` and `classes` lead from the predecessor's indices to those here.
+// `plans` and `classes` map the predecessor's indices to those of this process.
 CustomerSnapshot decode_customer(const json::array& fields, const std::vector<std::uint32_t>& plans,
                                  const std::vector<std::uint32_t>& classes, std::size_t class_count) {
-  constexpr std::size_t kFieldsWithoutAttempts = 9;  // as processes before design note 0004 send them
+  constexpr std::size_t kFieldsWithoutAttempts = 9;  // sent by processes that predate design note 0004
   CustomerSnapshot customer;
   customer.id = fields.at(0).to_number<std::uint64_t>();
   customer.plan_index = plans.at(fields.at(1).to_number<std::uint32_t>());
@@ -91,7 +91,7 @@
   customer.demand = finite_number(fields.at(6));
   customer.idle_ms = finite_number(fields.at(7));
   const auto& levels = fields.at(8).as_array();
-  // A class that the predecessor does not have starts with what its customer's quota could lend it.
+  // A class that the predecessor lacks starts with the level of the customer's quota.
   customer.class_levels.assign(class_count, customer.quota_level);
   for (std::size_t i = 0; i < levels.size(); ++i) {
     if (classes.at(i) < class_count) customer.class_levels[classes[i]] = finite_number(levels[i]);
@@ -165,7 +165,7 @@
   return hosts;
 }
 
-// At most kMaxHandedCustomers of them.
+// Selects at most kMaxHandoverCustomers.
 std::vector<const CustomerSnapshot*> select_customers(std::span<const CustomerSnapshot> customers,
                                                       std::span<const PlanSettings> plans) {
   std::vector<const CustomerSnapshot*> selected;
@@ -198,7 +198,8 @@
   state.age_ms = decode_member(kAgeKey, [&] { return finite_number(object.at(kAgeKey)); });
   state.customers = decode_member(
       kCustomersKey, [&] { return decode_customers(object.at(kCustomersKey), plans, classes, names); });
-  // Processes before design note 0004 send neither hosts nor latencies, those before 0011 no departed hosts.
+  // Processes that predate design note 0004 send neither hosts nor latencies; those that predate 0011 send no
+  // departed hosts.
   if (const auto* hosts = object.if_contains(kHostsKey)) {
     state.hosts = decode_member(kHostsKey, [&] { return decode_hosts(*hosts); });
     state.class_latency_ms = decode_member(kClassLatencyKey, [&] {
@@ -223,8 +224,9 @@
 
 std::string encode_handover(const HandoverSnapshot& state, const HandoverNames& names,
                             std::span<const PlanSettings> plans) {
-  // The successor takes a customer that is left out for a new one, whose ceiling is full. If the gateway
-  // claims to have just started, the successor starts the ceilings of unknown customers empty instead.
+  // The successor treats an omitted customer as new, and a new customer's ceiling starts full. With an age of
+  // 0, as if this gateway had just started, the successor starts the ceilings of unknown customers empty
+  // instead.
   const bool all = state.customers.size() <= kMaxHandoverCustomers;
   json::array customers;
   for (const auto* customer : select_customers(state.customers, plans)) {
--- a/src/ops/metrics.cpp
+++ b/src/ops/metrics.cpp
@@ -69,7 +69,7 @@
 }
 
 void render_rules(const GatewayMetrics& metrics, Renderer& out) {
-  // The first verdict allows the attempt.
+  // Skips verdict 0, which allows the attempt.
   for (std::size_t i = 1; i < kAttemptVerdictCount; ++i) {
     out.count(joined("rule.decision_stopped.", kAttemptVerdictNames[i]), metrics.rules.decisions[i]);
     out.count(joined("rule.first_byte_stopped.", kAttemptVerdictNames[i]), metrics.rules.first_bytes[i]);
