--- a/tests/fuzz/peers_fuzz.cpp
+++ b/tests/fuzz/peers_fuzz.cpp
@@ -1,10 +1,10 @@
-// libFuzzer: any bytes as datagrams of other gateways, through the real decoder into the real membership.
-// What must hold: no crash and no sanitizer report; the number of members stays within its bound; outgoing
-// datagrams stay within theirs and can be decoded.
+// libFuzzer target: feeds arbitrary bytes as datagrams from other gateways through the decoder into
+// membership. Checks that there is no crash and no sanitizer report, that the number of members stays within
+// its limit, and that outgoing datagrams stay within the size limit and can be decoded.
 //
-// Each datagram has two bytes before it: the first holds a flag for raw bytes (0x80), a flag for a long pause
-// (0x40) and the upper three bits of the length, the second the rest of the length. Unless it is raw, the
-// datagram gets its frame and checksum here.
+// Input format: each datagram is preceded by two bytes. The first contains a flag for raw bytes (0x80), a
+// flag for a long pause (0x40) and the upper three bits of the length, the second the lower eight bits.
+// Unless the raw flag is set, the target adds the frame and checksum.
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
--- a/tests/handover_state_test.cpp
+++ b/tests/handover_state_test.cpp
@@ -1,5 +1,5 @@
-// The state that one process hands over to its successor, as golden text: the two may be of different
-// versions, so keys, order and number format stay.
+// Golden test of the hand-over state. Predecessor and successor may be of different versions, so the keys,
+// their order and the number format must not change.
 #include "ops/handover_state.h"
 
 #include <gtest/gtest.h>
--- a/tests/membership_cluster.h
+++ b/tests/membership_cluster.h
@@ -1,4 +1,4 @@
-// The fixture of the membership tests: a modelled cluster whose members' events are checked and counted.
+// Fixture of the membership tests: a modelled cluster whose members' events are checked and counted.
 #pragma once
 
 #include <cstddef>
@@ -21,7 +21,7 @@
 
 using Violations = std::vector<std::string>;
 
-// A modelled cluster under test. Members are numbered from 0 and named g0, g1, ...
+// A modelled cluster. Members are numbered from 0 and named g0, g1, ...
 class Cluster {
  public:
   explicit Cluster(std::size_t count, std::uint64_t seed = 1, MembershipSettings settings = {},
@@ -40,7 +40,7 @@
       start(i);
     }
   }
-  // The home addresses of the first members are the seeds.
+  // Starts a member with the home addresses of the first `seed_count` members as seeds.
   void start(std::size_t index, double wall_clock_offset = 0, bool new_address = false) {
     std::vector<std::string> seeds;
     for (std::size_t i = 0; i < seed_count_; ++i) seeds.push_back(MembershipModel::home_address(i));
@@ -50,7 +50,7 @@
   const Membership& real(std::size_t index) {
     return dynamic_cast<RealMember&>(*model.member(index).protocol).real();
   }
-  // As `observer` shows `member`; left if it does not show it at all.
+  // The state of `member` in the view of `observer`; kLeft if the view does not contain it.
   MemberState state(std::size_t observer, std::size_t member) {
     for (const auto& view : real(observer).members(model.now())) {
       if (view.name == model.member(member).name) return view.state;
@@ -58,7 +58,7 @@
     return MemberState::kLeft;
   }
   ConnectivityState connectivity(std::size_t index) { return real(index).connectivity(); }
-  // All violations so far, with those of the final view: to be called once all faults have ended.
+  // Checks the final view and returns all violations so far. Must be called after all faults have ended.
   Violations check_final_view() {
     std::map<std::string, std::uint64_t> running;
     for (std::size_t i = 0; i < model.size(); ++i) {
@@ -104,7 +104,7 @@
   std::map<std::size_t, std::map<std::size_t, Ms>> failed_at;  // by failed member, then by observer
 };
 
-// From `first` to before `end`.
+// The indices from `first` up to but excluding `end`.
 inline std::vector<std::size_t> range(std::size_t first, std::size_t end) {
   std::vector<std::size_t> all;
   for (std::size_t index = first; index < end; ++index) all.push_back(index);
--- a/tests/membership_schedules_test.cpp
+++ b/tests/membership_schedules_test.cpp
@@ -1,5 +1,5 @@
-// Membership in the model: each deliberate fault (membership/faults.h) is found by hard cases or random
-// schedules of faults, and without one all of them end in agreement.
+// Runs membership in the modelled network through hard cases and random schedules of network and process
+// faults. All members must agree at the end, and each mutant (membership/faults.h) must cause a violation.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,7 +11,8 @@
 namespace cometfold::membership::testing {
 namespace {
 
-// The cluster's violations, and `violation` if there was one; `hard_case` names the case.
+// The violations of the cluster's checks, and `violation` if `violated`, each prefixed with the name of the
+// case.
 Violations named(const char* hard_case, Cluster& cluster, bool violated, const char* violation) {
   Violations all;
   for (const auto& found : cluster.check_final_view()) all.push_back(std::string(hard_case) + ": " + found);
@@ -26,7 +27,8 @@
   cluster.run(6000);
   cluster.heal();
   cluster.run(8000);
-  return named("partitioned minority", cluster, cluster.new_incarnations > 6, "it declared others failed");
+  return named("partitioned minority", cluster, cluster.new_incarnations > 6,
+               "there were more than six new incarnations");
 }
 
 Violations paused_process() {
@@ -38,7 +40,7 @@
   cluster.model.resume(7);
   cluster.run(300);
   for (std::size_t i = 0; i < 12; ++i) {
-    if (cluster.state(7, i) == MemberState::kSuspect) all.push_back("paused process: it suspects others");
+    if (cluster.state(7, i) == MemberState::kSuspect) all.push_back("paused process: suspects others");
   }
   cluster.run(6000);
   const bool harmed = cluster.false_failures > 0 || cluster.new_incarnations > 1;
@@ -67,7 +69,7 @@
   const bool unnoticed =
       cluster.real(3).conflicting_address().empty() || cluster.real(twin).conflicting_address().empty();
   return named("name conflict", cluster, unnoticed || cluster.new_incarnations > 4,
-               "it is not reported, or does not end");
+               "the conflict is not reported, or does not end");
 }
 
 Violations seventy_percent_killed() {
@@ -92,7 +94,7 @@
   for (int i = 0; i < 20; ++i) {
     cluster.run(100);
     if (cluster.state(12, 5) != MemberState::kLeft) {
-      all.push_back("pause beyond retention: a failed member is back at one that never had it");
+      all.push_back("pause beyond retention: a new member shows one that was killed during the pause");
     }
   }
   cluster.run(8000);
@@ -111,7 +113,7 @@
 
 using RandomIndex = std::function<std::size_t(std::uint64_t below)>;
 
-// Starts a member that does not run, sometimes with a wall clock that went back or at another address.
+// Restarts a member that does not run, sometimes with its wall clock set back or at a new address.
 void restart_if_killed(Cluster& cluster, std::size_t index, const RandomIndex& draw) {
   if (cluster.model.member(index).running) return;
   cluster.left.erase(index);
@@ -170,7 +172,7 @@
   }
 }
 
-// Plays one random schedule.
+// Runs one random schedule of faults and returns the violations.
 Violations play(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const RandomIndex draw = [&random](std::uint64_t below) {
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,4 @@
-// Membership in the model, one kind of fault at a time.
+// Runs membership in the modelled network, one kind of fault per test.
 #include "membership/membership.h"
 
 #include <gtest/gtest.h>
@@ -38,7 +38,8 @@
   }
 }
 
-// One of two members can't distinguish a crash from a partition: it declares nothing, and is isolated.
+// One of two members cannot distinguish a crash of the other from a partition: it is isolated and declares no
+// failure.
 TEST(Membership, OfTwoMembersTheSilentOneIsSuspectedAndThenExcluded) {
   Cluster cluster(2);
   cluster.run(5000);
@@ -130,7 +131,7 @@
   cluster.run(4000);
   EXPECT_EQ(cluster.check_final_view(), Violations{});
   EXPECT_EQ(cluster.false_failures, 0);
-  EXPECT_EQ(cluster.new_incarnations, 1);  // its own alone
+  EXPECT_EQ(cluster.new_incarnations, 1);  // only the paused member's
 }
 
 TEST(Membership, APartitionedMinorityDeclaresNobodyFailedAndRejoins) {
@@ -150,7 +151,7 @@
   cluster.heal();
   cluster.run(6000);
   EXPECT_EQ(cluster.check_final_view(), Violations{});
-  EXPECT_EQ(cluster.new_incarnations, 6);  // the minority's
+  EXPECT_EQ(cluster.new_incarnations, 6);  // those of the minority
 }
 
 TEST(Membership, AMemberIsolatedForLongHarmsNobodyWhenItRejoins) {
@@ -282,9 +283,9 @@
   cluster.run(5000);
   cluster.model.pause(11);
   cluster.run(100);
-  cluster.model.kill(5);  // which the paused one does not learn
+  cluster.model.kill(5);  // while member 11 is paused and cannot learn of it
   cluster.run(90'000);
-  EXPECT_EQ(cluster.state(0, 11), MemberState::kLeft);  // not there at all
+  EXPECT_EQ(cluster.state(0, 11), MemberState::kLeft);  // state() gives kLeft for a forgotten member
   cluster.model.resume(11);
   cluster.run(10'000);
   EXPECT_EQ(cluster.check_final_view(), Violations{});
--- a/tests/membership_wire_test.cpp
+++ b/tests/membership_wire_test.cpp
@@ -1,4 +1,5 @@
-// Datagrams of members: encoding, decoding and its errors, golden bytes; and the rules of connectivity.
+// Tests the encoding and decoding of membership datagrams, with golden bytes, and the classification of
+// connectivity.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -44,7 +45,7 @@
   EXPECT_EQ(decoded->bucket_digests, sent.bucket_digests);
 }
 
-// A datagram as processes already in use send it: field numbers, byte order and rounding stay.
+// A datagram as deployed versions send it: field numbers, byte order and rounding must not change.
 constexpr std::string_view kGoldenDatagram =
     "43464d01bb06702367a764f30a04626c756510061a1f0a026731120e3132372e302e302e313a373030301805"
     "214d00000000000000210c0000000000000029efbefecacefaedfe30ac02388780808010422e0a026732120e"
@@ -159,7 +160,7 @@
   EXPECT_EQ(unnamed.error, DecodeError::kMalformed);
 }
 
-// A record of a later version passes through this version with the fields that only the later one knows.
+// A record from a later version keeps the fields that this version does not know when it is forwarded.
 TEST(MembershipWire, UnknownFieldsArePassedOn) {
   Message message = full_message();
   message.records[0].unknown_fields = std::string("\xa2\x06\x03") + "new";  // field 100, three bytes
--- a/tests/metrics_test.cpp
+++ b/tests/metrics_test.cpp
@@ -1,4 +1,4 @@
-// Exported metrics as golden text: names, order and kinds stay.
+// Golden test of the exported metrics: names, order and kinds must not change.
 #include "ops/metrics.h"
 
 #include <gtest/gtest.h>
@@ -72,7 +72,7 @@
     "edge_edge.peers.standing:1|g\n"
     "edge_edge.peers.judged:2|c\n";
 
-// Each metric has a value of its own.
+// Gives each metric a distinct value, so that mixed-up metrics are detected.
 ops::GatewayMetrics golden_metrics() {
   ops::GatewayMetrics metrics;
   metrics.in_progress = 1;
--- a/tests/operator_calls_test.cpp
+++ b/tests/operator_calls_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls: paths, methods, statuses and bodies stay.
+// Tests operators' calls: paths, methods, statuses and bodies must not change.
 #include "ops/operator_calls.h"
 
 #include <gtest/gtest.h>
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -1,4 +1,4 @@
-// Operators' calls to a serving gateway: readiness, metrics, draining, new settings.
+// Tests operators' calls to a running gateway (readiness, metrics, draining) and reloading of settings.
 #include <string>
 #include <vector>
 
@@ -77,14 +77,14 @@
 TEST(OperatorCalls, AreAnsweredBesideIncompleteCalls) {
   Serving s;
   std::vector<Peer> silent;
-  for (int i = 0; i < 40; ++i) {  // above the limit
+  for (int i = 0; i < 40; ++i) {  // more connections than the limit
     silent.push_back(Peer::connect(s.program.admin_port()));
     silent.back().send("GET /_re");
   }
   EXPECT_EQ(call(s.program, "GET", "/_ready").status, 200);
-  EXPECT_TRUE(silent.front().ends());  // the oldest was evicted
+  EXPECT_TRUE(silent.front().ends());  // the oldest connection was evicted
   silent.back().send("ady HTTP/1.1\r\nHost: gateway\r\n\r\n");
-  EXPECT_EQ(silent.back().line().substr(9, 3), "200");  // and the newest was not
+  EXPECT_EQ(silent.back().line().substr(9, 3), "200");  // the newest was not
 }
 
 TEST(OperatorCalls, LimitTheSizeOfAHeader) {
@@ -110,7 +110,7 @@
   client.send(submit("pay", 3));
   auto pay = s.host.accept();
   pay.command();
-  pay.reset();  // it may have run: failed, and not retried
+  pay.reset();  // the request may have run: it fails without a retry
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   client.send(submit("pay", 4));
   auto busy = s.host.accept();
@@ -164,11 +164,11 @@
   used.send(command({"PING"}));
   EXPECT_EQ(used.reply().substr(0, 9), "-DRAINING");
   EXPECT_TRUE(used.ends());
-  auto newcomer = s.program.client();  // served once, as it may have been on its way
+  auto newcomer = s.program.client();  // its connection may have been under way: served once
   EXPECT_EQ(s.serve(newcomer, 4), "v");
   EXPECT_TRUE(newcomer.ends());
   EXPECT_TRUE(idle.ends());
-  at.send(served("late"));  // accepted requests are answered
+  at.send(served("late"));  // accepted before draining: still answered
   EXPECT_EQ(late.reply(), "late");
   EXPECT_TRUE(late.ends());
   EXPECT_EQ(call(s.program, "POST", "/_lameduck/off").status, 200);
@@ -190,7 +190,7 @@
   auto& lanes = settings_of(conf)["lanes"].as_array();
   auto added = lanes[2];
   added.as_object()["name"] = "audit";
-  lanes.erase(lanes.begin());  // without lookup all numbers in the file change
+  lanes.erase(lanes.begin());  // the positions of all other classes change
   lanes.push_back(added);
   s.program.reload(boost::json::serialize(conf));
   s.program.log_until("configuration read again");
@@ -199,9 +199,9 @@
   other.send(submit("audit", 3));
   auto audit = s.host.accept();
   EXPECT_EQ(audit.command().at(3).substr(0, 7), "c=audit");
-  audit.reset();  // not idempotent: not retried
+  audit.reset();  // not idempotent: no retry
   EXPECT_EQ(other.reply().substr(0, 4), "-ERR");
-  at.reset();  // the old class is idempotent: retried
+  at.reset();  // its old class is idempotent: retried
   auto second = s.host.accept();
   EXPECT_EQ(second.command().at(2), id(1));
   second.send(served("one"));
@@ -231,7 +231,7 @@
   std::vector<std::string> broken{"", boost::json::serialize(s.conf).substr(0, 300)};
   const auto with = [&](auto change) {
     auto conf = s.conf;
-    conf["discovery"] = "127.0.0.1:1";  // must not be used either
+    conf["discovery"] = "127.0.0.1:1";  // must not take effect
     change(settings_of(conf));
     broken.push_back(boost::json::serialize(conf));
   };
@@ -289,7 +289,7 @@
     auto next = now;
     next.classes = {"c"};
     next.settings.classes = {kind(Idempotency::kIdempotencyKey, n)};
-    next.settings.classes[0].idempotency_key_ttl_ms = n + 1;  // another idempotency each time
+    next.settings.classes[0].idempotency_key_ttl_ms = n + 1;  // differs each time: a new index
     next.plans = {"p"};
     next.settings.plans.resize(1);
     now = settings::renumber(now, next);
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -1,5 +1,5 @@
-// The cluster as one gateway's operators see it: settings, the call, metrics, cometfold-ctl. How several
-// processes behave together is tested by the cluster schedules (examples/cluster).
+// Tests what operators see of cluster membership on a single gateway: settings, the /_members call, metrics
+// and cometfold-ctl. The cluster schedules (examples/cluster) test several processes together.
 #include <cstdio>
 #include <fstream>
 
@@ -55,7 +55,8 @@
   return all + "\n" + peer.exactly(length);
 }
 
-// A port that was free a moment ago, at an address that no other test uses.
+// A UDP port that was free when it was chosen, on a loopback address derived from the process id, so that
+// tests that run at the same time do not collide.
 struct FreeAddress {
   FreeAddress() {
     Fd fd(::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0));
@@ -100,7 +101,7 @@
             std::string::npos);
 }
 
-// The seeds may be all gateways of a fleet.
+// The limit has to allow all gateways of a large cluster as seeds.
 TEST(Peers, TheCountOfSeedsIsLimited) {
   const auto seeds = [](int n) {
     std::string text = "[peers]\nlisten = \"127.0.0.1:7946\"\nseeds = [";
@@ -174,7 +175,7 @@
   EXPECT_EQ(limiter.admit(1100), std::nullopt);
   EXPECT_EQ(limiter.admit(1600), 2U);
   EXPECT_EQ(limiter.admit(1601), std::nullopt);
-  EXPECT_EQ(limiter.admit(1e9), 1U);  // and not for ever
+  EXPECT_EQ(limiter.admit(1e9), 1U);  // admits lines again once the rate allows
 }
 
 }  // namespace
