--- a/src/cli/operators_client.cpp
+++ b/src/cli/operators_client.cpp
@@ -17,7 +17,7 @@
 constexpr std::uint64_t kMaxBodyBytes = std::uint64_t{64} * 1024 * 1024;
 constexpr int kHttp11 = 11;
 
-std::string text_of(const std::string& address, const std::string& problem, const std::string& remedy) {
+std::string error_text(const std::string& address, const std::string& problem, const std::string& remedy) {
   std::string text = address.empty() ? problem : address + ": " + problem;
   if (!remedy.empty()) text += "; " + remedy;
   return text;
@@ -68,7 +68,7 @@
 }  // namespace
 
 CallError::CallError(std::string address, std::string problem, std::string remedy)
-    : std::runtime_error(text_of(address, problem, remedy)),
+    : std::runtime_error(error_text(address, problem, remedy)),
       address_(std::move(address)),
       problem_(std::move(problem)),
       remedy_(std::move(remedy)) {}
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -44,13 +44,13 @@
       outbox_(outbox),
       metrics_(metrics) {}
 
-void FailureDetector::update_subjects(Ms now, bool takes_part) {
+void FailureDetector::update_subjects(Ms now, bool participates) {
   std::map<std::string, Subject> chosen;
   for (auto& [name, member] : table_.members()) {
     const bool observed =
         std::any_of(member.observers.begin(), member.observers.end(),
                     [&](const Member* observer) { return observer->record.name == table_.self().name; });
-    if (!observed || !takes_part) continue;
+    if (!observed || !participates) continue;
     const auto previous = subjects_.find(name);
     const bool same =
         previous != subjects_.end() && previous->second.incarnation == member.record.incarnation;
@@ -120,7 +120,7 @@
   }
 }
 
-void FailureDetector::forgive_silence(Ms now) {
+void FailureDetector::discard_unanswered_pings(Ms now) {
   for (auto& [name, subject] : subjects_) {
     subject.unanswered.clear();
     if (subject.suspected) stop_suspecting(now, table_.members().at(name), subject);
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -39,9 +39,9 @@
                   const LocalHealth& health, GossipQueue& gossip, Outbox& outbox, MembershipMetrics& metrics);
 
   const std::map<std::string, Subject>& subjects() const { return subjects_; }
-  // Makes the members that have this gateway among their observers the subjects; none if `takes_part` is
+  // Makes the members that have this gateway among their observers the subjects; none if `participates` is
   // false.
-  void update_subjects(Ms now, bool takes_part);
+  void update_subjects(Ms now, bool participates);
   void clear_subjects() { subjects_.clear(); }
 
   void ping_subjects(Ms now);
@@ -50,7 +50,7 @@
   void check_subjects(Ms now);
   // Discards unanswered pings and withdraws this gateway's suspicions: the answers may be missing only
   // because this process was paused.
-  void forgive_silence(Ms now);
+  void discard_unanswered_pings(Ms now);
   // A member counts as in contact for this long after its last message.
   Ms contact_window() const;
 
--- a/src/membership/local_identity.cpp
+++ b/src/membership/local_identity.cpp
@@ -44,9 +44,9 @@
     rejoin_above(now, record.incarnation,
                  declared_left ? IncarnationReason::kDeclaredLeft : IncarnationReason::kDeclaredFailed);
   } else if (record.status != MemberStatus::kAlive) {
-    rejoin_above(
-        now, record.incarnation,
-        conflict_.displaced() ? IncarnationReason::kOtherProcessOver : IncarnationReason::kPredecessorHigher);
+    rejoin_above(now, record.incarnation,
+                 conflict_.displaced() ? IncarnationReason::kOtherProcessEnded
+                                       : IncarnationReason::kPredecessorHigher);
   } else {
     merge_alive(now, record);
   }
@@ -91,7 +91,7 @@
 
 // The other process's own record proves no conflict, as the message may be old. A message that carries this
 // process's current incarnation does prove one.
-void LocalIdentity::receive_from_namesake(Ms now, const Message& message) {
+void LocalIdentity::receive_from_conflicting_process(Ms now, const Message& message) {
   const MemberRecord& self = table_.self();
   if (message.displaced_by == self.incarnation && !conflict_.displaced()) {
     observe_conflict(now, message.sender);
@@ -117,7 +117,7 @@
 }
 
 void LocalIdentity::expire_conflict(Ms now) {
-  if (!conflict_.is_over(now)) return;
+  if (!conflict_.is_expired(now)) return;
   events_.push({MembershipEvent::kNameConflictResolved, table_.self().name, conflict_.incarnation(),
                 MemberState::kAlive, conflict_.address()});
   conflict_.clear();
--- a/src/membership/local_identity.h
+++ b/src/membership/local_identity.h
@@ -18,7 +18,7 @@
 enum class IncarnationReason : std::uint8_t {
   kDeclaredFailed,
   kDeclaredLeft,
-  kOtherProcessOver,   // the process that had displaced this one has ended
+  kOtherProcessEnded,  // the process that had displaced this one has ended
   kPredecessorHigher,  // an earlier process with this name, which has ended, had a higher incarnation
   kNameInUse,          // another process uses this name
   kNameKnownHigher,    // others know the name with a higher incarnation, perhaps that of a predecessor
@@ -35,7 +35,7 @@
   // Merges a record of this gateway's name.
   void merge(Ms now, const MemberRecord& record);
   // Handles a message of another process with this gateway's name.
-  void receive_from_namesake(Ms now, const Message& message);
+  void receive_from_conflicting_process(Ms now, const Message& message);
   // Takes the incarnation after `incarnation`, unless this gateway has left.
   void rejoin_above(Ms now, std::uint64_t incarnation, IncarnationReason reason);
   // Takes an incarnation above `floor` if its own is not: others reject incarnations up to `floor`.
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -123,7 +123,7 @@
   }
 }
 
-void MemberTable::forgive_silence(Ms pause) {
+void MemberTable::discount_pause(Ms pause) {
   for (auto& [name, member] : members_) {
     member.last_contact_at += pause;
     member.unreachable_since = kUnset;
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -53,7 +53,7 @@
   // retention, so that digests do not differ when gateways forget it at slightly different times.
   void expire_tombstones(Ms now);
   // Discounts a pause of this process by `pause` ms: no member counts as silent because of it.
-  void forgive_silence(Ms pause);
+  void discount_pause(Ms pause);
   // Removes all alive members except this gateway and returns their addresses.
   std::vector<std::string> remove_alive_members();
 
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -44,14 +44,15 @@
   Member& member = table_.insert(table_.self().name);
   table_.set_record(now, member, table_.self());
   gossip_.enqueue_record(member);
-  rejoiner_.hurry();
+  rejoiner_.start_fast_rejoin();
   next_tick_ = now + static_cast<Ms>(draw_(static_cast<std::uint64_t>(settings_.ping_interval_ms)));
   rejoiner_.start(now);
 }
 
 void Membership::receive(Ms now, const Message& message) {
   if (message.sender.name == table_.self().name) {
-    if (message.sender.process_nonce != table_.self().process_nonce) receive_from_namesake(now, message);
+    if (message.sender.process_nonce != table_.self().process_nonce)
+      receive_from_conflicting_process(now, message);
     return;
   }
   if (!accepts(message)) return;
@@ -70,13 +71,13 @@
 // Datagrams that waited in the socket during a long pause are outdated: until the first answer to a message
 // that was sent after the pause, all others are ignored.
 bool Membership::accepts(const Message& message) {
-  if (!answers_only_above_) return true;
+  if (!answer_sequence_floor_) return true;
   const bool answer = message.type == Message::kSyncReply || message.type == Message::kAck ||
                       message.type == Message::kCorrection;
   const bool late_enough =
-      message.sequence > *answers_only_above_ && message.sequence <= outbox_.last_sequence();
+      message.sequence > *answer_sequence_floor_ && message.sequence <= outbox_.last_sequence();
   if (!answer || !late_enough) return false;
-  answers_only_above_.reset();
+  answer_sequence_floor_.reset();
   return true;
 }
 
@@ -146,12 +147,12 @@
   correct(now, message, std::move(correction));
 }
 
-void Membership::receive_from_namesake(Ms now, const Message& message) {
+void Membership::receive_from_conflicting_process(Ms now, const Message& message) {
   if (precedence_of(message.sender) > precedence_of(table_.self())) {
     identity_.merge(now, message.sender);
     return;
   }
-  identity_.receive_from_namesake(now, message);
+  identity_.receive_from_conflicting_process(now, message);
   Message correction = outbox_.make(Message::kCorrection);
   correction.records.push_back(table_.self());
   correct(now, message, std::move(correction));
@@ -194,22 +195,22 @@
                   MemberState::kAlive, std::to_string(std::lround(*pause))});
   }
   if (*pause > settings_.tombstone_retention_ms / 2 && !mutant(Mutant::kKeepsMembersAfterPause)) {
-    start_over(now);
+    reset_after_long_pause(now);
     return;
   }
-  detector_.forgive_silence(now);
-  table_.forgive_silence(*pause);
+  detector_.discard_unanswered_pings(now);
+  table_.discount_pause(*pause);
 }
 
 // After such a long pause others may have forgotten tombstones that this gateway never received, so its
 // records of alive members would revive failed ones. It removes them, and keeps their addresses as seeds and
 // its own tombstones.
-void Membership::start_over(Ms now) {
+void Membership::reset_after_long_pause(Ms now) {
   for (const auto& address : table_.remove_alive_members()) rejoiner_.add_seed(address);
   detector_.clear_subjects();
   rings_.clear();
-  rejoiner_.hurry();
-  answers_only_above_ = outbox_.restart_sequences();
+  rejoiner_.start_fast_rejoin();
+  answer_sequence_floor_ = outbox_.restart_sequences();
   identity_.rejoin_above(now, table_.self().incarnation, IncarnationReason::kPausedTooLong);
 }
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -80,12 +80,12 @@
   bool accepts(const Message& message);
   void receive_current(Ms now, Member& sender, const Message& message);
   void receive_stale(Ms now, const Message& message, const Member* sender);
-  void receive_from_namesake(Ms now, const Message& message);
+  void receive_from_conflicting_process(Ms now, const Message& message);
   void merge_records(Ms now, const Message& message);
   void answer(Ms now, const Message& message);
   void correct(Ms now, const Message& message, Message correction);
   void check_for_pause(Ms now);
-  void start_over(Ms now);
+  void reset_after_long_pause(Ms now);
   void update_observers(Ms now);
   void send_leave_announcement(Ms now);
 
@@ -108,7 +108,7 @@
   ObserverRings rings_;
   // Set after a long pause, until the first answer to a message with a sequence above this one arrives; only
   // such an answer is accepted.
-  std::optional<std::uint64_t> answers_only_above_;
+  std::optional<std::uint64_t> answer_sequence_floor_;
   Ms next_tick_ = 0;
   int corrections_left_ = 0;  // that may still be sent before the next tick
   int leave_announcements_left_ = 0;
--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -13,7 +13,7 @@
   // Notes that a record of the other process arrived. Returns whether its address is new.
   bool observe(Ms now, const std::string& address, std::uint64_t incarnation);
   // Whether this process holds the name and nothing was observed of the other one for a while.
-  bool is_over(Ms now) const;
+  bool is_expired(Ms now) const;
   void clear() { address_.clear(); }
 
   bool is_open() const { return !address_.empty(); }
@@ -39,7 +39,7 @@
   return is_new;
 }
 
-inline bool NameConflict::is_over(Ms now) const {
+inline bool NameConflict::is_expired(Ms now) const {
   constexpr Ms kConflictTimeoutMs = 5000;
   return is_open() && !displaced_ && now - observed_at_ > kConflictTimeoutMs;
 }
--- a/src/membership/observer_rings.cpp
+++ b/src/membership/observer_rings.cpp
@@ -20,7 +20,7 @@
   for (auto& [name, member] : members) {
     if (is_active(member)) ring.push_back({ring_hash(member.name_hash, ring_number), &member});
   }
-  std::sort(ring.begin(), ring.end(), [](const Place& one, const Place& other) {
+  std::sort(ring.begin(), ring.end(), [](const RingPosition& one, const RingPosition& other) {
     return std::tie(one.hash, one.member->record.name) < std::tie(other.hash, other.member->record.name);
   });
   return ring;
@@ -36,7 +36,7 @@
 Member* ObserverRings::successor(const Ring& ring, std::size_t ring_number, const Member& member) {
   const auto after =
       std::upper_bound(ring.begin(), ring.end(), ring_hash(member.name_hash, ring_number),
-                       [](std::uint64_t hash, const Place& place) { return hash < place.hash; });
+                       [](std::uint64_t hash, const RingPosition& position) { return hash < position.hash; });
   const auto first = static_cast<std::size_t>(after - ring.begin());
   for (std::size_t step = 0; step < ring.size(); ++step) {
     Member* candidate = ring[(first + step) % ring.size()].member;
--- a/src/membership/observer_rings.h
+++ b/src/membership/observer_rings.h
@@ -22,14 +22,14 @@
   void assign(std::map<std::string, Member>& members);
   // Drops the rings' pointers to members. Must be called before active members are destroyed.
   void clear() { rings_.assign(rings_.size(), {}); }
-  std::size_t memory_bytes_per_member() const { return rings_.size() * sizeof(Place); }
+  std::size_t memory_bytes_per_member() const { return rings_.size() * sizeof(RingPosition); }
 
  private:
-  struct Place {
+  struct RingPosition {
     std::uint64_t hash;
     Member* member;
   };
-  using Ring = std::vector<Place>;
+  using Ring = std::vector<RingPosition>;
 
   static Ring build(std::map<std::string, Member>& members, std::size_t ring_number);
   static Member* successor(const Ring& ring, std::size_t ring_number, const Member& member);
--- a/src/membership/record_merger.cpp
+++ b/src/membership/record_merger.cpp
@@ -46,8 +46,8 @@
   }
   // Gossips the record again if another gateway still reports an ended member as alive: the tombstone may be
   // too old for the digests to show the difference.
-  const bool over = member.record.status != MemberStatus::kAlive;
-  if (over && alive && third_party && member.record_sends_left == 0) gossip_.enqueue_record(member);
+  const bool ended = member.record.status != MemberStatus::kAlive;
+  if (ended && alive && third_party && member.record_sends_left == 0) gossip_.enqueue_record(member);
 }
 
 void RecordMerger::merge_unknown(Ms now, const MemberRecord& record, RecordSource source) {
--- a/src/membership/rejoiner.cpp
+++ b/src/membership/rejoiner.cpp
@@ -9,7 +9,7 @@
 namespace {
 
 constexpr std::uint64_t kRejoinIntervalTicks = 4;
-constexpr int kHurriedTicks = 12;
+constexpr int kFastTicks = 12;
 constexpr std::size_t kSeedsAtStart = 3;
 constexpr std::size_t kMaxSeeds = 64;
 
@@ -33,7 +33,7 @@
   }
 }
 
-void Rejoiner::hurry() { hurried_ticks_left_ = kHurriedTicks; }
+void Rejoiner::start_fast_rejoin() { fast_ticks_left_ = kFastTicks; }
 
 void Rejoiner::add_seed(const std::string& address) {
   const bool known = std::find(seeds_.begin(), seeds_.end(), address) != seeds_.end();
@@ -42,9 +42,9 @@
 
 void Rejoiner::tick(Ms now, bool isolated) {
   ++ticks_;
-  const bool hurried = isolated && hurried_ticks_left_ > 0;
-  if (hurried) --hurried_ticks_left_;
-  if (!hurried && ticks_ % kRejoinIntervalTicks != 0) return;
+  const bool fast = isolated && fast_ticks_left_ > 0;
+  if (fast) --fast_ticks_left_;
+  if (!fast && ticks_ % kRejoinIntervalTicks != 0) return;
   ping_silent_member(now);
   contact_unreached_seed(now);
   if (conflict_.displaced()) check_conflict(now);
--- a/src/membership/rejoiner.h
+++ b/src/membership/rejoiner.h
@@ -23,7 +23,7 @@
   // Must be called at each tick. `isolated`: this gateway reaches no other member.
   void tick(Ms now, bool isolated);
   // For a number of ticks, contacts seeds and silent members at each tick while this gateway is isolated.
-  void hurry();
+  void start_fast_rejoin();
   // Adds a seed address, up to a bound.
   void add_seed(const std::string& address);
 
@@ -39,7 +39,7 @@
   Outbox& outbox_;
   std::vector<std::string> seeds_;
   std::uint64_t ticks_ = 0;
-  int hurried_ticks_left_ = 0;
+  int fast_ticks_left_ = 0;
 };
 
 }  // namespace cometfold::membership
