--- a/tests/membership_cluster.h
+++ b/tests/membership_cluster.h
@@ -47,17 +47,17 @@
     model.start(index, seeds, 1e6 + model.now() + wall_clock_offset, new_address);
   }
   void run(Ms span) { model.run_until(model.now() + span); }
-  const Membership& real(std::size_t index) {
+  const Membership& membership_of(std::size_t index) {
     return dynamic_cast<RealMember&>(*model.member(index).protocol).real();
   }
   // The state of `member` in the view of `observer`; kLeft if the view does not contain it.
   MemberState state(std::size_t observer, std::size_t member) {
-    for (const auto& view : real(observer).members(model.now())) {
+    for (const auto& view : membership_of(observer).members(model.now())) {
       if (view.name == model.member(member).name) return view.state;
     }
     return MemberState::kLeft;
   }
-  ConnectivityState connectivity(std::size_t index) { return real(index).connectivity(); }
+  ConnectivityState connectivity(std::size_t index) { return membership_of(index).connectivity(); }
   // Checks the final view and returns all violations so far. Must be called after all faults have ended.
   Violations check_final_view() {
     std::map<std::string, std::uint64_t> running;
--- a/tests/membership_schedules_test.cpp
+++ b/tests/membership_schedules_test.cpp
@@ -13,7 +13,7 @@
 
 // The violations of the cluster's checks, and `violation` if `violated`, each prefixed with the name of the
 // case.
-Violations named(const char* hard_case, Cluster& cluster, bool violated, const char* violation) {
+Violations collect_violations(const char* hard_case, Cluster& cluster, bool violated, const char* violation) {
   Violations all;
   for (const auto& found : cluster.check_final_view()) all.push_back(std::string(hard_case) + ": " + found);
   if (violated) all.push_back(std::string(hard_case) + ": " + violation);
@@ -27,8 +27,8 @@
   cluster.run(6000);
   cluster.heal();
   cluster.run(8000);
-  return named("partitioned minority", cluster, cluster.new_incarnations > 6,
-               "there were more than six new incarnations");
+  return collect_violations("partitioned minority", cluster, cluster.new_incarnations > 6,
+                            "there were more than six new incarnations");
 }
 
 Violations paused_process() {
@@ -44,7 +44,7 @@
   }
   cluster.run(6000);
   const bool harmed = cluster.false_failures > 0 || cluster.new_incarnations > 1;
-  for (auto& found : named("paused process", cluster, harmed, "others were declared failed")) {
+  for (auto& found : collect_violations("paused process", cluster, harmed, "others were declared failed")) {
     all.push_back(std::move(found));
   }
   return all;
@@ -57,19 +57,20 @@
   cluster.run(10'000);
   cluster.model.is_blocked = [](std::size_t, std::size_t) { return false; };
   cluster.run(8000);
-  return named("broken link", cluster, cluster.false_failures > 0, "a running member was declared failed");
+  return collect_violations("broken link", cluster, cluster.false_failures > 0,
+                            "a running member was declared failed");
 }
 
 Violations name_conflict() {
   Cluster cluster(8);
   cluster.run(5000);
-  const std::size_t twin = cluster.model.add("g3");
-  cluster.start(twin);
+  const std::size_t duplicate = cluster.model.add("g3");
+  cluster.start(duplicate);
   cluster.run(6000);
-  const bool unnoticed =
-      cluster.real(3).conflicting_address().empty() || cluster.real(twin).conflicting_address().empty();
-  return named("name conflict", cluster, unnoticed || cluster.new_incarnations > 4,
-               "the conflict is not reported, or does not end");
+  const bool unnoticed = cluster.membership_of(3).conflicting_address().empty() ||
+                         cluster.membership_of(duplicate).conflicting_address().empty();
+  return collect_violations("name conflict", cluster, unnoticed || cluster.new_incarnations > 4,
+                            "the conflict is not reported, or does not end");
 }
 
 Violations seventy_percent_killed() {
@@ -77,7 +78,7 @@
   cluster.run(6000);
   for (std::size_t i = 18; i < 60; ++i) cluster.model.kill(i);
   cluster.run(40'000);
-  return named("seventy percent killed", cluster, false, "");
+  return collect_violations("seventy percent killed", cluster, false, "");
 }
 
 Violations pause_beyond_retention() {
@@ -98,7 +99,8 @@
     }
   }
   cluster.run(8000);
-  for (auto& found : named("pause beyond retention", cluster, false, "")) all.push_back(std::move(found));
+  for (auto& found : collect_violations("pause beyond retention", cluster, false, ""))
+    all.push_back(std::move(found));
   return all;
 }
 
@@ -173,7 +175,7 @@
 }
 
 // Runs one random schedule of faults and returns the violations.
-Violations play(std::uint64_t seed) {
+Violations run_schedule(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const RandomIndex draw = [&random](std::uint64_t below) {
     return static_cast<std::size_t>(random() % below);
@@ -199,7 +201,7 @@
     active_mutant = static_cast<Mutant>(i);
     auto violations = violations_in_hard_cases();
     std::uint64_t seed = 0;
-    while (violations.empty() && seed < 400) violations = play(++seed);
+    while (violations.empty() && seed < 400) violations = run_schedule(++seed);
     active_mutant = Mutant::kNone;
     EXPECT_FALSE(violations.empty()) << "mutant " << i;
     if (violations.empty()) continue;
@@ -212,7 +214,7 @@
   const char* requested = std::getenv("COMETFOLD_SCHEDULES");
   const int count = requested ? std::atoi(requested) : 60;
   for (int seed = 1; seed <= count; ++seed) {
-    ASSERT_EQ(play(static_cast<std::uint64_t>(seed)), Violations{}) << seed;
+    ASSERT_EQ(run_schedule(static_cast<std::uint64_t>(seed)), Violations{}) << seed;
   }
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -17,7 +17,7 @@
     for (std::size_t i = 0; i < count; ++i) {
       EXPECT_EQ(cluster.connectivity(i),
                 count == 1 ? ConnectivityState::kIsolated : ConnectivityState::kConnected);
-      EXPECT_EQ(cluster.real(i).digest(), cluster.real(0).digest());
+      EXPECT_EQ(cluster.membership_of(i).digest(), cluster.membership_of(0).digest());
     }
   }
 }
@@ -72,12 +72,12 @@
 TEST(Membership, ARestartWhileSuspectedJoinsWithANewIncarnation) {
   Cluster cluster(12);
   cluster.run(5000);
-  const auto before = cluster.real(3).self().incarnation;
+  const auto before = cluster.membership_of(3).self().incarnation;
   cluster.model.kill(3);
   cluster.run(1500);
   cluster.start(3);
   cluster.run(8000);
-  EXPECT_GT(cluster.real(3).self().incarnation, before);
+  EXPECT_GT(cluster.membership_of(3).self().incarnation, before);
   EXPECT_EQ(cluster.check_final_view(), Violations{});
   EXPECT_EQ(cluster.failed_at[3].size(), 0U);
 }
@@ -127,7 +127,7 @@
   }
   cluster.model.resume(7);
   cluster.run(200);
-  EXPECT_TRUE(cluster.real(7).recently_paused(cluster.model.now()));
+  EXPECT_TRUE(cluster.membership_of(7).recently_paused(cluster.model.now()));
   cluster.run(4000);
   EXPECT_EQ(cluster.check_final_view(), Violations{});
   EXPECT_EQ(cluster.false_failures, 0);
@@ -226,15 +226,15 @@
 TEST(Membership, OfTwoProcessesWithOneNameTheOlderYieldsUntilTheOtherEnds) {
   Cluster cluster(8);
   cluster.run(5000);
-  const std::size_t twin = cluster.model.add("g3");
-  cluster.start(twin);
+  const std::size_t duplicate = cluster.model.add("g3");
+  cluster.start(duplicate);
   cluster.run(6000);
-  EXPECT_EQ(cluster.real(twin).conflicting_address(), cluster.model.member(3).address);
-  EXPECT_EQ(cluster.real(3).conflicting_address(), cluster.model.member(twin).address);
+  EXPECT_EQ(cluster.membership_of(duplicate).conflicting_address(), cluster.model.member(3).address);
+  EXPECT_EQ(cluster.membership_of(3).conflicting_address(), cluster.model.member(duplicate).address);
   EXPECT_EQ(cluster.connectivity(3), ConnectivityState::kDegraded);
-  cluster.model.kill(twin);
+  cluster.model.kill(duplicate);
   cluster.run(15'000);
-  EXPECT_EQ(cluster.real(3).conflicting_address(), "");
+  EXPECT_EQ(cluster.membership_of(3).conflicting_address(), "");
   EXPECT_EQ(cluster.check_final_view(), Violations{});
 }
 
@@ -254,8 +254,8 @@
   cluster.model.links.loss = 0;
   cluster.run(40'000);
   std::size_t gossiped = 0;
-  cluster.model.message_size = [&gossiped](const Message& m) {
-    return gossiped += m.records.size() + m.suspicions.size();
+  cluster.model.message_size = [&gossiped](const Message& message) {
+    return gossiped += message.records.size() + message.suspicions.size();
   };
   cluster.run(5000);
   EXPECT_EQ(gossiped, 0U);
