--- a/src/membership/name_conflict.h
+++ b/src/membership/name_conflict.h
@@ -1,4 +1,4 @@
-// Another process that takes part under this gateway's name.
+// Tracks another process that uses this gateway's name.
 #pragma once
 
 #include <cstdint>
@@ -10,17 +10,17 @@
 
 class NameConflict {
  public:
-  // A record of the other process arrived. Returns whether it was not known at this address.
+  // Notes that a record of the other process arrived. Returns whether its address is new.
   bool observe(Ms now, const std::string& address, std::uint64_t incarnation);
-  // Whether this process has the name and no record of the other one arrived for a while.
-  bool is_over(Ms now) const;
+  // Whether this process holds the name and nothing was observed of the other one for a while.
+  bool is_expired(Ms now) const;
   void clear() { address_.clear(); }
 
   bool is_open() const { return !address_.empty(); }
   const std::string& address() const { return address_; }  // empty: no conflict
   std::uint64_t incarnation() const { return incarnation_; }
 
-  // Whether the other process keeps the name and this one takes no part.
+  // Whether the other process keeps the name and this one does not participate.
   bool displaced() const { return displaced_; }
   void set_displaced(bool displaced) { displaced_ = displaced; }
 
@@ -39,7 +39,7 @@
   return is_new;
 }
 
-inline bool NameConflict::is_over(Ms now) const {
+inline bool NameConflict::is_expired(Ms now) const {
   constexpr Ms kConflictTimeoutMs = 5000;
   return is_open() && !displaced_ && now - observed_at_ > kConflictTimeoutMs;
 }
