--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -9,10 +9,10 @@
 
 namespace {
 
-constexpr std::size_t kMaxPendingCommands = 64;  // of one connection, without their complete replies
-constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;  // of one connection's replies
+constexpr std::size_t kMaxPendingCommands = 64;  // per connection: commands without a complete reply
+constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;  // per connection: reply bytes
 
-// Sets a flag for as long as it lives.
+// Sets a flag for the lifetime of this object.
 class FlagScope {
  public:
   explicit FlagScope(bool& flag) : flag_(flag) { flag_ = true; }
@@ -37,14 +37,14 @@
   read();
 }
 
-// Many events share one reading of the clock, so it can't order connections by their last use. A counter can.
+// Many events share one reading of the clock, so connections can't be ordered by the time of their last
+// progress. A counter orders them.
 void ClientConnection::touch(Ms now) {
   last_progress_ = now;
   last_used_ = ++totals_.uses;
 }
 
-// Called again while a read is pending, it only gives that read a new space: parsing may have moved the
-// buffer.
+// While a read is pending this only replaces its space, as parsing may have moved the buffer.
 void ClientConnection::read() {
   if (closed_) return;
   read_pending_ = true;
@@ -58,9 +58,9 @@
     close_if_allowed(now, {CloseReason::kAfterLastReply, CloseReason::kClientClosed});
     return;
   }
-  // Incoming bytes are no progress of a client that does not read its replies.
+  // Incoming bytes do not count as progress of a client that does not read its replies.
   if (replies_.output_empty() && replies_.empty() && !lingering_) touch(now);
-  if (input_rejected_) return read();  // dropped: closing with unread bytes would send a reset
+  if (input_rejected_) return read();  // discarded: closing with unread bytes would send a reset
   if (paused_) {
     input_.commit_ahead(bytes);
     if (input_.may_read_ahead()) read();
@@ -68,17 +68,17 @@
   }
   input_.commit(now, bytes, replies_.has_replied() || !replies_.empty());
   process_input(now);
-  // A read may give less than has arrived: the rest of an incomplete command may have come with it.
+  // A read may return less than has arrived: the rest of an incomplete command may be in the socket already.
   if (!closed_ && !input_.empty() && stream_->unread_bytes() > 0) input_.set_more_available();
 }
 
-// Bounds the memory for replies to clients that send commands and do not read.
+// Bounds the memory for replies to clients that send commands without reading the replies.
 bool ClientConnection::must_pause() const {
   return replies_.size() >= kMaxPendingCommands || replies_.unwritten_size() >= kMaxUnwrittenBytes ||
          (totals_.unsent_bytes >= totals_.max_unsent_bytes && !replies_.output_empty());
 }
 
-// Posted, as a reply may come from inside the admission module, which must not be entered again.
+// Posted, as a reply may be sent from inside the admission module, which is not reentrant.
 void ClientConnection::resume_later() {
   if (resume_posted_ || must_pause()) return;
   resume_posted_ = true;
@@ -93,7 +93,7 @@
   if (paused_) process_input(now);
 }
 
-// What arrives from here on is read ahead or stays in the socket, and its timeouts run.
+// Commands that arrive from now on are read ahead or stay in the socket, while their timeouts already run.
 void ClientConnection::pause_reads() {
   input_.set_more_available();
   callbacks_.on_reads_paused();
@@ -103,7 +103,8 @@
   if (closed_ || lingering_) return;
   // The buffered commands of a disconnected client must not be forwarded.
   if (paused_ && stream_->peer_closed()) return close(now, CloseReason::kClientClosed);
-  // Where all replies are written at once there is capacity again, and no event would take up the rest.
+  // If all replies are written at once there is capacity again, and no later event would resume the commands
+  // that are left.
   bool more_buffered = true;
   while (more_buffered && !must_pause()) {
     paused_ = false;
@@ -116,7 +117,7 @@
   if (!paused_ || read_pending_ || input_.may_read_ahead()) read();
 }
 
-// True if it stopped for lack of capacity and not of commands.
+// Returns true if it stopped at a limit, false if it ran out of commands or the connection accepts no more.
 bool ClientConnection::dispatch_commands(Ms now) {
   const FlagScope dispatching(dispatching_);
   while (!closed_ && !input_rejected_ && !must_pause()) {
@@ -138,7 +139,7 @@
   if (ReplySlot* slot = find_incomplete(handle.sequence)) {
     slot->command = result;
   } else {
-    hold_identity(result);  // answered at once, and written after this batch
+    hold_identity(result);  // already answered; the reply is written after this batch
   }
 }
 
--- a/src/resp/client_connection.h
+++ b/src/resp/client_connection.h
@@ -1,9 +1,9 @@
-// One client connection on RESP2: takes commands, writes their replies in order, and decides when it may be
-// closed. Does no I/O: its stream is given, and the time comes in with each call, in milliseconds of one
-// monotonic clock.
+// A client connection that speaks RESP2: dispatches commands, writes their replies in order, and decides when
+// it may be closed. Performs no I/O itself: the stream is injected, and each call passes the current time in
+// milliseconds of one monotonic clock.
 //
-// `CommandInput` holds what comes in, `ReplyQueue` what goes out; this class connects both with the stream
-// and paces the reads by what the client takes.
+// `CommandInput` buffers incoming bytes and `ReplyQueue` outgoing ones. This class connects both to the
+// stream and stops reading while the client does not read its replies.
 #pragma once
 
 #include <cstddef>
@@ -24,80 +24,83 @@
 
 using engine::ResponseHandle;
 
-// The owner of client connections. Calls come from inside the connection's own.
+// Implemented by the owner of the client connections. Called from inside the connection's member functions.
 class ClientConnectionCallbacks {
  public:
   virtual ~ClientConnectionCallbacks() = default;
-  // A well-formed command; `words` are valid until the call returns. `elapsed_ms`: the most that may have
-  // passed since it arrived, if it was not read at once. Its timeout counts from its arrival.
+  // Handles a well-formed command. `words` are valid until the call returns. `elapsed_ms`: upper bound of the
+  // time since the command arrived, as it may not have been read at once. Its timeout counts from its
+  // arrival.
   virtual CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words,
                                    Ms elapsed_ms) = 0;
-  // The reply to a request with this identity is given and not all written. `on_reply_flushed` follows once
-  // it is written or can't be any more.
+  // The reply to the request with this identity is complete but not fully written. `on_reply_flushed` follows
+  // once it is written or the connection has closed.
   virtual void on_reply_pending(std::uint64_t identity) = 0;
   virtual void on_reply_flushed(std::uint64_t identity) = 0;
-  // The client has disconnected before the reply to this request.
+  // The client disconnected before the reply to this request was complete.
   virtual void on_client_disconnected(Ms now, std::uint64_t request_id) = 0;
-  // There is capacity again for the streamed value of this request.
+  // More of the streamed value of this request may be appended.
   virtual void on_client_writable(Ms, std::uint64_t /*request_id*/) {}
   virtual void on_closed(std::uint64_t connection_id) = 0;
-  // Nothing is read from a connection for now, so that its end is not seen:
-  // `ClientConnection::check_disconnected` must be called within some 20 ms.
+  // Reads are paused, so a disconnect would go unnoticed: `ClientConnection::check_disconnected` must be
+  // called within about 20 ms.
   virtual void on_reads_paused() {}
 };
 
 class ClientConnection : public StreamCallbacks {
  public:
-  // `callbacks` and `totals` must outlive this object. `id` is part of each `ResponseHandle`.
+  // `callbacks` and `totals` must outlive this object. `id` becomes part of each `ResponseHandle`.
   ClientConnection(ClientConnectionCallbacks& callbacks, ClientTotals& totals, std::uint64_t id, Ms now);
 
-  // Begins to read. To be called once, before anything else but `set_arrival_bound` and
+  // Starts reading. Must be called once, before any other member but `set_arrival_bound` and
   // `close_after_next_reply`.
   void start(std::unique_ptr<Stream> stream);
-  // What can be read now may have arrived as early as `earliest`.
+  // Bytes that can be read now may have arrived as early as `earliest`.
   void set_arrival_bound(Ms earliest) { input_.set_arrival_bound(earliest); }
 
-  // `reply` is one whole RESP value. Does nothing if this command has its complete reply. Makes no callback
-  // to the owner but `on_reply_pending` and `on_reply_flushed`.
+  // `reply` is one complete RESP value. Does nothing if the command already has its complete reply. The only
+  // callbacks to the owner from inside this call are `on_reply_pending` and `on_reply_flushed`.
   void send_reply(Ms now, std::uint64_t sequence, std::string_view reply);
-  // A value of `size` bytes in place of `send_reply`, in chunks. `append_value` returns false if the bytes
-  // are taken and no more are wanted until `ClientConnectionCallbacks::on_client_writable`. `send_reply`
-  // before `finish_value` aborts the value: if some of it is written, the connection is closed, so that the
-  // client notices.
+  // Streams a value of `size` bytes in chunks instead of `send_reply`. `append_value` returns false if the
+  // bytes are accepted but no more are wanted until `ClientConnectionCallbacks::on_client_writable`.
+  // `send_reply` before `finish_value` aborts the value: if part of it is in the output already, the
+  // connection is closed, so that the client notices.
   void start_value(Ms now, std::uint64_t sequence, std::size_t size);
   bool append_value(Ms now, std::uint64_t sequence, std::string_view bytes);
   void finish_value(Ms now, std::uint64_t sequence);
-  // An error line for a command that is no valid request. After too many of them the connection is closed.
+  // Sends an error line for a command that is not a valid request. After too many of them the connection is
+  // closed.
   void send_error(Ms now, std::uint64_t sequence, std::string_view message);
 
   bool is_idle() const {
     return replies_.empty() && replies_.output_empty() && input_.empty() && !lingering_;
   }
-  // It has had a reply.
+  // At least one command has been answered.
   bool has_replied() const { return replies_.has_replied(); }
-  // Its client has ended the connection, whether or not the owner has been notified.
+  // The client has closed the connection, whether or not the owner has been notified.
   bool client_disconnected() const { return closed_ || stream_->peer_closed(); }
-  // Bytes that have arrived and are not read yet.
+  // Bytes that have arrived but have not been read.
   std::size_t unread_bytes() const { return stream_->unread_bytes(); }
-  // No whole command has come yet.
+  // No complete command has arrived yet.
   bool is_silent() const { return !replies_.has_replied() && replies_.empty() && !lingering_; }
-  // Larger values are closed first where a new connection needs capacity. 0: never, as a reply is pending.
+  // Connections with larger values are closed first when a new connection needs capacity. 0: not closed, as a
+  // reply is pending.
   int eviction_priority() const;
-  // The input of `may_close`.
+  // Input for `may_close`.
   ConnectionState state(Ms now) const;
-  // A logical time: larger is later.
+  // Logical time of the last progress: larger is later.
   std::uint64_t last_used() const { return last_used_; }
 
-  // Closes after the next reply. An idle connection stays open, as a request may be on its way.
+  // Closes after the next reply. An idle connection stays open, as a request may be in transit.
   void close_after_next_reply() { close_after_reply_ = true; }
-  // Graceful shutdown: closes as soon as no reply is pending, an idle connection too.
+  // Graceful shutdown: closes as soon as no reply is pending, even if the connection is idle.
   void start_draining(Ms now);
-  // Closes what has timed out: no command, an incomplete command, no further command, or a client that reads
-  // no replies. To be called a few times a second.
+  // Closes the connection if it has timed out: no command, an incomplete command, no further command, or a
+  // client that does not read its replies. Must be called a few times per second.
   void close_if_timed_out(Ms now);
-  // Closes if the client has disconnected while nothing is read from it.
+  // Closes the connection if the client has disconnected while reads are paused.
   void check_disconnected(Ms now);
-  // Unless `may_close` forbids it: that is counted in `ClientTotals::forbidden_closes`.
+  // Does nothing if `may_close` forbids it, except to count that in `ClientTotals::forbidden_closes`.
   void close(Ms now, CloseReason reason);
 
   void on_connected(Ms, bool) override {}
@@ -109,7 +112,7 @@
  private:
   void touch(Ms now);
 
-  // client_connection.cpp: commands in, and the pace of reads
+  // client_connection.cpp: reading and dispatching commands
   void read();
   void pause_reads();
   void process_input(Ms now);
@@ -119,7 +122,7 @@
   bool must_pause() const;
   void resume_later();
 
-  // client_connection_replies.cpp: replies and streamed values out
+  // client_connection_replies.cpp: writing replies and streamed values
   ReplySlot* find_incomplete(std::uint64_t sequence);
   void append_output(Ms now, std::string_view bytes);
   void append_to_reply(Ms now, std::uint64_t sequence, ReplySlot& slot, std::string_view bytes);
@@ -132,7 +135,7 @@
   void write(Ms now);
   bool write_output(Ms now);
 
-  // client_connection_closing.cpp: when and how it ends
+  // client_connection_closing.cpp: timeouts and closing
   bool is_reply_pending() const;
   bool close_if_allowed(Ms now, std::initializer_list<CloseReason> reasons);
   void linger_if_done(Ms now);
@@ -149,17 +152,17 @@
   std::size_t invalid_commands_ = 0;
 
   bool closed_ = false;
-  bool read_pending_ = false;            // `on_read` is awaited
-  bool write_blocked_ = false;           // `on_writable` is awaited
-  bool write_failed_ = false;            // closed in `on_posted`
+  bool read_pending_ = false;            // awaiting `on_read`
+  bool write_blocked_ = false;           // awaiting `on_writable`
+  bool write_failed_ = false;            // `on_posted` closes the connection
   bool dispatching_ = false;             // replies are written after the batch of commands
   bool paused_ = false;                  // no commands are dispatched until the client reads replies
-  bool resume_posted_ = false;           // `on_posted` takes up commands again
+  bool resume_posted_ = false;           // `on_posted` resumes the dispatch of commands
   bool capacity_notice_posted_ = false;  // `on_posted` calls `on_client_writable`
-  bool input_rejected_ = false;          // what comes in is dropped
-  bool close_after_reply_ = false;       // ends once no reply is pending
-  bool draining_ = false;                // and is closed when idle
-  bool lingering_ = false;               // the last reply is written and sending is shut down
+  bool input_rejected_ = false;          // incoming bytes are discarded
+  bool close_after_reply_ = false;       // close once no reply is pending
+  bool draining_ = false;                // also close while idle
+  bool lingering_ = false;               // the last reply is written and the send side is shut down
 };
 
 }  // namespace cometfold::resp
--- a/src/resp/client_connection_closing.cpp
+++ b/src/resp/client_connection_closing.cpp
@@ -1,15 +1,16 @@
-// When and how a client connection ends, by the rules of `may_close`.
+// Timeouts and closing of a client connection, by the rules of `may_close`.
 #include "resp/client_connection.h"
 
 namespace cometfold::resp {
 namespace {
 
-// After the last reply, for the client to read it and close: a reset by this side could destroy it.
+// Time after the last reply for the client to read it and close; a reset from this side could destroy that
+// reply.
 constexpr Ms kLingerTimeoutMs = 500;
 
 }  // namespace
 
-// Buffered commands of a paused connection must be answered, though they have no slot yet.
+// Buffered commands of a paused connection must be answered, although they have no slot yet.
 int ClientConnection::eviction_priority() const {
   if (!replies_.empty() || paused_) return 0;
   if (lingering_) return 3;
@@ -32,7 +33,7 @@
   return !replies_.empty() || !replies_.output_empty() || (paused_ && !input_.empty());
 }
 
-// For the first of these reasons that the rules allow, if any.
+// Closes the connection for the first of these reasons that the rules allow. Returns whether it was closed.
 bool ClientConnection::close_if_allowed(Ms now, std::initializer_list<CloseReason> reasons) {
   const ConnectionState current = state(now);
   for (const CloseReason reason : reasons) {
@@ -43,15 +44,15 @@
   return false;
 }
 
-// A new connection may have its first request on the way, and one with unread bytes has it here: both are
-// served first.
+// A new connection may have its first request in transit, and one with unread bytes has already received it.
+// Both are served first.
 void ClientConnection::start_draining(Ms now) {
   close_after_reply_ = true;
   draining_ = true;
   close_if_allowed(now, {CloseReason::kDrain});
 }
 
-// Without these timeouts idle and silent clients would fill the table of connections for good.
+// Without these timeouts idle and silent clients would occupy the connection table forever.
 void ClientConnection::close_if_timed_out(Ms now) {
   if (closed_) return;
   if (paused_ && stream_->peer_closed()) return close(now, CloseReason::kClientClosed);
@@ -80,7 +81,7 @@
   stream_->close();
   input_.release_accounting();
   replies_.release_accounting();
-  const auto self = shared_from_this();  // the owner drops it in `on_closed`
+  const auto self = shared_from_this();  // the owner releases it in `on_closed`
   callbacks_.on_closed(id_);
   for (const ReplySlot& slot : replies_.take_slots()) {
     if (slot.command.request_id != 0) callbacks_.on_client_disconnected(now, slot.command.request_id);
@@ -89,16 +90,16 @@
 }
 
 void ClientConnection::linger_if_done(Ms now) {
-  // Commands that are buffered by a paused connection, or wait in the socket, have arrived: closing here
-  // would leave them without a reply.
+  // Commands in the buffer of a paused connection or in the socket have already arrived: closing now would
+  // leave them without a reply.
   if (!close_after_reply_ || !replies_.empty() || dispatching_ || paused_) return;
-  // The rest of an incomplete command may be on its way.
+  // The rest of an incomplete command may be in transit.
   if (input_rejected_ || (stream_->unread_bytes() == 0 && input_.empty())) linger(now);
 }
 
-// Lingering close: closing a socket with unread bytes sends a reset, which may destroy the last reply on its
-// way. What follows a protocol error is read and dropped. A request that crosses this end stays unread, so
-// that its client may send it elsewhere; its reply could not be sent any more.
+// Lingering close: closing a socket with unread bytes sends a reset, which may destroy the last reply in
+// transit. After a protocol error, further bytes are read and discarded. Otherwise a request that crosses the
+// close stays unread, as its reply could no longer be sent; the client may send it elsewhere.
 void ClientConnection::linger(Ms now) {
   if (lingering_) return;
   lingering_ = true;
--- a/src/resp/client_connection_replies.cpp
+++ b/src/resp/client_connection_replies.cpp
@@ -1,4 +1,4 @@
-// Replies and streamed values of a client connection, and their way to the stream.
+// Writing of replies and streamed values to a client connection.
 #include <string>
 #include <utility>
 
@@ -12,9 +12,9 @@
 
 namespace {
 
-// Of a streamed value, written or buffered ahead of what its client reads.
+// Bytes of a streamed value that are accepted ahead of what the client reads.
 constexpr std::size_t kMaxValueAheadBytes = std::size_t{48} * 1024;
-constexpr std::size_t kMaxInvalidCommands = 8;  // of one connection, before it is closed
+constexpr std::size_t kMaxInvalidCommands = 8;  // per connection, before it is closed
 
 }  // namespace
 
@@ -30,7 +30,7 @@
       slot->command = {};
       return fail_write();
     }
-    replies_.clear_buffer(*slot);  // none of the value is written: the reply takes its place
+    replies_.clear_buffer(*slot);  // none of the value is in the output: the reply replaces it
   }
   slot->complete = true;
   const CommandResult command = std::exchange(slot->command, CommandResult{});
@@ -41,7 +41,7 @@
   complete_first_reply(now, command, reply);
 }
 
-// `bytes`: the reply, or the last of it.
+// `bytes`: the whole reply, or the last part of a streamed one.
 void ClientConnection::complete_first_reply(Ms now, const CommandResult& command, std::string_view bytes) {
   append_output(now, bytes);
   flush_complete_replies(now);
@@ -105,7 +105,8 @@
   callbacks_.on_client_writable(now, replies_.first().command.request_id);
 }
 
-// A client that sends only invalid commands would take the CPU from all others, so it is closed.
+// A client that sends only invalid commands would use CPU time that other clients need, so it is
+// disconnected.
 void ClientConnection::send_error(Ms now, std::uint64_t sequence, std::string_view message) {
   std::string reply;
   append_error(reply, message);
@@ -116,8 +117,8 @@
   send_reply(now, sequence, reply);
 }
 
-// An identity stays in use until the reply is fully written. Another request with it would be served
-// meanwhile, and two clients could not distinguish their replies.
+// An identity stays in use until the reply is fully written. Otherwise another request with the same identity
+// could be served meanwhile, and two clients could not distinguish their replies.
 void ClientConnection::hold_identity(const CommandResult& command) {
   if (!command.is_request || closed_ || mutant(Mutant::kReleasesIdentityEarly)) return;
   replies_.hold_identity(command.identity);
@@ -128,23 +129,24 @@
   for (const auto identity : replies_.take_unflushed_identities()) callbacks_.on_reply_flushed(identity);
 }
 
-// Closes in `on_posted`: a reply is often given from inside the engine, which must not be entered again.
+// The connection is closed in `on_posted`, because replies are often sent from inside the engine, which is
+// not reentrant.
 void ClientConnection::fail_write() {
   if (std::exchange(write_failed_, true)) return;
   stream_->post();
 }
 
-// Writes what the stream takes; `on_writable` writes the rest.
+// Writes as much as the stream accepts; `on_writable` continues.
 void ClientConnection::write(Ms now) {
   if (closed_ || write_blocked_ || write_failed_) return;
   if (!write_output(now)) return;
   replies_.clear_output();
-  // Identities of replies that wait behind others are released together with those: they are few.
+  // Identities of replies that wait behind earlier ones are released together with those, as there are few.
   if (!replies_.has_complete_slot()) release_flushed_identities();
   linger_if_done(now);
 }
 
-// True if all of the output is written.
+// Returns true once the whole output is written.
 bool ClientConnection::write_output(Ms now) {
   while (replies_.unwritten_size() > 0) {
     const auto result = stream_->write(replies_.unwritten());
--- a/src/resp/close_rules.h
+++ b/src/resp/close_rules.h
@@ -1,5 +1,5 @@
-// When a client connection may be closed, and for which reason. Whoever closes one consults these rules, and
-// `ClientConnection::close` does so once more. Pure.
+// Rules for closing client connections: which reason is sufficient in which state. Callers check them before
+// closing, and `ClientConnection::close` checks them again. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -12,13 +12,13 @@
 namespace cometfold::resp {
 
 enum class CloseReason : std::uint8_t {
-  kClientClosed,       // the client has ended it or has disconnected
-  kWriteFailed,        // the client has disconnected, as a write showed
-  kStalled,            // the client reads nothing of its replies
-  kNoCommand,          // no command came
-  kIncompleteCommand,  // the rest of a command did not come
-  kIdle,               // no further command came
-  kDrain,              // unused while this gateway drains or stops
+  kClientClosed,       // the client has closed the connection or disconnected
+  kWriteFailed,        // a write failed, as the client has disconnected
+  kStalled,            // the client does not read its replies
+  kNoCommand,          // no first command arrived
+  kIncompleteCommand,  // the rest of a command did not arrive
+  kIdle,               // no further command arrived
+  kDrain,              // not in use while this gateway drains or stops
   kAfterLastReply,     // the last reply on it is written
   kEvicted,            // closed to free capacity for another connection
 };
@@ -28,27 +28,28 @@
 inline constexpr std::size_t kCloseReasonCount = std::size(kCloseReasonNames);
 
 inline constexpr Ms kStalledTimeoutMs = 10'000;
-// Clients may expect a command, an error or a close within 3 s of connecting, and an incomplete command may
-// be large and slow. Idle connections may go after 2 s.
+// Within 3 s of connecting, a client must have completed a command or get an error or a close. An incomplete
+// command may be large and slow, so it gets more of that time. Idle connections may be closed after 2 s.
 inline constexpr Ms kFirstCommandTimeoutMs = 2'300;
 inline constexpr Ms kIncompleteCommandTimeoutMs = 2'500;
 inline constexpr Ms kIdleTimeoutMs = 2'300;
-// After a connect or a reply: the next request may be on its way.
+// After a connect or a reply the next request may be in transit.
 inline constexpr Ms kRecentActivityMs = 100;
 
-// What the rules need to know of a connection.
+// The state of a connection that the rules depend on.
 struct ConnectionState {
-  bool reply_pending = false;       // a reply, the rest of one, or one to a buffered command
-  bool has_unread_bytes = false;    // bytes have arrived that are not read yet
-  bool command_incomplete = false;  // the rest of a command is awaited
-  bool has_replied = false;         // it has had a reply
-  bool send_closed = false;         // the last reply is written, and sending is shut down
-  Ms inactive_ms = 0;               // milliseconds since its last progress
-  Ms command_awaited_ms = 0;        // milliseconds since the next command is awaited or incomplete
+  bool reply_pending = false;       // a reply is not fully written, or a buffered command has none
+  bool has_unread_bytes = false;    // bytes have arrived but have not been read
+  bool command_incomplete = false;  // only part of a command has arrived
+  bool has_replied = false;         // at least one command has been answered
+  bool send_closed = false;         // the last reply is written and the send side is shut down
+  Ms inactive_ms = 0;               // milliseconds since the last progress
+  Ms command_awaited_ms = 0;        // milliseconds that the next command has been awaited or incomplete
 };
 
-// A pending reply or unread bytes would be lost with the connection. Only what its client does, or fails to
-// do, is reason enough then.
+// A pending reply or unread bytes would be lost with the connection. In that state only the client's
+// disconnect or its failure to read justifies closing. Unread bytes do not prevent it once the send side is
+// shut down, as they could not be answered.
 inline bool may_close(CloseReason reason, const ConnectionState& state) {
   const bool unused = !state.reply_pending && !state.has_unread_bytes;
   switch (reason) {
--- a/src/resp/command_input.cpp
+++ b/src/resp/command_input.cpp
@@ -5,9 +5,9 @@
 namespace cometfold::resp {
 namespace {
 
-// A command in a buffer up to this size never fails because of the limit over all connections.
+// Commands in a buffer up to this size are exempt from the limit over all connections.
 constexpr std::size_t kMaxExemptBufferBytes = std::size_t{16} * 1024;
-// Of a client whose commands are not dispatched for now.
+// Per client, while its commands are not dispatched.
 constexpr std::size_t kMaxReadAheadBytes = std::size_t{512} * 1024;
 
 }  // namespace
@@ -50,14 +50,14 @@
       if (!incomplete_command_too_large()) break;
       error_ = ProtocolError::kIncompleteCommandsTooLarge;
       return ReadResult::kProtocolError;
-    case ReadResult::kStreamedValue:  // switched off by the limits
+    case ReadResult::kStreamedValue:  // not enabled by the limits of this reader
       break;
   }
   return result;
 }
 
-// The end of a client's stream stands behind all that it has sent, and is seen only once that is read. So a
-// good deal is read ahead, but only half of the total buffer memory, which incomplete commands need more.
+// The end of a client's stream becomes visible only once everything sent before it has been read, so input is
+// read ahead. It uses at most half of the total buffer memory, as incomplete commands need that more.
 bool CommandInput::may_read_ahead() const {
   return !reader_.full() && totals_.buffered_bytes < totals_.max_buffered_bytes / 2;
 }
--- a/src/resp/host_command.h
+++ b/src/resp/host_command.h
@@ -1,4 +1,4 @@
-// A request as it goes out to hosts on RESP2.
+// A request in the form in which it is sent to hosts over RESP2.
 #pragma once
 
 #include <string>
@@ -7,10 +7,10 @@
 
 namespace cometfold::resp {
 
-// What `HostPool::start` gets as payload must be one.
+// The payload passed to `HostPool::start` must be of this type.
 class HostCommand : public engine::Payload {
  public:
-  // The whole command, with the time that the host may take: milliseconds, rendered as at least 1.
+  // Returns the complete command with the time that the host may take, in whole milliseconds and at least 1.
   virtual std::string render(Ms remaining_ms) const = 0;
 };
 
--- a/src/resp/host_connection.cpp
+++ b/src/resp/host_connection.cpp
@@ -11,9 +11,9 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdleRequestBytes = 4096;  // a larger request's memory is freed after the reply
-// Of a streamed value, before it is forwarded: from then on no other attempt can help, so its host must have
-// sent more than an announced length.
+constexpr std::size_t kMaxIdleRequestBytes = 4096;  // the memory of a larger request is freed after the reply
+// Bytes of a streamed value that must have arrived before it is forwarded. Afterwards no other attempt can
+// replace this one, so the host must have sent more than just an announced length.
 constexpr std::size_t kMinFirstChunkBytes = 2048;
 
 }  // namespace
@@ -94,23 +94,25 @@
   if (closed_) return;
   if (!ok) return fail(now, outcome_of_break());
   if (attempt_ != 0 && !fully_written() && !context_.callbacks.may_write(now, attempt_, true)) {
-    return fail(now, Outcome::kNotSent);  // not all of it is written, so it never runs
+    return fail(now, Outcome::kNotSent);  // not fully written, so it is never executed
   }
   write();
 }
 
-// A write may fail inside the admission module, which must not be entered again, so its attempt ends here.
+// A write may fail inside the admission module, which is not reentrant, so the attempt is ended here.
 void HostConnection::on_posted(Ms now) {
   if (attempt_ == write_failed_attempt_) fail(now, outcome_of_break());
 }
 
-// Only a request that is fully written can have begun to run. One that breaks before that may be sent again.
+// Only a fully written request may have been executed. If the connection breaks before that, the request may
+// be sent again.
 Outcome HostConnection::outcome_of_break() const {
   const bool may_have_run = fully_written() && !mutant(Mutant::kReportsResetAsConnectFailure);
   return may_have_run ? Outcome::kConnectionLost : Outcome::kConnectFailed;
 }
 
-// Rendered just before it is written, so that the host gets no more time than its client has left.
+// Rendered just before it is written, so that the timeout sent to the host does not exceed the time that the
+// client has left.
 void HostConnection::begin_request(Ms remaining_ms) {
   request_ = std::exchange(command_, nullptr)->render(remaining_ms);
   write();
@@ -132,7 +134,7 @@
   }
 }
 
-// A read is pending on idle connections too, so that one which the host has closed is not used again.
+// Idle connections are read too, so that one that the host has closed is noticed and not used again.
 void HostConnection::read() { stream_->read(reader_.prepare()); }
 
 void HostConnection::process_input(Ms now) {
@@ -183,8 +185,8 @@
   const AttemptId attempt = std::exchange(attempt_, 0);
   value_started_ = false;
   const bool reusable = fully_written() && (reader_.empty() || mutant(Mutant::kAcceptsExtraBytes));
-  // The report may start the next attempt, which could take this connection: it stays out of the pool until
-  // the value, which lies in its reader, has been passed on.
+  // This call may start the next attempt, which must not take this connection: the value still lies in its
+  // reader's buffer. So it returns to the pool only afterwards.
   context_.end_attempt(now, attempt, reply.outcome, reply.value, reply.load_report);
   if (closed_) return;
   if (!reusable || !pool_->accepts_idle(context_.limits.max_idle_per_host)) return close();
@@ -194,8 +196,8 @@
 void HostConnection::become_idle(Ms now) {
   if (request_.capacity() > kMaxIdleRequestBytes) std::string().swap(request_);
   written_ = request_.size();
-  // The host's system may hold back an unsolicited second reply until the first is acknowledged, by the next
-  // request at the latest, and then pass for its reply.
+  // The host's kernel may delay an unsolicited second reply until the first one is acknowledged, at the
+  // latest by the next request, whose reply it would then be taken for.
   stream_->send_pending_ack();
   idle_since_ = now;
   pool_->add_idle(self());
--- a/src/resp/host_connection.h
+++ b/src/resp/host_connection.h
@@ -1,5 +1,5 @@
-// One connection to a host. It carries one attempt at a time: abandoning an attempt means to close its
-// connection, and a reply that waits behind another one would miss its latency objective.
+// A connection to a host. It carries one attempt at a time: abandoning an attempt closes its connection, and
+// a reply queued behind another one would miss its latency objective.
 #pragma once
 
 #include <cstddef>
@@ -18,32 +18,35 @@
 
 class SingleHostPool;
 
-// Connecting, then by turns in use and idle; closed for good.
+// Life cycle: connecting, then alternately in use and idle, finally closed. It is never reopened.
 class HostConnection : public StreamCallbacks {
  public:
-  // `context` must outlive this object. `pool` is kept: an attempt may outlast its host's place in the list.
+  // `context` must outlive this object. `pool` is kept alive, as an attempt may outlive its host's entry in
+  // the host list.
   HostConnection(HostPoolContext& context, std::shared_ptr<SingleHostPool> pool);
 
-  // False if there is no socket to be had.
+  // Returns false if no socket is available.
   bool connect(const Address& address);
-  // Begins an attempt, once connected. `command` must stay valid until the attempt has ended.
+  // Starts an attempt, which is written once the connection is established. `command` must stay valid until
+  // the attempt has ended.
   void start(Ms now, AttemptId attempt, const HostCommand& command, Ms remaining_ms);
-  // Ends the connection and, if one is in flight, its attempt.
+  // Closes the connection and, if an attempt is in flight, ends it with `outcome`.
   void fail(Ms now, Outcome outcome);
-  // Ends the connection without a report.
+  // Closes the connection without reporting the end of an attempt.
   void close();
-  // There is capacity again for the streamed value.
+  // Resumes reading a streamed value, as there is capacity for it again.
   void resume();
 
   bool connected() const { return connected_; }
-  // Its attempt waits for the connection.
+  // Its attempt waits for the connection to be established.
   bool awaits_first_byte() const { return attempt_ != 0 && command_ != nullptr; }
-  // The last byte of its attempt is written.
+  // The last byte of its request is written.
   bool fully_written() const { return !awaits_first_byte() && written_ == request_.size(); }
-  // To be checked before a reuse, as what has arrived may not have been read yet.
+  // Whether the connection is open and has no unread bytes. Must be checked before it is reused, as bytes
+  // that have arrived may not have been read yet.
   bool is_quiet();
   Ms idle_since() const { return idle_since_; }
-  // Its host has stopped in the middle of a streamed value.
+  // The host has stopped sending in the middle of a streamed value.
   bool stalled(Ms now) const;
 
   void on_connected(Ms now, bool up) override;
@@ -72,15 +75,15 @@
   RespReader reader_;
   Frame frame_;
   AttemptId attempt_ = 0;                 // in flight; 0: none
-  AttemptId write_failed_attempt_ = 0;    // to be ended in `on_posted`
+  AttemptId write_failed_attempt_ = 0;    // `on_posted` ends it
   const HostCommand* command_ = nullptr;  // of an attempt that waits for the connection
   std::string request_;
-  std::size_t written_ = 0;  // bytes of `request_`
+  std::size_t written_ = 0;  // bytes of `request_` that are written
   Ms idle_since_ = 0;
-  Ms last_chunk_at_ = 0;  // of a streamed value
+  Ms last_chunk_at_ = 0;  // time of the last chunk of a streamed value
   bool connected_ = false;
   bool closed_ = false;
-  bool write_blocked_ = false;  // `on_writable` is awaited
+  bool write_blocked_ = false;  // awaiting `on_writable`
   bool value_started_ = false;  // a streamed value is being forwarded
   bool reads_paused_ = false;   // until the client has capacity for more of it
 };
--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -12,7 +12,8 @@
 
 namespace {
 
-// Of the host's own idle timeout: leaves time for a request on its way.
+// Idle connections expire after this fraction of the host's own idle timeout, which leaves time for a request
+// in transit.
 constexpr double kIdleTimeoutFraction = 0.5;
 
 }  // namespace
@@ -20,7 +21,8 @@
 HostPool::HostPool(Dialer& dialer, HostPoolCallbacks& callbacks, const HostPoolLimits& limits, Log log)
     : context_{dialer, callbacks, limits, std::move(log)} {}
 
-// Connections and their pools hold each other until a connection is closed.
+// Connections and their pools hold references to each other until a connection is closed, so all are closed
+// here.
 HostPool::~HostPool() { close_all(); }
 
 void HostPool::add_host(HostId host, const Address& address, Ms started_at) {
@@ -30,8 +32,8 @@
     retired_pools_.erase(retired);
   }
   if (!pool) pool = std::make_shared<SingleHostPool>();
-  // A connect to the process before that succeeds late would reach the one that has just started, or a
-  // stranger at that address.
+  // A pending connect to the previous process could succeed late and reach its successor, or an unrelated
+  // process at that address.
   const auto outdated = pool->set_process(address, started_at);
   stale_connections_.insert(stale_connections_.end(), outdated.begin(), outdated.end());
 }
@@ -46,13 +48,14 @@
   const auto it = active_pools_.find(host);
   if (it == active_pools_.end()) return;
   const auto pool = it->second;
-  // Hosts come and go under new ids, so their entries must not stay. Attempts in flight go on and are bounded
-  // by their deadlines. Moved before any callback, as that may start an attempt at this host.
+  // New hosts get new ids, so entries of retired hosts must not accumulate. Attempts in flight continue and
+  // are bounded by their deadlines. The entry is moved before any callback, which could start an attempt at
+  // this host.
   retired_pools_.insert_or_assign(host, pool);
   active_pools_.erase(it);
   pool->retire();
   if (mutant(Mutant::kKeepsWaitingAttemptsOnDrain)) return;
-  // An attempt that waits for its connection could be written after the host's grace period.
+  // An attempt that waits for its connection could otherwise be written after the host's grace period.
   pool->fail_connecting(now);
 }
 
@@ -69,8 +72,8 @@
   return true;
 }
 
-// Whether one more connection to this host is allowed. Idle connections are closed for it where needed: at
-// the host's limit those that have not rested, as a new connection costs less than a mix-up of replies.
+// Whether another connection to this host may be opened. Closes an idle one where necessary: at the host's
+// limit one that is still in its reuse delay, as a new connection costs less than a mix-up of replies.
 bool HostPool::has_capacity(SingleHostPool& pool) {
   if (pool.connection_count() >= context_.limits.max_connections_per_host) {
     const ConnectionPtr idle = pool.oldest_idle();
@@ -80,7 +83,7 @@
   return context_.connection_count < context_.limits.max_connections || close_oldest_idle();
 }
 
-// Null if there is no socket to be had, not even after freeing a descriptor.
+// Returns null if no socket is available, not even after freeing a descriptor.
 HostPool::ConnectionPtr HostPool::connect(const std::shared_ptr<SingleHostPool>& pool) {
   auto connection = std::make_shared<HostConnection>(context_, pool);
   bool dialed = connection->connect(pool->address());
@@ -88,7 +91,7 @@
     dialed = connection->connect(pool->address());
   }
   if (!dialed) {
-    context_.log("no socket for a host", "");
+    context_.log("no socket available for a host connection", "");
     return nullptr;
   }
   ++context_.connection_count;
--- a/src/resp/host_pool.h
+++ b/src/resp/host_pool.h
@@ -1,5 +1,5 @@
-// The upstream transport on RESP2: a pool of connections for each host, and the attempts in flight on them.
-// Does no I/O: streams are dialed through `Dialer`, the time comes in with each call.
+// The RESP2 upstream transport: a connection pool for each host, and the attempts in flight. Performs no I/O
+// itself: streams are opened through `Dialer`, and each call passes the current time.
 #pragma once
 
 #include <cstddef>
@@ -26,15 +26,14 @@
   HostPool(Dialer& dialer, HostPoolCallbacks& callbacks, const HostPoolLimits& limits, Log log);
   ~HostPool() override;
 
-  // Attempts for this host go to `address` from now on, to a process that runs since `started_at`. A change
-  // of either closes idle connections.
+  // From now on attempts for this host go to `address`, to a process that started at `started_at`. If either
+  // has changed, idle connections are closed.
   void add_host(HostId host, const Address& address, Ms started_at);
-  // To be called once the engine has the list that `add_host` was called for: ends attempts that wait for a
-  // connection to a process or address before that list. They never ran.
+  // Ends attempts that wait for a connection to a process or address that has been replaced; they were never
+  // executed. Must be called once the engine has the host list that `add_host` was called for.
   void fail_stale_attempts(Ms now);
 
-  // See `engine::UpstreamTransport`. `payload` must be a `HostCommand` and stay valid until the attempt's
-  // end.
+  // See `engine::UpstreamTransport`. `payload` must be a `HostCommand` and stay valid until the attempt ends.
   StartResult start(Ms now, AttemptId attempt, HostId host, const engine::Payload& payload,
                     Ms remaining_ms) override;
   bool abandon(Ms now, AttemptId attempt) override;
@@ -45,8 +44,8 @@
 
   // Idle connections above the new limits are closed at the next sweep.
   void set_limits(const HostPoolLimits& limits) { context_.limits = limits; }
-  // Closes expired idle connections, ends stalled streamed values and forgets retired hosts without
-  // connections. To be called a few times a second.
+  // Closes expired idle connections, ends stalled streamed values and removes retired hosts without
+  // connections. Must be called a few times per second.
   void sweep(Ms now);
   void close_all();
 
@@ -66,7 +65,7 @@
 
   HostPoolContext context_;
   PoolMap active_pools_;
-  PoolMap retired_pools_;                         // while attempts are in flight
+  PoolMap retired_pools_;                         // until their last connection is closed
   std::vector<ConnectionPtr> stale_connections_;  // for `fail_stale_attempts`
 };
 
--- a/src/resp/host_pool_context.h
+++ b/src/resp/host_pool_context.h
@@ -1,4 +1,4 @@
-// What a `HostPool` shares with its parts: limits, callbacks, and the attempts in flight.
+// State that a `HostPool` shares with its connections: limits, callbacks, and the attempts in flight.
 #pragma once
 
 #include <cstddef>
@@ -20,19 +20,21 @@
 class HostPoolCallbacks {
  public:
   virtual ~HostPoolCallbacks() = default;
-  // Exactly once for each attempt that was started and neither abandoned nor withdrawn. `value` comes with
-  // `kOk`; `report` is the host's load report as it came, or empty. Both are valid until the call returns.
+  // Called exactly once for each attempt that was started and neither abandoned nor withdrawn. `value` is set
+  // with `kOk`; `report` is the host's unparsed load report, or empty. Both are valid until the call returns.
   virtual void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                               std::string_view report) = 0;
-  // A streamed value begins, `size` bytes in all, and its chunks. Its end is `on_attempt_end`, with an empty
-  // value if all of it came. False from `on_value_chunk`: nothing more is read until `HostPool::resume`.
+  // A streamed value of `size` bytes starts; its chunks follow. It ends with `on_attempt_end`, with an empty
+  // value if all of it was received. If `on_value_chunk` returns false, nothing more is read until
+  // `HostPool::resume`.
   virtual void on_value_started(Ms, AttemptId, std::size_t) {}
   virtual bool on_value_chunk(Ms, AttemptId, std::string_view) { return true; }
-  // Whether bytes of an attempt may be written now that could not be when it was started: its first one, or
-  // with `begun` the rest. Returns the milliseconds that the attempt may still take, or nothing: it ends as
-  // `kNotSent`.
+  // Asked before writing bytes of an attempt that could not be written when it was started: its first one, or
+  // with `begun` the rest. Returns the milliseconds that the attempt may still take, or nothing if it must
+  // not be written: it then ends with `kNotSent`.
   virtual std::optional<Ms> may_write(Ms now, AttemptId attempt, bool begun) = 0;
-  // Its last byte is written. May come from inside `HostPool::start`, so it must not call back.
+  // The last byte of the attempt is written. May be called from inside `HostPool::start`, so it must not call
+  // back.
   virtual void on_attempt_written(AttemptId) {}
 };
 
@@ -42,15 +44,15 @@
   std::size_t max_connections = 400;  // over all hosts
   std::size_t max_connections_per_host = 96;
   std::size_t max_idle_per_host = 16;
-  Ms reuse_delay_ms = 0;  // after a reply, before the connection is used again
-  std::size_t max_value_bytes = std::size_t{4} * 1024 * 1024;  // above 64 KiB a value is streamed
-  Ms stall_timeout_ms = 10'000;                                // without a byte of a streamed value
+  Ms reuse_delay_ms = 0;  // after a reply, before the connection is reused
+  std::size_t max_value_bytes = std::size_t{4} * 1024 * 1024;  // values above 64 KiB are streamed
+  Ms stall_timeout_ms = 10'000;                                // without progress of a streamed value
 };
 
 using HostPoolLog = std::function<void(std::string_view event, std::string_view detail)>;
 
 struct HostPoolContext {
-  // The attempt is not in flight any more; reports its end if it was.
+  // Removes an attempt and reports its end, unless it is not in flight any more.
   void end_attempt(Ms now, AttemptId attempt, Outcome outcome, std::string_view value = {},
                    std::string_view report = {}) {
     if (attempts.erase(attempt) > 0) callbacks.on_attempt_end(now, attempt, outcome, value, report);
--- a/src/resp/host_reply.cpp
+++ b/src/resp/host_reply.cpp
@@ -20,7 +20,7 @@
   return item.type == ItemType::kBulk || item.type == ItemType::kNull;
 }
 
-// The usage is not forwarded, so it may be an integer or a text.
+// The usage is not forwarded, so both integers and bulk strings are accepted.
 bool is_well_formed(const std::vector<Item>& items) {
   return items.size() == kHostReplyElements && items[kValue].type == ItemType::kBulk &&
          (is_text_or_null(items[kUsage]) || items[kUsage].type == ItemType::kInteger) &&
@@ -58,9 +58,9 @@
     case ReplyError::kNone:
       return "";
     case ReplyError::kMalformedArray:
-      return "not a value, the usage and a load report";
+      return "expected an array of a value, the usage and a load report";
     case ReplyError::kUnexpectedType:
-      return "neither an array nor an error";
+      return "expected an array or an error line";
   }
   return "";
 }
--- a/src/resp/host_reply.h
+++ b/src/resp/host_reply.h
@@ -1,4 +1,4 @@
-// What a host's whole reply says. The words of replies stand here only. Pure.
+// Interprets the complete reply of a host. The keywords of replies are defined only here. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -11,18 +11,18 @@
 
 enum class ReplyError : std::uint8_t {
   kNone,
-  kMalformedArray,  // not a value, the usage and a load report
-  kUnexpectedType,  // neither an array nor an error line that a host may send
+  kMalformedArray,  // other elements than a value, the usage and a load report
+  kUnexpectedType,  // neither an array nor an error line with a known keyword
 };
-// For logs.
+// Text for logs.
 std::string_view text_of(ReplyError error);
 
-// Its texts lie in the frame.
+// The texts point into the frame.
 struct HostReply {
   ReplyError error = ReplyError::kNone;
   Outcome outcome = Outcome::kError;
   std::string_view value = {};        // with `kOk`; empty if the value was streamed
-  std::string_view load_report = {};  // as it came, or empty
+  std::string_view load_report = {};  // unparsed, or empty
 };
 HostReply read_host_reply(const Frame& frame);
 
--- a/src/resp/load_report.cpp
+++ b/src/resp/load_report.cpp
@@ -7,7 +7,7 @@
 namespace cometfold::resp {
 namespace {
 
-constexpr double kMaxReportedValue = 1e5;  // far above what a host can hold
+constexpr double kMaxReportedValue = 1e5;  // far above any plausible load of a host
 
 void set_field(LoadReport& report, LoadField field, double value) {
   switch (field) {
--- a/src/resp/load_report.h
+++ b/src/resp/load_report.h
@@ -7,8 +7,8 @@
 
 namespace cometfold::resp {
 
-// `text` is `name=number` with commas between; `field_of` maps a wire name to its field. Fields that can't be
-// read or are out of range are left out.
+// Parses comma-separated `name=number` pairs. `field_of` maps a wire name to its field. Fields that can't be
+// parsed or are out of range are left out.
 LoadReport parse_load_report(std::string_view text, LoadField (*field_of)(std::string_view));
 
 }  // namespace cometfold::resp
--- a/src/resp/parse_number.h
+++ b/src/resp/parse_number.h
@@ -1,4 +1,4 @@
-// Strict reading of numbers on the wire: the whole text must be the number.
+// Strict parsing of numbers on the wire: the whole text must be the number.
 #pragma once
 
 #include <charconv>
@@ -7,7 +7,7 @@
 
 namespace cometfold::resp {
 
-// False if `text` is no number or out of the range of `Number`; `value` is then unspecified.
+// Returns false if `text` is not a number or out of the range of `Number`; `value` is then unspecified.
 template <typename Number>
 bool parse_number(std::string_view text, Number& value) {
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value);
--- a/src/resp/protocol_error.h
+++ b/src/resp/protocol_error.h
@@ -1,4 +1,4 @@
-// What can be wrong with the bytes of a RESP2 peer, and the texts that clients and logs get for it.
+// Protocol errors in the input of a RESP2 peer, and their texts for clients and logs.
 #pragma once
 
 #include <cstdint>
@@ -21,7 +21,7 @@
   kBulkStringWithoutCrLf,
   kInvalidInteger,
   kUnknownType,
-  kIncompleteCommandsTooLarge,  // all clients together have begun more than the gateway may buffer
+  kIncompleteCommandsTooLarge,  // all clients together exceed the limit of buffered command bytes
 };
 
 // Sent to clients: the texts are part of the protocol.
--- a/src/resp/reply_queue.cpp
+++ b/src/resp/reply_queue.cpp
@@ -6,9 +6,9 @@
 namespace cometfold::resp {
 namespace {
 
-// Written bytes that still occupy the front of the output.
+// Written bytes are erased from the front of the output once there are this many.
 constexpr std::size_t kMaxWrittenPrefixBytes = std::size_t{48} * 1024;
-// A larger output is freed once it is written.
+// A larger output buffer is freed once it is written.
 constexpr std::size_t kMaxIdleOutputBytes = std::size_t{256} * 1024;
 
 }  // namespace
@@ -52,7 +52,7 @@
 }
 
 void ReplyQueue::append_output(std::string_view bytes) {
-  if (written_ >= kMaxWrittenPrefixBytes) {  // else the whole of a streamed value would pile up here
+  if (written_ >= kMaxWrittenPrefixBytes) {  // otherwise a streamed value would accumulate here
     total_unsent_bytes_ -= written_;
     output_.erase(0, std::exchange(written_, 0));
   }
--- a/src/resp/reply_queue.h
+++ b/src/resp/reply_queue.h
@@ -1,5 +1,5 @@
-// The replies of one client connection in the order of its commands, and the bytes of them that are still to
-// be written. Pure: the connection writes them.
+// The replies of one client connection in the order of its commands, and their bytes that are not written
+// yet. Does no I/O: the connection writes the bytes.
 #pragma once
 
 #include <cstddef>
@@ -13,25 +13,25 @@
 
 namespace cometfold::resp {
 
-// What has become of a command.
+// The result of dispatching a command.
 struct CommandResult {
-  std::uint64_t request_id = 0;  // for `on_client_disconnected` if the client goes before its reply; 0: none
+  std::uint64_t request_id = 0;  // for `on_client_disconnected` before the reply is complete; 0: none
   std::uint64_t identity = 0;    // the request's id on the wire, if it is a request
   bool is_request = false;       // it was accepted as a request
 };
 
-// The place of one command that has no complete reply on its way to the client yet.
+// The entry of one command whose complete reply has not been moved to the output yet.
 struct ReplySlot {
   CommandResult command;
   bool complete = false;
-  bool streamed = false;          // a streamed value has begun
-  bool awaits_capacity = false;   // ... and its sender waits for `on_client_writable`
-  std::size_t counted_bytes = 0;  // of `bytes`, in the total of unsent bytes
-  std::string bytes;              // while replies before it are incomplete
+  bool streamed = false;          // a streamed value has started
+  bool awaits_capacity = false;   // the sender of that value waits for `on_client_writable`
+  std::size_t counted_bytes = 0;  // part of `bytes` that the total of unsent bytes includes
+  std::string bytes;              // buffered while earlier replies are incomplete
 };
 
-// Commands have sequence numbers, from 0. Bytes of the first incomplete reply go to the output at once, bytes
-// of later ones are buffered in their slots.
+// Commands are numbered from 0. Bytes of the first incomplete reply go to the output directly, bytes of later
+// ones are buffered in their slots.
 class ReplyQueue {
  public:
   // `total_unsent_bytes`, over all connections, must outlive this object.
@@ -39,8 +39,8 @@
 
   // Adds a slot for the next command; returns its sequence number.
   std::uint64_t push();
-  // Null if this command has its complete reply, or never came. Valid until the next call of a non-const
-  // member.
+  // Returns null if the reply to this command is complete or no such command exists. Valid until the next
+  // call of a non-const member.
   ReplySlot* find_incomplete(std::uint64_t sequence);
   bool is_first(std::uint64_t sequence) const { return sequence == first_sequence_; }
   bool empty() const { return slots_.empty(); }
@@ -51,8 +51,8 @@
 
   void buffer(ReplySlot& slot, std::string_view bytes);
   void clear_buffer(ReplySlot& slot);
-  // Moves the complete replies at the front to the output, and what is buffered of a streamed value behind
-  // them. True if that value's sender waits for capacity.
+  // Moves the complete replies at the front to the output, followed by the buffered part of a streamed value
+  // that is next. Returns true if the sender of that value waits for capacity.
   bool flush_complete();
 
   void append_output(std::string_view bytes);
@@ -60,18 +60,18 @@
   std::string_view unwritten() const { return std::string_view(output_).substr(written_); }
   std::size_t unwritten_size() const { return output_.size() - written_; }
   void mark_written(std::size_t bytes) { written_ += bytes; }
-  // All of the output is written: frees it.
+  // Discards the output, which must be fully written.
   void clear_output();
 
-  // Identities of requests whose replies are given and not all written.
+  // Identities of requests whose replies are complete but not fully written.
   void hold_identity(std::uint64_t identity) { unflushed_identities_.push_back(identity); }
   std::vector<std::uint64_t> take_unflushed_identities();
 
-  // For a connection that is closed: nothing of it counts as unsent any more.
+  // Called when the connection is closed: its bytes no longer count as unsent.
   void release_accounting();
   std::deque<ReplySlot> take_slots();
 
-  // The parts of a digest, in the order in which the connection adds them.
+  // Adds the state of this queue to the connection's digest.
   void digest(engine::Digest& into) const;
 
  private:
--- a/src/resp/request_parser.cpp
+++ b/src/resp/request_parser.cpp
@@ -21,7 +21,7 @@
 constexpr CustomerId kCustomerEnd = CustomerId{1} << 33;
 constexpr Ms kMaxTimeoutMs = 600'000;
 constexpr std::size_t kMaxKeyBytes = 128;  // of an idempotency key
-constexpr double kUnitsTolerance = 1e-6;   // relative: for a client's own rounding
+constexpr double kUnitsTolerance = 1e-6;   // relative, for rounding errors of clients
 
 enum class Field : std::uint8_t {
   kClass,
@@ -71,7 +71,7 @@
     {RequestError::kWrongCommandForClass, "wrong command for the class"},
 };
 
-// A set of fields.
+// A bit set of fields.
 class FieldSet {
  public:
   constexpr FieldSet() = default;
@@ -89,7 +89,7 @@
 constexpr FieldSet kRequiredFields = {Field::kClass, Field::kPlan,         Field::kTimeout,
                                       Field::kUnits, Field::kGatewayCount, Field::kFirstGateway};
 
-// Empty for a name that has no meaning here and is only passed on.
+// Returns nothing for a name that has no meaning here and is only forwarded.
 std::optional<Field> field_of(std::string_view wire_name) {
   for (const FieldName& entry : kFieldNames) {
     if (entry.wire_name == wire_name) return entry.field;
@@ -109,7 +109,7 @@
   return it != names.end() && !name.empty();
 }
 
-// The client's words, to be forwarded; only the remaining time differs between attempts.
+// The client's command as forwarded to hosts. Only the remaining time differs between attempts.
 class ForwardedCommand : public HostCommand {
  public:
   std::size_t bytes() const override { return body.size(); }
@@ -133,7 +133,7 @@
   std::size_t word_count = 0;
 
  private:
-  static constexpr std::size_t kHeaderBytes = 32;  // of the array and of the fields
+  static constexpr std::size_t kHeaderBytes = 32;  // of the array header and the header of the fields
 };
 
 class RequestParser {
--- a/src/resp/resp_handler.cpp
+++ b/src/resp/resp_handler.cpp
@@ -13,8 +13,8 @@
 
 constexpr std::string_view kDuplicateIdentityError = "ERR another open request has this id";
 constexpr std::string_view kBusyReply = "-BUSY\r\n";
-constexpr std::size_t kMaxEchoedBytes = 64;   // of an unknown command's name
-constexpr std::size_t kBulkHeaderBytes = 16;  // reserved beside a value
+constexpr std::size_t kMaxEchoedBytes = 64;   // of the name of an unknown command
+constexpr std::size_t kBulkHeaderBytes = 16;  // reserved in addition to the value
 
 }  // namespace
 
@@ -74,7 +74,7 @@
     case engine::AcceptResult::kDuplicateIdentity:
       replies_.send_error(now, handle, kDuplicateIdentityError);
       return {};
-    case engine::AcceptResult::kClientDisconnected:  // reported next, which closes the connection
+    case engine::AcceptResult::kClientDisconnected:  // the stream reports it next and ends the connection
       return {};
     case engine::AcceptResult::kNoCapacity:  // no attempt was made, so any class may be rejected
       replies_.send_reply(now, handle, kBusyReply);
--- a/src/resp/resp_handler.h
+++ b/src/resp/resp_handler.h
@@ -1,5 +1,5 @@
-// The downstream handler that speaks RESP2: turns commands into requests for the engine, and its answers into
-// replies. Pure.
+// The RESP2 downstream handler: turns commands into requests for the engine, and the engine's results into
+// replies. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -16,17 +16,18 @@
 
 namespace cometfold::resp {
 
-// Where replies go: the table of client connections. See `ClientConnection` for the calls of the same names.
+// Receives the replies; implemented by the table of client connections. The calls correspond to those of the
+// same names in `ClientConnection`.
 class ReplySink {
  public:
   virtual ~ReplySink() = default;
-  // `reply` is one whole RESP value. Does nothing if the client has disconnected. Must not call back.
+  // `reply` is one complete RESP value. Does nothing if the client has disconnected. Must not call back.
   virtual void send_reply(Ms now, ResponseHandle handle, std::string_view reply) = 0;
   virtual void send_error(Ms now, ResponseHandle handle, std::string_view message) = 0;
   virtual void start_value(Ms now, ResponseHandle handle, std::size_t size) = 0;
   virtual bool append_value(Ms now, ResponseHandle handle, std::string_view bytes) = 0;
   virtual void finish_value(Ms now, ResponseHandle handle) = 0;
-  // Whether the client has ended its connection, even if that has not been reported yet.
+  // Whether the client has closed its connection, even if that has not been reported yet.
   virtual bool client_disconnected(ResponseHandle) { return false; }
 };
 
@@ -35,18 +36,19 @@
   // `engine` and `replies` must outlive this object.
   RespHandler(engine::Engine& engine, ReplySink& replies, CommandNames names);
 
-  // A command of a client. `CommandResult::request_id` is for `Engine::on_client_disconnected`.
-  // `elapsed_ms`: milliseconds of the client's timeout that have passed already.
+  // Handles a command of a client. `CommandResult::request_id` is for `Engine::on_client_disconnected`.
+  // `elapsed_ms`: milliseconds of the client's timeout that have already passed.
   CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words, Ms elapsed_ms = 0);
-  // Between these calls an answered request's identity stays in use: its reply is on its way to the client.
+  // Between these two calls the identity of an answered request stays in use, as its reply is not fully
+  // written.
   void on_reply_pending(std::uint64_t identity) { unflushed_identities_.insert(identity); }
   void on_reply_flushed(std::uint64_t identity) { unflushed_identities_.erase(identity); }
-  // From here on PING is answered with PONG.
+  // From now on PING is answered with PONG.
   void set_ready() { ready_ = true; }
   bool ready() const { return ready_; }
-  // While draining, PING is answered with an error, so that no new clients come.
+  // While draining, PING is answered with an error, so that no new clients connect.
   void set_draining(bool draining) { draining_ = draining; }
-  // For commands from now on.
+  // Applies to commands from now on.
   void set_names(CommandNames names) { names_ = std::move(names); }
 
   void on_served(Ms now, ResponseHandle handle, std::string_view value) override;
@@ -71,7 +73,7 @@
   bool ready_ = false;
   bool draining_ = false;
   std::unordered_set<std::uint64_t>
-      unflushed_identities_;  // bounded by the replies that clients have not read
+      unflushed_identities_;  // bounded by the number of replies that clients have not read
 };
 
 }  // namespace cometfold::resp
--- a/src/resp/resp_reader.cpp
+++ b/src/resp/resp_reader.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::size_t kInitialBufferBytes = 2048;
-// A larger buffer is freed once it is empty.
+// A larger buffer is reduced to this size once it is empty.
 constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxLengthDigits = 9;  // keeps a length within 32 bits
 constexpr std::size_t kLineEndBytes = 2;     // CR LF
 
-// A length without sign or leading zeros; empty for anything else.
+// Parses a length without sign or leading zeros. Returns nothing for anything else.
 std::optional<std::size_t> parse_length(std::string_view digits) {
   if (digits.empty() || digits.size() > kMaxLengthDigits) return {};
   if (digits.size() > 1 && digits[0] == '0') return {};
@@ -28,7 +28,7 @@
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-// The type of a value that stands on one line, by its first character; empty for others.
+// Returns the type of a single-line value by its first character, or nothing for other characters.
 std::optional<ItemType> line_type(char marker) {
   switch (marker) {
     case '+':
@@ -74,7 +74,7 @@
   return ReadResult::kProtocolError;
 }
 
-// The next line without its CR LF.
+// Reads the next line. `text` is the line without its CR LF.
 RespReader::Stop RespReader::read_line(std::string_view& text) {
   const char* from = buffer_.data() + begin_ + parsed_;
   const std::size_t available = end_ - begin_ - parsed_;
@@ -99,7 +99,7 @@
   return {};
 }
 
-// `offset`: where the length stands, from `begin_`.
+// `offset`: position of the length, from `begin_`.
 RespReader::Stop RespReader::read_bulk_header(std::string_view length, std::size_t offset) {
   if (!commands_only_ && length == "-1") {
     items_.push_back({ItemType::kNull, offset, 0});
@@ -110,7 +110,7 @@
   if (!size) return fail(ProtocolError::kInvalidBulkLength);
   const bool is_first_of_array = is_array_ && items_.empty();
   if (*size > limits_.max_value_bytes && *size <= limits_.max_streamed_value_bytes && is_first_of_array) {
-    begin_ += parsed_;  // the headers before it are not needed any more
+    begin_ += parsed_;  // the headers before it are no longer needed
     parsed_ = 0;
     in_streamed_value_ = true;
     streamed_size_ = *size;
@@ -125,7 +125,7 @@
   return {};
 }
 
-// A value that is no array, from its first line.
+// Reads a value other than an array, starting with its first line.
 RespReader::Stop RespReader::read_element(std::string_view header) {
   const char marker = header[0];
   const auto text = header.substr(1);
@@ -140,7 +140,7 @@
   return {};
 }
 
-// The first line of a frame or of one of its elements.
+// Reads the first line of a frame or of one of its elements.
 RespReader::Stop RespReader::read_header() {
   std::string_view header;
   if (const Stop stop = read_line(header)) return stop;
@@ -163,7 +163,8 @@
   return {};
 }
 
-// The CR LF behind a streamed value, whose item is empty as its bytes were given out before.
+// Reads the CR LF that ends a streamed value. Its item is empty, as its bytes have already been returned in
+// chunks.
 RespReader::Stop RespReader::finish_streamed_value() {
   if (streamed_remaining_ > 0) return ReadResult::kStreamedValue;
   if (end_ - begin_ < kLineEndBytes) return ReadResult::kNeedMore;
--- a/src/resp/single_host_pool.cpp
+++ b/src/resp/single_host_pool.cpp
@@ -5,7 +5,7 @@
 
 namespace cometfold::resp {
 
-// Loops that close connections run over copies, as each close removes its connection here.
+// Loops that close connections iterate over copies, as each close removes its connection from this pool.
 
 std::vector<SingleHostPool::ConnectionPtr> SingleHostPool::set_process(const Address& address,
                                                                        Ms started_at) {
@@ -46,10 +46,11 @@
   for (const ConnectionPtr& connection : std::vector(connections_)) connection->close();
 }
 
-// A second reply or other bytes may follow right behind a good reply. A connection that rests before its
-// reuse shows them and is closed; else they would be taken for the next reply.
+// A second reply or other bytes may follow immediately after a valid reply. The delay before a connection is
+// reused lets them arrive, so that the connection is closed; otherwise they would be taken for the next
+// reply.
 //
-// Of the rested connections the one used last, so that those not needed expire.
+// Among the connections past this delay the most recently used one is taken, so that surplus ones expire.
 SingleHostPool::ConnectionPtr SingleHostPool::take_idle(Ms now, Ms reuse_delay_ms, Ms max_idle_ms) {
   for (;;) {
     const auto rested = std::find_if(idle_.rbegin(), idle_.rend(), [&](const ConnectionPtr& connection) {
@@ -57,7 +58,7 @@
     });
     if (rested == idle_.rend()) return nullptr;
     ConnectionPtr connection = *rested;
-    // After a pause of this process an expired connection may not have been closed yet.
+    // If this process was paused, an expired connection may not have been closed yet.
     const bool expired = now - connection->idle_since() > max_idle_ms;
     if (!expired && connection->is_quiet()) {
       idle_.erase(std::next(rested).base());
--- a/src/resp/single_host_pool.h
+++ b/src/resp/single_host_pool.h
@@ -1,4 +1,4 @@
-// The connections to one host: in use, idle, and still connecting.
+// The connections to one host: in use, idle and still connecting.
 #pragma once
 
 #include <cstddef>
@@ -16,11 +16,11 @@
  public:
   using ConnectionPtr = std::shared_ptr<HostConnection>;
 
-  // From here on the host listens at `address`, in a process that runs since `started_at`. Where either
-  // differs, idle connections are closed, and those still connecting are returned: their attempts were meant
-  // for the process before.
+  // From now on the host listens at `address`, in a process that started at `started_at`. If either has
+  // changed, closes idle connections and returns those still connecting, whose attempts were meant for the
+  // previous process.
   std::vector<ConnectionPtr> set_process(const Address& address, Ms started_at);
-  // No attempt starts here any more, and idle connections are closed.
+  // Starts no more attempts and closes idle connections.
   void retire();
   // Ends the attempts that wait for a connection.
   void fail_connecting(Ms now);
@@ -29,15 +29,15 @@
   void close_expired(Ms now, Ms max_idle_ms);
   void close_all();
 
-  // Takes an idle connection out that has rested for `reuse_delay_ms` since its last reply; null if there is
-  // none. Closes those that have expired or are not quiet.
+  // Removes and returns an idle connection whose last reply is at least `reuse_delay_ms` ago; null if there
+  // is none. Closes connections that it finds expired or not quiet.
   ConnectionPtr take_idle(Ms now, Ms reuse_delay_ms, Ms max_idle_ms);
-  // The connection that has been idle for longest, or null.
+  // The connection that has been idle the longest, or null.
   ConnectionPtr oldest_idle() const { return idle_.empty() ? nullptr : idle_.front(); }
 
   void add(ConnectionPtr connection) { connections_.push_back(std::move(connection)); }
   void add_idle(ConnectionPtr connection) { idle_.push_back(std::move(connection)); }
-  // It is closed.
+  // Removes a connection that is closed.
   void remove(const ConnectionPtr& connection);
 
   bool active() const { return active_; }
@@ -50,8 +50,8 @@
   Address address_;
   Ms started_at_ = 0;
   bool active_ = true;
-  std::vector<ConnectionPtr> connections_;  // all of them
-  std::vector<ConnectionPtr> idle_;         // the last one was used last
+  std::vector<ConnectionPtr> connections_;  // all, including idle ones
+  std::vector<ConnectionPtr> idle_;         // the most recently used one is last
 };
 
 }  // namespace cometfold::resp
--- a/src/resp/stream.h
+++ b/src/resp/stream.h
@@ -1,5 +1,5 @@
-// Byte streams as the connection state machines see them: non-blocking, with callbacks. `src/net/` implements
-// them with sockets, the explorer with a simulation.
+// Interfaces of the non-blocking byte streams that the connection state machines use. `src/net/` implements
+// them with sockets, `src/explore/` with a simulation.
 #pragma once
 
 #include <cstddef>
@@ -20,17 +20,17 @@
   bool operator==(const Address&) const = default;
 };
 
-// A stream keeps its callbacks alive for as long as one of them may still be called. Each of `on_read`,
-// `on_writable` and `on_posted` is called once for each `read`, `await_writable` and `post`, never from
-// inside that call, and maybe after `Stream::close`.
+// A stream keeps its callbacks alive for as long as one of them may still be called. `on_read`, `on_writable`
+// and `on_posted` are called once for each `read`, `await_writable` and `post`, never from inside that call,
+// and possibly after `Stream::close`.
 class StreamCallbacks : public std::enable_shared_from_this<StreamCallbacks> {
  public:
   virtual ~StreamCallbacks() = default;
-  // Once, for a stream that was dialed. `up`: it is connected.
+  // Called once for a stream that was dialed. `up`: the connection is established.
   virtual void on_connected(Ms now, bool up) = 0;
-  // `bytes` of the space given to `read` are filled. `ended`: the peer has ended or is gone.
+  // `bytes` of the space passed to `read` are filled. `ended`: the peer has closed or disconnected.
   virtual void on_read(Ms now, std::size_t bytes, bool ended) = 0;
-  // `ok`: it may be written to again; else the peer is gone.
+  // `ok`: the stream may be written to again; otherwise the peer has disconnected.
   virtual void on_writable(Ms now, bool ok) = 0;
   virtual void on_posted(Ms now) = 0;
 };
@@ -38,32 +38,32 @@
 class Stream {
  public:
   struct WriteResult {
-    std::size_t bytes = 0;      // taken
-    bool blocked = false;       // no capacity now: call `await_writable`
-    bool disconnected = false;  // the peer is gone
+    std::size_t bytes = 0;      // accepted
+    bool blocked = false;       // no capacity for now: call `await_writable`
+    bool disconnected = false;  // the peer has disconnected
   };
   virtual ~Stream() = default;
   virtual WriteResult write(std::string_view bytes) = 0;
   // `StreamCallbacks::on_writable` follows.
   virtual void await_writable() = 0;
-  // `StreamCallbacks::on_read` follows; `space` must stay valid until then. Called again before that, it only
-  // replaces the space. Bytes are taken from the peer in the event that reports them, never before: what has
-  // arrived and is not reported is counted by `unread_bytes`.
+  // `StreamCallbacks::on_read` follows; `space` must stay valid until then. Another call before that only
+  // replaces the space. Bytes are taken from the socket only in the event that reports them: bytes that have
+  // arrived and are not reported yet are counted by `unread_bytes`.
   virtual void read(std::span<char> space) = 0;
-  // Nothing is read any more, and a pending `read` is dropped: `on_read` reports the peer's end, if it comes.
+  // Stops reading and drops a pending `read`: `on_read` then only reports that the peer has closed.
   virtual void await_peer_close() = 0;
   // `StreamCallbacks::on_posted` follows, from the event loop.
   virtual void post() = 0;
-  // Bytes that have arrived and are not read yet.
+  // Bytes that have arrived but have not been read.
   virtual std::size_t unread_bytes() = 0;
-  // Nothing unread has arrived, and the peer has not ended.
+  // There are no unread bytes, and the peer has not closed or disconnected.
   virtual bool is_quiet() = 0;
-  // The peer has ended or is gone, even if bytes that it sent before are not read yet.
+  // The peer has closed or disconnected, even if bytes that it sent before have not been read.
   virtual bool peer_closed() = 0;
-  // Acknowledges at once what has been read. The operating system may delay that by some 40 ms, and the
-  // peer's holds back what it still has to send for as long.
+  // Acknowledges received bytes at once. The operating system may delay acknowledgements by about 40 ms, and
+  // the peer's may hold back data for as long.
   virtual void send_pending_ack() {}
-  // Ends this side's sending; the peer may still send.
+  // Closes the sending direction; the peer may still send.
   virtual void shutdown_send() = 0;
   virtual void close() = 0;
 };
@@ -71,10 +71,10 @@
 class Dialer {
  public:
   virtual ~Dialer() = default;
-  // Begins to connect; `StreamCallbacks::on_connected` follows. Null if there is no socket to be had.
-  // `timeout` in milliseconds: after it the connection has failed.
+  // Starts to connect; `StreamCallbacks::on_connected` follows. Returns null if no socket is available.
+  // `timeout`: milliseconds after which connecting fails.
   virtual std::unique_ptr<Stream> dial(const Address& address, Ms timeout, StreamCallbacks& callbacks) = 0;
-  // There was no socket to be had: frees a descriptor elsewhere. False if that is not possible.
+  // Frees a file descriptor elsewhere when no socket is available. Returns false if that is not possible.
   virtual bool free_descriptor() = 0;
 };
 
