--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -1,4 +1,4 @@
-// A client connection on a simulated stream: pending replies, the pace of reads, and the rules of closing.
+// A client connection on a simulated stream: pending replies, paused reads, and the rules for closing.
 #include "resp/client_connection.h"
 
 #include <gtest/gtest.h>
@@ -14,11 +14,11 @@
 namespace cometfold::resp {
 namespace {
 
-// A stream whose incoming bytes the test provides.
+// A stream that receives its input from the test.
 class FakeStream : public Stream {
  public:
   explicit FakeStream(StreamCallbacks& callbacks) : callbacks_(callbacks) {}
-  // Delivers bytes for as long as the stream is read from. Returns how many were taken.
+  // Delivers bytes while reads are pending. Returns how many were accepted.
   std::size_t arrive(Ms now, std::string_view bytes) {
     std::size_t taken = 0;
     while (taken < bytes.size() && std::exchange(read_pending_, false)) {
@@ -43,7 +43,7 @@
   void shutdown_send() override {}
   void close() override {}
   int posts = 0;
-  std::size_t unread = 0;  // bytes that have arrived and are not read
+  std::size_t unread = 0;  // bytes that have arrived but have not been read
 
  private:
   StreamCallbacks& callbacks_;
@@ -51,7 +51,7 @@
   bool read_pending_ = false;
 };
 
-// Records commands and answers none of them.
+// Records commands and does not answer them.
 struct RecordingOwner : ClientConnectionCallbacks {
   CommandResult on_command(Ms, ResponseHandle handle, std::span<const Item>, Ms elapsed_ms) override {
     sequences.push_back(handle.sequence);
@@ -66,8 +66,9 @@
   std::vector<Ms> elapsed;
 };
 
-// More commands arrive at once than may be pending, and all pending ones are answered in one event. The rest
-// is buffered and must be answered too, though it has not been dispatched yet.
+// Guards against evicting a connection whose buffered commands are not dispatched yet: more commands arrive
+// than may be pending, and all pending ones are answered in one event, so that no reply is pending until the
+// next event.
 TEST(ClientConnection, IsNotEvictedWhileBufferedCommandsWait) {
   RecordingOwner owner;
   ClientTotals totals;
@@ -80,7 +81,7 @@
   peer.arrive(1, commands);
   ASSERT_EQ(owner.sequences.size(), 64u);
   for (const auto sequence : std::vector(owner.sequences)) connection->send_reply(2, sequence, "+PONG\r\n");
-  ASSERT_EQ(owner.sequences.size(), 64u);  // the rest follows in the next event
+  ASSERT_EQ(owner.sequences.size(), 64u);  // the rest is dispatched in the next event
   EXPECT_EQ(connection->eviction_priority(), 0);
   connection->on_posted(2);
   EXPECT_EQ(owner.sequences.size(), 70u);
@@ -90,7 +91,7 @@
   EXPECT_EQ(totals.closed_by_reason[static_cast<std::size_t>(CloseReason::kEvicted)], 0u);
 }
 
-// Commands of a paused client are read ahead within the limits of one connection and of all.
+// Commands of a paused client are read ahead, up to the limits per connection and over all connections.
 TEST(ClientConnection, ReadsAheadOfAPausedClientWithinLimits) {
   constexpr std::size_t kMaxOfOne = 512 * 1024, kMaxOfAll = 200 * 1024;
   std::string commands;
@@ -112,7 +113,7 @@
   }
 }
 
-// Answers a command of two words at once, with a large reply.
+// Answers commands of two words immediately with a large reply.
 struct LargeReplies : RecordingOwner {
   CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words,
                            Ms elapsed_ms) override {
@@ -124,8 +125,8 @@
   std::shared_ptr<ClientConnection> connection;
 };
 
-// More is buffered than may be answered at once, and all replies are written at once: no further event would
-// take up the rest.
+// Guards against buffered commands that are never dispatched: dispatching stops at a limit, all replies are
+// written at once, and no later event would resume it.
 TEST(ClientConnection, ResumesBufferedCommandsWhenAllRepliesAreWrittenAtOnce) {
   LargeReplies owner;
   ClientTotals totals;
@@ -145,7 +146,7 @@
   owner.connection.reset();
 }
 
-// Each reason, and what forbids it.
+// Each reason for closing, and the states that forbid it.
 TEST(CloseRules, ForbidClosingWithPendingRepliesOrUnreadBytes) {
   const ConnectionState inactive{.has_replied = true, .inactive_ms = 60'000, .command_awaited_ms = 60'000};
   const auto with = [&](auto change) {
@@ -199,7 +200,8 @@
   EXPECT_FALSE(may_close(CloseReason::kDrain, with([](auto& state) { state.command_incomplete = true; })));
 }
 
-// A short read leaves the rest of a command in the socket, where it has been since the read.
+// Guards against a timeout that starts too late: a short read leaves the rest of a command in the socket,
+// where it has been since that read.
 TEST(ClientConnection, CountsElapsedTimeOfBytesLeftByAShortRead) {
   RecordingOwner owner;
   ClientTotals totals;
@@ -214,7 +216,7 @@
   peer.arrive(400, ping.substr(3));
   ASSERT_EQ(owner.elapsed.size(), 1u);
   EXPECT_EQ(owner.elapsed[0], 300);
-  // A command whose rest was still on its way has arrived when that has.
+  // A command whose rest was still in transit at that read arrives with this rest.
   peer.arrive(1000, ping.substr(0, 3));
   peer.arrive(1400, ping.substr(3));
   ASSERT_EQ(owner.elapsed.size(), 2u);
--- a/tests/delayed_connections_test.cpp
+++ b/tests/delayed_connections_test.cpp
@@ -1,5 +1,5 @@
-// Connections to hosts that are established late, behind a listener whose queue is full for a while: an
-// attempt that was allowed when it was decided on may not be allowed any more.
+// Connections to hosts that are established late, because the listener's accept queue is full for a while. An
+// attempt that was allowed when it was decided on may no longer be allowed by then.
 #include <chrono>
 #include <string>
 #include <thread>
@@ -14,7 +14,8 @@
 
 std::string snapshot(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// A host that accepts no connection until its queue is emptied; connects made before succeed a second later.
+// A host whose accept queue is full until `open` is called. Connects made before succeed about a second
+// later.
 class DelayedHost {
  public:
   DelayedHost() : listener_(0) {
@@ -27,13 +28,13 @@
   int port() const { return listener_.port(); }
   void open() {
     waiting_.clear();
-    while (listener_.waiting(50)) listener_.accept();  // those that filled the queue
+    while (listener_.waiting(50)) listener_.accept();  // the connections that filled the queue
   }
-  // Accepts the gateway's connection within `ms`. True if bytes come on it.
+  // Accepts the gateway's connection within `ms`. Returns true if it carries data and is not just closed.
   bool receives_request(int ms) {
     if (!listener_.waiting(ms)) return false;
     at_ = std::make_unique<Peer>(listener_.accept());
-    return !at_->quiet(500) && at_->more();  // and not only its end
+    return !at_->quiet(500) && at_->more();
   }
   Peer& connection() { return *at_; }
 
@@ -48,7 +49,8 @@
   return std::stod(command.at(3).substr(at + 2));
 }
 
-// The host gets the time that the client has left when the request is written, not when it was decided on.
+// The timeout sent to the host must be computed when the request is written, not when the attempt was decided
+// on.
 TEST(DelayedConnections, AHostGetsNoMoreTimeThanTheClientHasLeft) {
   DelayedHost host;
   Listener discovery;
@@ -61,13 +63,13 @@
   ASSERT_TRUE(host.receives_request(5000));
   const double spent =
       std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - began).count();
-  ASSERT_GT(spent, 600);  // it was established late
+  ASSERT_GT(spent, 600);  // the connection was established late
   EXPECT_LE(timeout_of(host.connection().command()),
             4000 - spent + 500 + 150);  // `receives_request` waits up to 500 ms
 }
 
-// Hosts remember an idempotency key for a limited time. A retry that waited longer for its connection would
-// have a second effect.
+// Guards against a duplicate effect: hosts remember an idempotency key for a limited time, and a retry may
+// wait longer than that for its connection.
 TEST(DelayedConnections, ARetryIsNotSentOnceItsIdempotencyKeyHasExpired) {
   Listener host, discovery;
   DelayedHost delayed;
@@ -83,10 +85,10 @@
   at.command();
   chunk(watch, list(8, false, {target("s-2", delayed.port()), target("s-1", host.port(), "leaving")}) + "\n");
   std::this_thread::sleep_for(100ms);
-  at.reset();  // it may have run; the retry goes to the other host, whose connection is not established yet
+  at.reset();  // it may have been executed; the retry goes to the other host, which is not connected yet
   std::this_thread::sleep_for(200ms);
   delayed.open();
-  EXPECT_FALSE(delayed.receives_request(4000)) << "a retry began after the key's lifetime";
+  EXPECT_FALSE(delayed.receives_request(4000)) << "a retry was sent after the idempotency key expired";
   EXPECT_NE(client.reply(), "");
 }
 
--- a/tests/duplicate_reply_test.cpp
+++ b/tests/duplicate_reply_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that reply twice: no reply may be taken for another request's.
+// Hosts that send a second reply to a request: it must not be taken for the reply to another request.
 #include <chrono>
 #include <memory>
 #include <string>
@@ -12,8 +12,8 @@
 
 using namespace std::chrono_literals;
 
-// A host with the system's default settings: without TCP_NODELAY its system delays a small write until the
-// one before it is acknowledged.
+// A host without TCP_NODELAY, as by default: the kernel delays a small write until the previous one is
+// acknowledged.
 class Host {
  public:
   int port() const { return listener_.port(); }
@@ -34,10 +34,10 @@
   std::vector<std::unique_ptr<Peer>> connections_;
 };
 
-// More than the delay before a connection is reused (25 ms), less than that of an acknowledgement (up to 40
-// ms).
+// Longer than the delay before a connection is reused (25 ms), shorter than that of an acknowledgement (up to
+// 40 ms).
 constexpr auto kBetweenRequests = 29ms;
-// A system acknowledges at once on a new connection, and late on one with an interactive exchange.
+// The kernel acknowledges immediately on new connections and delays acknowledgements after several exchanges.
 constexpr int kExchanges = 5;
 constexpr int kConnections = 6;
 
--- a/tests/host_pool_test.cpp
+++ b/tests/host_pool_test.cpp
@@ -1,4 +1,4 @@
-// The pool of connections against scripted hosts, and what the reader of settings rejects.
+// The host connection pool against scripted hosts, and validation of the configuration.
 #include <cstring>
 #include <map>
 #include <thread>
@@ -33,7 +33,7 @@
   boost::asio::io_context io;
   Clock clock;
   RecordedEnds ends;
-  std::vector<std::unique_ptr<FixedCommand>> commands;  // of attempts, until the end
+  std::vector<std::unique_ptr<FixedCommand>> commands;  // of all attempts, kept until the test ends
   UpstreamHosts hosts;
   explicit PoolFixture(HostPoolLimits limits = {}) : hosts(io, clock, ends, limits) {}
   resp::HostPool& pool() { return hosts.pool(); }
@@ -54,7 +54,7 @@
 };
 
 const std::string kLargeCommand =
-    command({"SVC.SUBMIT", std::string(16 << 20, 'x')});  // more than the sockets buffer
+    command({"SVC.SUBMIT", std::string(16 << 20, 'x')});  // more than the socket buffers hold
 
 TEST(HostPool, ABreakBeforeTheLastByteIsAFailedConnectAndAfterItALostConnection) {
   for (const bool fully_written : {false, true}) {
@@ -70,7 +70,7 @@
     EXPECT_EQ(fixture.wait_for(1), fully_written ? Outcome::kConnectionLost : Outcome::kConnectFailed);
     peer.join();
     fixture.io.poll();
-    EXPECT_EQ(fixture.ends.outcomes[1].size(), 1u);  // once
+    EXPECT_EQ(fixture.ends.outcomes[1].size(), 1u);  // exactly once
     EXPECT_EQ(fixture.pool().connection_count(), 0u);
   }
 }
@@ -108,7 +108,7 @@
   std::thread peer([&] {
     for (;;) {
       auto at = host.accept();
-      if (!at.more()) continue;  // of the abandoned attempt
+      if (!at.more()) continue;  // the connection of the abandoned attempt
       at.send(served("x"));
       at.ends();
       return;
@@ -120,7 +120,7 @@
   EXPECT_FALSE(fixture.ends.outcomes.contains(1));
 }
 
-// A second copy of a good reply, however late it comes, is never taken for the next request's reply.
+// A second copy of a valid reply must not be taken for the next request's reply, however late it arrives.
 TEST(HostPool, NeverTakesASecondReplyForTheNextRequests) {
   Listener host;
   HostPoolLimits limits;
@@ -131,7 +131,7 @@
     auto first = host.accept();
     first.command();
     first.send(served("one"));
-    auto second = host.accept();  // the first has not rested
+    auto second = host.accept();  // the first is still in its reuse delay
     second.command();
     first.send(served("one"));
     second.send(served("two"));
@@ -146,7 +146,7 @@
   peer.join();
 }
 
-// A second reply has arrived but is not read yet when the connection is wanted again.
+// A second reply has arrived but has not been read when the connection is needed again.
 TEST(HostPool, DoesNotReuseAConnectionWithUnreadBytes) {
   Listener host;
   HostPoolLimits limits;
@@ -191,7 +191,7 @@
   EXPECT_EQ(fixture.start(5, 9, query(5)), StartResult::kHostUnavailable);
 }
 
-// Hosts come and go under new ids; an attempt in flight at one that leaves still gets its reply.
+// New hosts get new ids, so retired ones must not accumulate. An attempt in flight still gets its reply.
 TEST(HostPool, ForgetsRetiredHostsOnceNoAttemptIsInFlight) {
   Listener host;
   PoolFixture fixture;
@@ -220,7 +220,7 @@
 }
 
 TEST(HostNumber, DependsOnTheUidAlone) {
-  EXPECT_EQ(host_number("123456789"), 0xcbf43926u);  // CRC-32's check value: the same on any machine
+  EXPECT_EQ(host_number("123456789"), 0xcbf43926u);  // the check value of CRC-32; independent of the machine
   EXPECT_NE(host_number("s-5be2a07c"), host_number("s-5be2a07d"));
 }
 
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -1,6 +1,6 @@
-// Races: a request, a reply, a close, a list or a signal that arrives between two steps of the gateway. Each
-// is forced, by a peer that reacts to a byte or by a stopped process whose timers are overdue. The list of
-// all of them is in docs/design/0009-rare-moments.md.
+// Races: a request, a reply, a close, a host list or a signal that arrives between two steps of the gateway.
+// Each test forces one, with a peer that reacts to a single byte or with a stopped process whose timers are
+// overdue. docs/design/0009-rare-moments.md lists them all.
 #include <sys/ioctl.h>
 
 #include <chrono>
@@ -21,7 +21,7 @@
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// Pushed lists: discovery is an agent on this machine.
+// Host lists are pushed: discovery is an agent on this machine.
 boost::json::object pushed(const std::string& list, const Listener& agent) {
   auto conf = config(list, agent.port());
   conf["settings"].as_object()["discovery"] = "automatic";
@@ -33,7 +33,7 @@
   return conf;
 }
 
-// The status line of an operator's call.
+// Returns the status line of a request to the admin port.
 std::string ask(const Program& program, const std::string& call) {
   auto peer = Peer::connect(program.admin_port());
   peer.send(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
@@ -47,7 +47,7 @@
   }
 }
 
-// Connections that fill a listener's queue: further ones are not accepted.
+// Fills the accept queue of a listener, so that further connections are not accepted while these exist.
 std::vector<Fd> fill(const Listener& full) {
   std::vector<Fd> all;
   for (int i = 0; i < 4; ++i) {
@@ -58,7 +58,7 @@
   return all;
 }
 
-// The next request goes to this host, so the drain of the others has been received.
+// Checks that the next request goes to this host, which shows that the other hosts' drain has been received.
 void expect_served_by(Program& program, Listener& host, unsigned n) {
   auto client = program.client();
   client.send(query(n));
@@ -70,7 +70,7 @@
 
 // ---- watches ----
 
-// Changes must be received within 6 s of the watch's last line, even if the next call is not answered.
+// Changes must be received within 6 s of the last line of a watch, even if the next call is not answered.
 TEST(DiscoveryWatch, TwoSilentCallsLeaveTimeToReceiveADrain) {
   Listener host, next, agent;
   Program program(pushed(known({target("s-1", host.port())}), agent));
@@ -84,12 +84,12 @@
   EXPECT_NE(watch_head(again).find("since=8 "), std::string::npos);
   chunk(again, list(9, false, {target("s-1", host.port(), "leaving")}) + "\n\n");
   EXPECT_LT(Steady::now() - last_word, 6s);
-  chunk(again, "{\n\n");  // ends the watch, when all before it has been read
+  chunk(again, "{\n\n");  // malformed: ends the watch once everything before it has been read
   program.log_until("malformed line");
   expect_served_by(program, next, 1);
 }
 
-// After SIGHUP changes must be received within 4 s, even if the first call of the new address is not
+// After SIGHUP, changes must be received within 4 s, even if the first call to the new address is not
 // answered.
 TEST(DiscoveryWatch, ASilentNewAddressIsCalledAgainInTime) {
   Listener host, old_agent, new_agent;
@@ -110,7 +110,7 @@
   watch_head(after);
 }
 
-// Nobody else calls an agent on this machine, so retries need no long backoff.
+// No other process calls an agent on this machine, so retries need no long backoff.
 TEST(DiscoveryWatch, ALocalAgentThatResetsCallsIsCalledAgainAtOnce) {
   Listener host, agent;
   Program program(pushed(known({target("s-1", host.port())}), agent));
@@ -130,9 +130,9 @@
   }
 }
 
-// The address changes twice. As the second one lags behind, its snapshot is to be fetched again some time
-// after the first change: not while its watch is the only one and must not reconnect, as the third is still
-// silent.
+// The address of discovery changes twice. The second server lags behind, so its snapshot is to be fetched
+// again some time after the first change. That must not close its watch while the third server is still
+// silent, as it is the only watch.
 TEST(DiscoveryWatch, ARefetchDuringAnAddressChangeDoesNotCloseTheOnlyWatch) {
   Listener host, first, second, third;
   const auto conf = pushed(known({target("s-1", host.port()), target("s-2", 1)}), first);
@@ -157,7 +157,7 @@
     chunk(two, "\n");
     if (third.waiting(500)) silent.push_back(third.accept());
   }
-  EXPECT_TRUE(two.quiet(0));  // not closed, and still read
+  EXPECT_TRUE(two.quiet(0));  // still open and still read
 }
 
 TEST(DiscoveryWatch, ListsMayBeSpreadOverSeveralLines) {
@@ -174,7 +174,7 @@
     }
     return out;
   };
-  for (const std::string indent : {"  ", "\t", ""}) {  // the last is no indent at all
+  for (const std::string indent : {"  ", "\t", ""}) {  // the last one is no indentation
     const auto text =
         spread(list(8, false, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}), indent);
     chunk(watch, text.substr(0, 40));
@@ -207,7 +207,7 @@
 
 // ---- clients that have disconnected ----
 
-// More commands than are read at once, so that reads are paused.
+// More commands than are read at once, so that the gateway pauses reads.
 std::string more_than_is_read_at_once(unsigned first) {
   std::string text = query(first, "59000");
   for (int i = 0; i < 100; ++i) text += command({"PING", std::to_string(i)});
@@ -224,7 +224,7 @@
     EXPECT_EQ(at.command().at(2), id(1));
     by_reset ? client.reset() : client.close();
     EXPECT_TRUE(at.ends());
-    expect_served_by(program, host, 5);  // and not the commands behind
+    expect_served_by(program, host, 5);  // and none of the later commands is forwarded
   }
 }
 
@@ -239,13 +239,13 @@
   EXPECT_EQ(at.command().at(2), id(1));
   auto other = program.client();
   other.send(query(9));
-  auto ready = host.accept();  // a connection on which the commands behind could be sent at once
+  auto ready = host.accept();  // an idle connection on which the later commands could be sent at once
   ready.command();
   ready.send(served("nine"));
   EXPECT_EQ(other.reply(), "nine");
   let_rest();
   client.close();
-  at.send(served("one"));  // the commands behind can be read now
+  at.send(served("one"));  // the later commands can be read now
   let_rest();
   other.send(query(5));
   EXPECT_EQ(at.command().at(2), id(5));
@@ -269,7 +269,7 @@
   client.close();
   other.send(query(2));
   filled.clear();
-  for (;;) {  // those that filled the queue, then the connections that come up late
+  for (;;) {  // the connections that filled the queue, then those established late
     auto at = slow.accept();
     std::vector<std::string> words;
     try {
@@ -286,7 +286,8 @@
 
 // ---- connections that close ----
 
-// Bytes leave the socket in the turn that delivers them, so a quiet connection holds none.
+// Bytes leave the socket only in the event that delivers them, so a connection that is reported as quiet
+// holds none.
 TEST(RareClose, ReceivedBytesAreCountedUntilTheyAreDelivered) {
   struct Events : resp::StreamCallbacks {
     void on_connected(Ms, bool) override {}
@@ -323,8 +324,8 @@
   stream.close();
 }
 
-// A request that crosses the close after the last reply is never read: the kernel answers it with a reset, so
-// that its client may send it elsewhere.
+// A request that crosses the close after the last reply must not be read: the kernel answers it with a reset,
+// so that the client can send it elsewhere.
 TEST(RareClose, ARequestThatCrossesTheLastReplyIsNeverRead) {
   Listener host, discovery;
   Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
@@ -335,7 +336,7 @@
   at.command();
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
-  EXPECT_FALSE(client.more());  // its end
+  EXPECT_FALSE(client.more());  // closed
   client.send(query(2));
   EXPECT_TRUE(client.is_reset());
   EXPECT_FALSE(host.waiting(0));
@@ -343,7 +344,7 @@
 
 // ---- at the limit of descriptors ----
 
-// The gateway's own settings, in a file that goes with this.
+// A file with settings of the gateway, deleted with this object.
 class OwnFile {
  public:
   explicit OwnFile(const std::string& text)
@@ -373,11 +374,11 @@
     clients.back().send(command({"PING"}));
     EXPECT_EQ(clients.back().reply(), "+PONG");
     if (i > 0)
-      clients.back().send("*1\r\n$4\r\n");  // half a command: a lower priority for eviction than idle ones
+      clients.back().send("*1\r\n$4\r\n");  // an incomplete command: evicted after idle connections
   }
   {
     const Stopped stopped(program);
-    clients.push_back(program.client());  // accepted first when the process continues
+    clients.push_back(program.client());  // accepted first when the process resumes
     clients.back().send(command({"PING"}));
     clients[0].send(command({"PING", "first"}));  // the one with the highest priority for eviction
   }
@@ -446,7 +447,7 @@
     clients.push_back(program.client());
     clients.back().send(command({"PING"}));
   }
-  ask(program, "GET /_ready");  // answered in a turn after that of the overdue timer
+  ask(program, "GET /_ready");  // answered in an event loop iteration after the overdue timer
   attempts[0].send(served("one"));
   EXPECT_EQ(clients[0].reply(), "one");
   EXPECT_TRUE(clients[0].ends());
@@ -455,7 +456,8 @@
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-// SIGKILL comes after the longest deadline of the current classes, not of withdrawn ones.
+// SIGKILL follows after the longest deadline of the current classes, so withdrawn classes must not prolong
+// the shutdown.
 TEST(RareStop, AWithdrawnClassDoesNotProlongTheShutdown) {
   Listener host, discovery;
   const auto conf = config(known({target("s-1", host.port())}), discovery.port());
@@ -476,7 +478,7 @@
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   EXPECT_TRUE(client.ends());
   EXPECT_EQ(program.exit_code(), 0);
-  EXPECT_LT(Steady::now() - told, 3s);  // it would be 3.45 s with the withdrawn class
+  EXPECT_LT(Steady::now() - told, 3s);  // would be 3.45 s with the withdrawn class
 }
 
 TEST(RareStop, ASecondSignalAndAReloadChangeNothing) {
@@ -501,8 +503,8 @@
 
 // ---- attempts ----
 
-// A host restarts at its address while a connection to it is being made: the attempt that waits for it was
-// meant for the earlier process, and the new one is cold.
+// A host restarts at the same address while a connection to it is being made. The attempt that waits for it
+// was meant for the previous process, and the new one is not warmed up.
 TEST(RareAttempts, AnAttemptThatWaitsForARestartedHostIsRetriedElsewhere) {
   Listener slow(0), next, discovery;
   const auto filled = fill(slow);
--- a/tests/request_parser_test.cpp
+++ b/tests/request_parser_test.cpp
@@ -1,4 +1,4 @@
-// Requests read from RESP2 commands: every wire name and every error text, and the words that hosts get.
+// Parsing of requests from RESP2 commands: all wire names, all error texts, and the commands sent to hosts.
 #include "resp/request_parser.h"
 
 #include <gtest/gtest.h>
--- a/tests/resp_reader_test.cpp
+++ b/tests/resp_reader_test.cpp
@@ -1,4 +1,4 @@
-// The RESP2 reader on whole, split, oversized and malformed input, and the writer of error lines.
+// The RESP2 parser on complete, split, oversized and malformed input, and the writer of error lines.
 #include "resp/resp_reader.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
   }
 }
 
-// Parses all at once, then byte by byte: the result must be the same.
+// Parses the whole input at once and then byte by byte; both results must be equal.
 ReadResult parse(const std::string& text, bool commands, Frame& frame, std::vector<std::string>& values) {
   std::vector<ReadResult> results;
   for (const bool byte_by_byte : {false, true}) {
--- a/tests/streamed_values_test.cpp
+++ b/tests/streamed_values_test.cpp
@@ -1,4 +1,4 @@
-// Values above 64 KiB are streamed: forwarded in chunks as they come, at the pace of the slower side.
+// Values above 64 KiB are streamed: forwarded in chunks as they arrive, at the speed of the slower side.
 #include <string>
 #include <vector>
 
@@ -20,7 +20,7 @@
   return text;
 }
 
-// ---- the reader ----
+// ---- the parser ----
 
 TEST(StreamedValues, AreParsedHoweverTheBytesAreSplit) {
   const std::string value = random_bytes(70'000);
@@ -74,7 +74,7 @@
 
 // ---- one client connection ----
 
-// Takes `capacity` bytes and then none.
+// Accepts `capacity` bytes, then blocks.
 class LimitedStream : public resp::Stream {
  public:
   WriteResult write(std::string_view bytes) override {
@@ -145,7 +145,7 @@
   while (sent < 4 * kMebibyte) {
     client.stream->capacity = 40 * 1024;
     client.connection->on_writable(2, true);
-    ASSERT_FALSE(client.owner.writable.empty());  // once its client has read
+    ASSERT_FALSE(client.owner.writable.empty());  // now that the client has read
     client.owner.writable.clear();
     for (bool more = true; more && sent < 4 * kMebibyte; sent += chunk.size())
       more = client.connection->append_value(2, 0, chunk);
@@ -182,11 +182,11 @@
   partly_written.connection->start_value(1, 0, 100'000);
   partly_written.connection->append_value(1, 0, "some");
   partly_written.connection->send_reply(2, 0, "-ERR failed\r\n");
-  EXPECT_FALSE(partly_written.stream->closed);  // not from inside the call of the engine
+  EXPECT_FALSE(partly_written.stream->closed);  // closed later, as the engine may make this call
   partly_written.connection->on_posted(2);
   EXPECT_TRUE(partly_written.stream->closed);
   EXPECT_EQ(partly_written.stream->written, "$100000\r\nsome");
-  EXPECT_TRUE(partly_written.owner.disconnected.empty());  // it has had its reply
+  EXPECT_TRUE(partly_written.owner.disconnected.empty());  // the request has already been answered
 
   OneClient buffered(2);
   buffered.stream->capacity = kMebibyte;
@@ -252,7 +252,7 @@
   EXPECT_EQ(client.line(), "$200000");
   at.reset();
   EXPECT_TRUE(client.ends());
-  EXPECT_FALSE(fixture.host.waiting(20));  // no retry: some of it is written
+  EXPECT_FALSE(fixture.host.waiting(20));  // no retry, as part of the value is written
   other.send(command({"PING"}));
   EXPECT_EQ(other.reply(), "+PONG");
 }
