--- a/src/resp/client_connection.cpp
+++ b/src/resp/client_connection.cpp
@@ -13,12 +13,12 @@
 constexpr std::size_t kMaxUnwrittenBytes = std::size_t{256} * 1024;  // per connection: reply bytes
 
 // Sets a flag for the lifetime of this object.
-class FlagScope {
+class ScopedFlag {
  public:
-  explicit FlagScope(bool& flag) : flag_(flag) { flag_ = true; }
-  ~FlagScope() { flag_ = false; }
-  FlagScope(const FlagScope&) = delete;
-  FlagScope& operator=(const FlagScope&) = delete;
+  explicit ScopedFlag(bool& flag) : flag_(flag) { flag_ = true; }
+  ~ScopedFlag() { flag_ = false; }
+  ScopedFlag(const ScopedFlag&) = delete;
+  ScopedFlag& operator=(const ScopedFlag&) = delete;
 
  private:
   bool& flag_;
@@ -41,7 +41,7 @@
 // progress. A counter orders them.
 void ClientConnection::touch(Ms now) {
   last_progress_ = now;
-  last_used_ = ++totals_.uses;
+  last_used_ = ++totals_.activity_counter;
 }
 
 // While a read is pending this only replaces its space, as parsing may have moved the buffer.
@@ -119,7 +119,7 @@
 
 // Returns true if it stopped at a limit, false if it ran out of commands or the connection accepts no more.
 bool ClientConnection::dispatch_commands(Ms now) {
-  const FlagScope dispatching(dispatching_);
+  const ScopedFlag dispatching(dispatching_);
   while (!closed_ && !input_rejected_ && !must_pause()) {
     const ReadResult result = input_.next(now);
     if (result == ReadResult::kNeedMore) return false;
--- a/src/resp/client_totals.h
+++ b/src/resp/client_totals.h
@@ -16,7 +16,7 @@
   std::size_t max_buffered_bytes = std::size_t{24} * 1024 * 1024;
   std::size_t unsent_bytes = 0;
   std::size_t buffered_bytes = 0;
-  std::uint64_t uses = 0;  // logical clock: incremented at each progress of any connection
+  std::uint64_t activity_counter = 0;  // logical clock: incremented at each progress of any connection
   std::array<std::uint64_t, kCloseReasonCount> closed_by_reason{};
   std::uint64_t forbidden_closes = 0;  // prevented by `may_close`; each one is a bug
 };
--- a/src/resp/host_connection.cpp
+++ b/src/resp/host_connection.cpp
@@ -70,7 +70,7 @@
 
 void HostConnection::on_read(Ms now, std::size_t bytes, bool ended) {
   if (closed_) return;
-  if (ended) return fail(now, outcome_of_break());
+  if (ended) return fail(now, outcome_of_disconnect());
   reader_.commit(bytes);
   if (attempt_ == 0) {  // unsolicited bytes: nothing that follows can be matched to a request
     if (mutant(Mutant::kAcceptsExtraBytes)) return read();
@@ -92,7 +92,7 @@
 void HostConnection::on_writable(Ms now, bool ok) {
   write_blocked_ = false;
   if (closed_) return;
-  if (!ok) return fail(now, outcome_of_break());
+  if (!ok) return fail(now, outcome_of_disconnect());
   if (attempt_ != 0 && !fully_written() && !context_.callbacks.may_write(now, attempt_, true)) {
     return fail(now, Outcome::kNotSent);  // not fully written, so it is never executed
   }
@@ -101,12 +101,12 @@
 
 // A write may fail inside the admission module, which is not reentrant, so the attempt is ended here.
 void HostConnection::on_posted(Ms now) {
-  if (attempt_ == write_failed_attempt_) fail(now, outcome_of_break());
+  if (attempt_ == write_failed_attempt_) fail(now, outcome_of_disconnect());
 }
 
 // Only a fully written request may have been executed. If the connection breaks before that, the request may
 // be sent again.
-Outcome HostConnection::outcome_of_break() const {
+Outcome HostConnection::outcome_of_disconnect() const {
   const bool may_have_run = fully_written() && !mutant(Mutant::kReportsResetAsConnectFailure);
   return may_have_run ? Outcome::kConnectionLost : Outcome::kConnectFailed;
 }
@@ -172,7 +172,7 @@
 
 void HostConnection::fail_malformed(Ms now, std::string_view detail) {
   context_.log("malformed reply of a host", detail);
-  fail(now, outcome_of_break());
+  fail(now, outcome_of_disconnect());
 }
 
 void HostConnection::on_reply(Ms now) {
--- a/src/resp/host_connection.h
+++ b/src/resp/host_connection.h
@@ -59,7 +59,7 @@
   std::shared_ptr<HostConnection> self() {
     return std::static_pointer_cast<HostConnection>(shared_from_this());
   }
-  Outcome outcome_of_break() const;
+  Outcome outcome_of_disconnect() const;
   void begin_request(Ms remaining_ms);
   void write();
   void read();
--- a/src/resp/host_reply.cpp
+++ b/src/resp/host_reply.cpp
@@ -16,15 +16,15 @@
 constexpr std::size_t kUsage = 1;
 constexpr std::size_t kLoadReport = 2;
 
-bool is_text_or_null(const Item& item) {
+bool is_bulk_or_null(const Item& item) {
   return item.type == ItemType::kBulk || item.type == ItemType::kNull;
 }
 
 // The usage is not forwarded, so both integers and bulk strings are accepted.
 bool is_well_formed(const std::vector<Item>& items) {
   return items.size() == kHostReplyElements && items[kValue].type == ItemType::kBulk &&
-         (is_text_or_null(items[kUsage]) || items[kUsage].type == ItemType::kInteger) &&
-         is_text_or_null(items[kLoadReport]);
+         (is_bulk_or_null(items[kUsage]) || items[kUsage].type == ItemType::kInteger) &&
+         is_bulk_or_null(items[kLoadReport]);
 }
 
 std::string_view first_word(std::string_view text) { return text.substr(0, text.find(' ')); }
--- a/src/resp/resp_reader.cpp
+++ b/src/resp/resp_reader.cpp
@@ -75,7 +75,7 @@
 }
 
 // Reads the next line. `text` is the line without its CR LF.
-RespReader::Stop RespReader::read_line(std::string_view& text) {
+RespReader::StepResult RespReader::read_line(std::string_view& text) {
   const char* from = buffer_.data() + begin_ + parsed_;
   const std::size_t available = end_ - begin_ - parsed_;
   const std::size_t max_bytes = limits_.max_line_bytes + kLineEndBytes;
@@ -91,7 +91,7 @@
   return {};
 }
 
-RespReader::Stop RespReader::read_array_header(std::string_view length) {
+RespReader::StepResult RespReader::read_array_header(std::string_view length) {
   const auto elements = parse_length(length);
   if (!elements) return fail(ProtocolError::kInvalidArrayLength);
   if (*elements > limits_.max_elements) return fail(ProtocolError::kTooManyElements);
@@ -100,7 +100,7 @@
 }
 
 // `offset`: position of the length, from `begin_`.
-RespReader::Stop RespReader::read_bulk_header(std::string_view length, std::size_t offset) {
+RespReader::StepResult RespReader::read_bulk_header(std::string_view length, std::size_t offset) {
   if (!commands_only_ && length == "-1") {
     items_.push_back({ItemType::kNull, offset, 0});
     --missing_elements_;
@@ -126,7 +126,7 @@
 }
 
 // Reads a value other than an array, starting with its first line.
-RespReader::Stop RespReader::read_element(std::string_view header) {
+RespReader::StepResult RespReader::read_element(std::string_view header) {
   const char marker = header[0];
   const auto text = header.substr(1);
   const std::size_t offset = parsed_ - kLineEndBytes - text.size();
@@ -141,9 +141,9 @@
 }
 
 // Reads the first line of a frame or of one of its elements.
-RespReader::Stop RespReader::read_header() {
+RespReader::StepResult RespReader::read_header() {
   std::string_view header;
-  if (const Stop stop = read_line(header)) return stop;
+  if (const StepResult result = read_line(header)) return result;
   if (frame_started_) return read_element(header);
   is_array_ = header[0] == '*';
   if (commands_only_ && !is_array_) return fail(ProtocolError::kExpectedArray);
@@ -152,7 +152,7 @@
   return is_array_ ? read_array_header(header.substr(1)) : read_element(header);
 }
 
-RespReader::Stop RespReader::read_bulk_bytes() {
+RespReader::StepResult RespReader::read_bulk_bytes() {
   if (end_ - begin_ < parsed_ + bulk_size_ + kLineEndBytes) return ReadResult::kNeedMore;
   const char* after = buffer_.data() + begin_ + parsed_ + bulk_size_;
   if (after[0] != '\r' || after[1] != '\n') return fail(ProtocolError::kBulkStringWithoutCrLf);
@@ -165,7 +165,7 @@
 
 // Reads the CR LF that ends a streamed value. Its item is empty, as its bytes have already been returned in
 // chunks.
-RespReader::Stop RespReader::finish_streamed_value() {
+RespReader::StepResult RespReader::finish_streamed_value() {
   if (streamed_remaining_ > 0) return ReadResult::kStreamedValue;
   if (end_ - begin_ < kLineEndBytes) return ReadResult::kNeedMore;
   if (buffer_[begin_] != '\r' || buffer_[begin_ + 1] != '\n') {
@@ -198,10 +198,10 @@
   if (error_) return ReadResult::kProtocolError;
   drop_consumed();
   while (!frame_started_ || missing_elements_ > 0) {
-    const Stop stop = in_streamed_value_ ? finish_streamed_value()
-                      : in_bulk_         ? read_bulk_bytes()
-                                         : read_header();
-    if (stop) return *stop;
+    const StepResult result = in_streamed_value_ ? finish_streamed_value()
+                              : in_bulk_         ? read_bulk_bytes()
+                                                 : read_header();
+    if (result) return *result;
   }
   fill(frame);
   items_.clear();
--- a/src/resp/resp_reader.h
+++ b/src/resp/resp_reader.h
@@ -84,18 +84,18 @@
     std::size_t size;
   };
   // If set, `next` returns it. If empty, the step is complete and parsing continues.
-  using Stop = std::optional<ReadResult>;
+  using StepResult = std::optional<ReadResult>;
 
   std::size_t max_buffered_bytes() const;
   void drop_consumed();
   ReadResult fail(ProtocolError error);
-  Stop finish_streamed_value();
-  Stop read_bulk_bytes();
-  Stop read_header();
-  Stop read_line(std::string_view& text);
-  Stop read_array_header(std::string_view length);
-  Stop read_bulk_header(std::string_view length, std::size_t offset);
-  Stop read_element(std::string_view header);
+  StepResult finish_streamed_value();
+  StepResult read_bulk_bytes();
+  StepResult read_header();
+  StepResult read_line(std::string_view& text);
+  StepResult read_array_header(std::string_view length);
+  StepResult read_bulk_header(std::string_view length, std::size_t offset);
+  StepResult read_element(std::string_view header);
   void fill(Frame& frame);
 
   RespLimits limits_;
--- a/src/resp/single_host_pool.cpp
+++ b/src/resp/single_host_pool.cpp
@@ -53,15 +53,15 @@
 // Among the connections past this delay the most recently used one is taken, so that surplus ones expire.
 SingleHostPool::ConnectionPtr SingleHostPool::take_idle(Ms now, Ms reuse_delay_ms, Ms max_idle_ms) {
   for (;;) {
-    const auto rested = std::find_if(idle_.rbegin(), idle_.rend(), [&](const ConnectionPtr& connection) {
+    const auto reusable = std::find_if(idle_.rbegin(), idle_.rend(), [&](const ConnectionPtr& connection) {
       return now - connection->idle_since() >= reuse_delay_ms;
     });
-    if (rested == idle_.rend()) return nullptr;
-    ConnectionPtr connection = *rested;
+    if (reusable == idle_.rend()) return nullptr;
+    ConnectionPtr connection = *reusable;
     // If this process was paused, an expired connection may not have been closed yet.
     const bool expired = now - connection->idle_since() > max_idle_ms;
     if (!expired && connection->is_quiet()) {
-      idle_.erase(std::next(rested).base());
+      idle_.erase(std::next(reusable).base());
       return connection;
     }
     connection->close();
