--- a/tests/client_connection_test.cpp
+++ b/tests/client_connection_test.cpp
@@ -52,7 +52,7 @@
 };
 
 // Records commands and does not answer them.
-struct RecordingOwner : ClientConnectionCallbacks {
+struct RecordingCallbacks : ClientConnectionCallbacks {
   CommandResult on_command(Ms, ResponseHandle handle, std::span<const Item>, Ms elapsed_ms) override {
     sequences.push_back(handle.sequence);
     elapsed.push_back(elapsed_ms);
@@ -70,21 +70,22 @@
 // than may be pending, and all pending ones are answered in one event, so that no reply is pending until the
 // next event.
 TEST(ClientConnection, IsNotEvictedWhileBufferedCommandsWait) {
-  RecordingOwner owner;
+  RecordingCallbacks callbacks;
   ClientTotals totals;
-  const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+  const auto connection = std::make_shared<ClientConnection>(callbacks, totals, 1, 0);
   auto stream = std::make_unique<FakeStream>(*connection);
   FakeStream& peer = *stream;
   connection->start(std::move(stream));
   std::string commands;
   for (int i = 0; i < 70; ++i) commands += emulators::command({"PING"});
   peer.arrive(1, commands);
-  ASSERT_EQ(owner.sequences.size(), 64u);
-  for (const auto sequence : std::vector(owner.sequences)) connection->send_reply(2, sequence, "+PONG\r\n");
-  ASSERT_EQ(owner.sequences.size(), 64u);  // the rest is dispatched in the next event
+  ASSERT_EQ(callbacks.sequences.size(), 64u);
+  for (const auto sequence : std::vector(callbacks.sequences))
+    connection->send_reply(2, sequence, "+PONG\r\n");
+  ASSERT_EQ(callbacks.sequences.size(), 64u);  // the rest is dispatched in the next event
   EXPECT_EQ(connection->eviction_priority(), 0);
   connection->on_posted(2);
-  EXPECT_EQ(owner.sequences.size(), 70u);
+  EXPECT_EQ(callbacks.sequences.size(), 70u);
   EXPECT_EQ(totals.forbidden_closes, 0u);
   connection->close(3, CloseReason::kEvicted);
   EXPECT_EQ(totals.forbidden_closes, 1u);  // forbidden, and counted
@@ -98,15 +99,15 @@
   for (int i = 0; i < 64; ++i) commands += emulators::command({"PING"});
   const std::string more = commands + std::string(2 * kMaxOfOne, '*');
   for (const bool scarce : {false, true}) {
-    RecordingOwner owner;
+    RecordingCallbacks callbacks;
     ClientTotals totals;
     if (scarce) totals.max_buffered_bytes = kMaxOfAll;
-    const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+    const auto connection = std::make_shared<ClientConnection>(callbacks, totals, 1, 0);
     auto stream = std::make_unique<FakeStream>(*connection);
     FakeStream& peer = *stream;
     connection->start(std::move(stream));
     const std::size_t taken = peer.arrive(1, more);
-    EXPECT_EQ(owner.sequences.size(), 64u);
+    EXPECT_EQ(callbacks.sequences.size(), 64u);
     EXPECT_GE(taken, scarce ? kMaxOfAll / 4 : kMaxOfOne);
     EXPECT_LE(taken, commands.size() + (scarce ? kMaxOfAll : kMaxOfOne));
     EXPECT_LE(totals.buffered_bytes, scarce ? kMaxOfAll : kMaxOfOne);
@@ -114,10 +115,10 @@
 }
 
 // Answers commands of two words immediately with a large reply.
-struct LargeReplies : RecordingOwner {
+struct LargeReplyCallbacks : RecordingCallbacks {
   CommandResult on_command(Ms now, ResponseHandle handle, std::span<const Item> words,
                            Ms elapsed_ms) override {
-    const CommandResult result = RecordingOwner::on_command(now, handle, words, elapsed_ms);
+    const CommandResult result = RecordingCallbacks::on_command(now, handle, words, elapsed_ms);
     if (words.size() == 1) return result;
     connection->send_reply(now, handle.sequence, "+" + std::string(60'000, 'a') + "\r\n");
     return {};
@@ -128,22 +129,22 @@
 // Guards against buffered commands that are never dispatched: dispatching stops at a limit, all replies are
 // written at once, and no later event would resume it.
 TEST(ClientConnection, ResumesBufferedCommandsWhenAllRepliesAreWrittenAtOnce) {
-  LargeReplies owner;
+  LargeReplyCallbacks callbacks;
   ClientTotals totals;
-  owner.connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
-  auto stream = std::make_unique<FakeStream>(*owner.connection);
+  callbacks.connection = std::make_shared<ClientConnection>(callbacks, totals, 1, 0);
+  auto stream = std::make_unique<FakeStream>(*callbacks.connection);
   FakeStream& peer = *stream;
-  owner.connection->start(std::move(stream));
+  callbacks.connection->start(std::move(stream));
   std::string commands;
   for (int i = 0; i < 64; ++i) commands += emulators::command({"PING"});
   for (int i = 0; i < 20; ++i) commands += emulators::command({"PING", "large"});
   peer.arrive(1, commands);
-  ASSERT_EQ(owner.sequences.size(), 64u);
-  for (const auto sequence : std::vector(owner.sequences))
-    owner.connection->send_reply(2, sequence, "+PONG\r\n");
-  owner.connection->on_posted(2);
-  EXPECT_EQ(owner.sequences.size(), 84u);
-  owner.connection.reset();
+  ASSERT_EQ(callbacks.sequences.size(), 64u);
+  for (const auto sequence : std::vector(callbacks.sequences))
+    callbacks.connection->send_reply(2, sequence, "+PONG\r\n");
+  callbacks.connection->on_posted(2);
+  EXPECT_EQ(callbacks.sequences.size(), 84u);
+  callbacks.connection.reset();
 }
 
 // Each reason for closing, and the states that forbid it.
@@ -154,28 +155,28 @@
     change(state);
     return state;
   };
-  const std::initializer_list<CloseReason> own_reasons{CloseReason::kNoCommand,
-                                                       CloseReason::kIncompleteCommand, CloseReason::kIdle,
-                                                       CloseReason::kDrain, CloseReason::kEvicted};
-  for (const CloseReason reason : own_reasons) {
-    const auto meets = [&](ConnectionState& state) {
+  const std::initializer_list<CloseReason> gateway_reasons{
+      CloseReason::kNoCommand, CloseReason::kIncompleteCommand, CloseReason::kIdle, CloseReason::kDrain,
+      CloseReason::kEvicted};
+  for (const CloseReason reason : gateway_reasons) {
+    const auto satisfy = [&](ConnectionState& state) {
       state.has_replied = reason != CloseReason::kNoCommand;
       state.command_incomplete = reason == CloseReason::kIncompleteCommand;
     };
-    EXPECT_TRUE(may_close(reason, with(meets))) << int(reason);
+    EXPECT_TRUE(may_close(reason, with(satisfy))) << int(reason);
     EXPECT_FALSE(may_close(reason, with([&](auto& state) {
-                             meets(state);
+                             satisfy(state);
                              state.reply_pending = true;
                            })))
         << int(reason);
     EXPECT_FALSE(may_close(reason, with([&](auto& state) {
-                             meets(state);
+                             satisfy(state);
                              state.has_unread_bytes = true;
                            })))
         << int(reason);
     if (reason == CloseReason::kEvicted) continue;
     EXPECT_FALSE(may_close(reason, with([&](auto& state) {
-                             meets(state);
+                             satisfy(state);
                              state.inactive_ms = 99;
                              state.command_awaited_ms = 99;
                            })))
@@ -203,9 +204,9 @@
 // Guards against a timeout that starts too late: a short read leaves the rest of a command in the socket,
 // where it has been since that read.
 TEST(ClientConnection, CountsElapsedTimeOfBytesLeftByAShortRead) {
-  RecordingOwner owner;
+  RecordingCallbacks callbacks;
   ClientTotals totals;
-  const auto connection = std::make_shared<ClientConnection>(owner, totals, 1, 0);
+  const auto connection = std::make_shared<ClientConnection>(callbacks, totals, 1, 0);
   auto stream = std::make_unique<FakeStream>(*connection);
   FakeStream& peer = *stream;
   connection->start(std::move(stream));
@@ -214,13 +215,13 @@
   peer.arrive(100, ping.substr(0, 3));
   peer.unread = 0;
   peer.arrive(400, ping.substr(3));
-  ASSERT_EQ(owner.elapsed.size(), 1u);
-  EXPECT_EQ(owner.elapsed[0], 300);
+  ASSERT_EQ(callbacks.elapsed.size(), 1u);
+  EXPECT_EQ(callbacks.elapsed[0], 300);
   // A command whose rest was still in transit at that read arrives with this rest.
   peer.arrive(1000, ping.substr(0, 3));
   peer.arrive(1400, ping.substr(3));
-  ASSERT_EQ(owner.elapsed.size(), 2u);
-  EXPECT_EQ(owner.elapsed[1], 0);
+  ASSERT_EQ(callbacks.elapsed.size(), 2u);
+  EXPECT_EQ(callbacks.elapsed[1], 0);
 }
 
 }  // namespace
--- a/tests/delayed_connections_test.cpp
+++ b/tests/delayed_connections_test.cpp
@@ -20,28 +20,28 @@
  public:
   DelayedHost() : listener_(0) {
     for (int i = 0; i < 4; ++i) {
-      waiting_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+      queue_fillers_.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
       const auto at = loopback(listener_.port());
-      ::connect(waiting_.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+      ::connect(queue_fillers_.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
     }
   }
   int port() const { return listener_.port(); }
   void open() {
-    waiting_.clear();
+    queue_fillers_.clear();
     while (listener_.waiting(50)) listener_.accept();  // the connections that filled the queue
   }
   // Accepts the gateway's connection within `ms`. Returns true if it carries data and is not just closed.
   bool receives_request(int ms) {
     if (!listener_.waiting(ms)) return false;
-    at_ = std::make_unique<Peer>(listener_.accept());
-    return !at_->quiet(500) && at_->more();
+    connection_ = std::make_unique<Peer>(listener_.accept());
+    return !connection_->quiet(500) && connection_->more();
   }
-  Peer& connection() { return *at_; }
+  Peer& connection() { return *connection_; }
 
  private:
   Listener listener_;
-  std::vector<Fd> waiting_;
-  std::unique_ptr<Peer> at_;
+  std::vector<Fd> queue_fillers_;
+  std::unique_ptr<Peer> connection_;
 };
 
 double timeout_of(const std::vector<std::string>& command) {
@@ -81,11 +81,12 @@
   watch_head(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   chunk(watch, list(8, false, {target("s-2", delayed.port()), target("s-1", host.port(), "leaving")}) + "\n");
   std::this_thread::sleep_for(100ms);
-  at.reset();  // it may have been executed; the retry goes to the other host, which is not connected yet
+  // The request may have been executed. The retry goes to the other host, which is not connected yet.
+  upstream.reset();
   std::this_thread::sleep_for(200ms);
   delayed.open();
   EXPECT_FALSE(delayed.receives_request(4000)) << "a retry was sent after the idempotency key expired";
--- a/tests/host_pool_test.cpp
+++ b/tests/host_pool_test.cpp
@@ -63,9 +63,9 @@
     fixture.add(1, host.port());
     ASSERT_EQ(fixture.start(1, 1, kLargeCommand), StartResult::kStarted);
     std::thread peer([&] {
-      auto at = host.accept();
-      at.exactly(fully_written ? kLargeCommand.size() : 1);
-      at.reset();
+      auto upstream = host.accept();
+      upstream.exactly(fully_written ? kLargeCommand.size() : 1);
+      upstream.reset();
     });
     EXPECT_EQ(fixture.wait_for(1), fully_written ? Outcome::kConnectionLost : Outcome::kConnectFailed);
     peer.join();
@@ -84,11 +84,11 @@
   ASSERT_EQ(fixture.start(1, 2, "x"), StartResult::kStarted);
   EXPECT_EQ(fixture.wait_for(1), Outcome::kConnectFailed);
   std::thread peer([&] {
-    auto at = host.accept();
-    at.command();
-    at.send("-BUSY depth=9\r\n");
-    at.command();
-    at.send("-ERR failed\r\n");
+    auto upstream = host.accept();
+    upstream.command();
+    upstream.send("-BUSY depth=9\r\n");
+    upstream.command();
+    upstream.send("-ERR failed\r\n");
   });
   ASSERT_EQ(fixture.start(2, 1, query(1)), StartResult::kStarted);
   EXPECT_EQ(fixture.wait_for(2), Outcome::kOverloaded);
@@ -107,10 +107,10 @@
   ASSERT_EQ(fixture.start(2, 1, query(2)), StartResult::kStarted);
   std::thread peer([&] {
     for (;;) {
-      auto at = host.accept();
-      if (!at.more()) continue;  // the connection of the abandoned attempt
-      at.send(served("x"));
-      at.ends();
+      auto upstream = host.accept();
+      if (!upstream.more()) continue;  // the connection of the abandoned attempt
+      upstream.send(served("x"));
+      upstream.ends();
       return;
     }
   });
@@ -200,10 +200,10 @@
     if (id == 1) {
       ASSERT_EQ(fixture.start(1, 1, query(1)), StartResult::kStarted);
       std::thread peer([&] {
-        auto at = host.accept();
-        at.command();
-        at.send(served("one"));
-        at.ends();
+        auto upstream = host.accept();
+        upstream.command();
+        upstream.send(served("one"));
+        upstream.ends();
       });
       EXPECT_EQ(fixture.wait_for(1), Outcome::kOk);
       fixture.pool().retire_host(fixture.clock.now(), id);
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -19,40 +19,40 @@
 using Steady = std::chrono::steady_clock;
 using namespace std::chrono_literals;
 
-std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
+std::string snapshot(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
 // Host lists are pushed: discovery is an agent on this machine.
-boost::json::object pushed(const std::string& list, const Listener& agent) {
+boost::json::object config_with_local_agent(const std::string& list, const Listener& agent) {
   auto conf = config(list, agent.port());
   conf["settings"].as_object()["discovery"] = "automatic";
   return conf;
 }
 
-boost::json::object operated(boost::json::object conf) {
+boost::json::object with_admin_port(boost::json::object conf) {
   conf["admin"] = "127.0.0.1:0";
   return conf;
 }
 
 // Returns the status line of a request to the admin port.
-std::string ask(const Program& program, const std::string& call) {
+std::string admin_status_line(const Program& program, const std::string& call) {
   auto peer = Peer::connect(program.admin_port());
   peer.send(call + " HTTP/1.1\r\nHost: x\r\n\r\n");
   return peer.line();
 }
 
 // Returns once SIGTERM has been handled.
-void stop_begins(Program& program) {
+void begin_shutdown(Program& program) {
   program.terminate();
-  while (ask(program, "GET /_ready").find("503") == std::string::npos) {
+  while (admin_status_line(program, "GET /_ready").find("503") == std::string::npos) {
   }
 }
 
 // Fills the accept queue of a listener, so that further connections are not accepted while these exist.
-std::vector<Fd> fill(const Listener& full) {
+std::vector<Fd> fill_accept_queue(const Listener& listener) {
   std::vector<Fd> all;
   for (int i = 0; i < 4; ++i) {
     all.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const auto at = loopback(full.port());
+    const auto at = loopback(listener.port());
     ::connect(all.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
   }
   return all;
@@ -62,9 +62,9 @@
 void expect_served_by(Program& program, Listener& host, unsigned n) {
   auto client = program.client();
   client.send(query(n));
-  auto at = host.accept();
-  EXPECT_EQ(at.command().at(2), id(n));
-  at.send(served("ok"));
+  auto upstream = host.accept();
+  EXPECT_EQ(upstream.command().at(2), id(n));
+  upstream.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
 }
 
@@ -73,17 +73,17 @@
 // Changes must be received within 6 s of the last line of a watch, even if the next call is not answered.
 TEST(DiscoveryWatch, TwoSilentCallsLeaveTimeToReceiveADrain) {
   Listener host, next, agent;
-  Program program(pushed(known({target("s-1", host.port())}), agent));
+  Program program(config_with_local_agent(snapshot({target("s-1", host.port())}), agent));
   auto watch = agent.accept();
   watch_head(watch);
   chunk(watch, list(8, false, {target("s-2", next.port())}) + "\n");
-  const auto last_word = Steady::now();
+  const auto last_line_at = Steady::now();
   auto unanswered = agent.accept();
   unanswered.line();
   auto again = agent.accept();
   EXPECT_NE(watch_head(again).find("since=8 "), std::string::npos);
   chunk(again, list(9, false, {target("s-1", host.port(), "leaving")}) + "\n\n");
-  EXPECT_LT(Steady::now() - last_word, 6s);
+  EXPECT_LT(Steady::now() - last_line_at, 6s);
   chunk(again, "{\n\n");  // malformed: ends the watch once everything before it has been read
   program.log_until("malformed line");
   expect_served_by(program, next, 1);
@@ -93,19 +93,19 @@
 // answered.
 TEST(DiscoveryWatch, ASilentNewAddressIsCalledAgainInTime) {
   Listener host, old_agent, new_agent;
-  const auto conf = pushed(known({target("s-1", host.port())}), old_agent);
+  const auto conf = config_with_local_agent(snapshot({target("s-1", host.port())}), old_agent);
   Program program(conf);
   auto before = old_agent.accept();
   watch_head(before);
   auto moved = conf;
   moved["discovery"] = "127.0.0.1:" + std::to_string(new_agent.port());
-  const auto told = Steady::now();
+  const auto reloaded_at = Steady::now();
   program.reload(boost::json::serialize(moved));
   auto unanswered = new_agent.accept();
   unanswered.line();
   auto fetch = new_agent.accept();
-  EXPECT_LT(Steady::now() - told, 4s);
-  whole_list(fetch, known({target("s-1", host.port())}));
+  EXPECT_LT(Steady::now() - reloaded_at, 4s);
+  whole_list(fetch, snapshot({target("s-1", host.port())}));
   auto after = new_agent.accept();
   watch_head(after);
 }
@@ -113,7 +113,7 @@
 // No other process calls an agent on this machine, so retries need no long backoff.
 TEST(DiscoveryWatch, ALocalAgentThatResetsCallsIsCalledAgainAtOnce) {
   Listener host, agent;
-  Program program(pushed(known({target("s-1", host.port())}), agent));
+  Program program(config_with_local_agent(snapshot({target("s-1", host.port())}), agent));
   const auto first = Steady::now();
   for (int i = 0; i < 6; ++i) {
     auto call = agent.accept();
@@ -135,7 +135,7 @@
 // silent, as it is the only watch.
 TEST(DiscoveryWatch, ARefetchDuringAnAddressChangeDoesNotCloseTheOnlyWatch) {
   Listener host, first, second, third;
-  const auto conf = pushed(known({target("s-1", host.port()), target("s-2", 1)}), first);
+  const auto conf = config_with_local_agent(snapshot({target("s-1", host.port()), target("s-2", 1)}), first);
   Program program(conf);
   auto one = first.accept();
   watch_head(one);
@@ -148,12 +148,12 @@
   whole_list(fetch, list(3, true, {target("s-1", host.port()), target("s-2", 1)}));  // lags behind
   auto two = second.accept();
   watch_head(two);
-  const auto heard = Steady::now();
+  const auto watch_started_at = Steady::now();
   moved["discovery"] = "127.0.0.1:" + std::to_string(third.port());
   program.reload(boost::json::serialize(moved));
   auto call = third.accept();
   std::vector<Peer> silent;
-  while (Steady::now() - heard < 11s) {
+  while (Steady::now() - watch_started_at < 11s) {
     chunk(two, "\n");
     if (third.waiting(500)) silent.push_back(third.accept());
   }
@@ -162,11 +162,11 @@
 
 TEST(DiscoveryWatch, ListsMayBeSpreadOverSeveralLines) {
   Listener host, next, old_agent, new_agent;
-  const auto conf = pushed(known({target("s-1", host.port())}), old_agent);
+  const auto conf = config_with_local_agent(snapshot({target("s-1", host.port())}), old_agent);
   Program program(conf);
   auto watch = old_agent.accept();
   watch_head(watch);
-  const auto spread = [](std::string text, const std::string& indent) {
+  const auto break_lines = [](std::string text, const std::string& indent) {
     std::string out;
     for (const char c : text) {
       out += c;
@@ -175,8 +175,8 @@
     return out;
   };
   for (const std::string indent : {"  ", "\t", ""}) {  // the last one is no indentation
-    const auto text =
-        spread(list(8, false, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}), indent);
+    const auto text = break_lines(
+        list(8, false, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}), indent);
     chunk(watch, text.substr(0, 40));
     chunk(watch, text.substr(40) + "\n");
     chunk(watch, "\n");
@@ -185,8 +185,9 @@
   moved["discovery"] = "127.0.0.1:" + std::to_string(new_agent.port());
   program.reload(boost::json::serialize(moved));
   auto fetch = new_agent.accept();
-  whole_list(fetch, spread(list(9, true, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}),
-                           "  "));
+  whole_list(
+      fetch,
+      break_lines(list(9, true, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}), "  "));
   auto after = new_agent.accept();
   EXPECT_NE(watch_head(after).find("since=9 "), std::string::npos);
   EXPECT_TRUE(watch.ends());
@@ -195,7 +196,7 @@
 
 TEST(DiscoveryWatch, ATruncatedListDoesNotHideThoseAfterIt) {
   Listener host, agent;
-  Program program(pushed(known({target("s-1", host.port())}), agent));
+  Program program(config_with_local_agent(snapshot({target("s-1", host.port())}), agent));
   for (const std::string behind : {"\n", "  \n", "{\"rev\":9,\"all\":false,\"targets\":[]}\n"}) {
     auto watch = agent.accept();
     EXPECT_NE(watch_head(watch).find("since=7 "), std::string::npos);
@@ -208,35 +209,35 @@
 // ---- clients that have disconnected ----
 
 // More commands than are read at once, so that the gateway pauses reads.
-std::string more_than_is_read_at_once(unsigned first) {
+std::string more_commands_than_read_at_once(unsigned first) {
   std::string text = query(first, "59000");
   for (int i = 0; i < 100; ++i) text += command({"PING", std::to_string(i)});
   return text + query(first + 1) + query(first + 2);
 }
 
-TEST(RareClients, ADisconnectDuringAReadPauseCancelsTheAttempt) {
+TEST(DisconnectRaces, ADisconnectDuringAReadPauseCancelsTheAttempt) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(snapshot({target("s-1", host.port())}), discovery.port()));
   for (const bool by_reset : {false, true}) {
     auto client = program.client();
-    client.send(more_than_is_read_at_once(1));
-    auto at = host.accept();
-    EXPECT_EQ(at.command().at(2), id(1));
+    client.send(more_commands_than_read_at_once(1));
+    auto upstream = host.accept();
+    EXPECT_EQ(upstream.command().at(2), id(1));
     by_reset ? client.reset() : client.close();
-    EXPECT_TRUE(at.ends());
+    EXPECT_TRUE(upstream.ends());
     expect_served_by(program, host, 5);  // and none of the later commands is forwarded
   }
 }
 
-TEST(RareClients, CommandsBehindAFullPipelineAreNotForwardedAfterADisconnect) {
+TEST(DisconnectRaces, CommandsBehindAFullPipelineAreNotForwardedAfterADisconnect) {
   Listener host, discovery;
-  auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  auto conf = config(snapshot({target("s-1", host.port())}), discovery.port());
   conf["settings"].as_object()["ceilings"].as_object()["cancel"] = false;
   Program program(conf);
   auto client = program.client();
-  client.send(more_than_is_read_at_once(1));
-  auto at = host.accept();
-  EXPECT_EQ(at.command().at(2), id(1));
+  client.send(more_commands_than_read_at_once(1));
+  auto upstream = host.accept();
+  EXPECT_EQ(upstream.command().at(2), id(1));
   auto other = program.client();
   other.send(query(9));
   auto ready = host.accept();  // an idle connection on which the later commands could be sent at once
@@ -245,20 +246,20 @@
   EXPECT_EQ(other.reply(), "nine");
   let_rest();
   client.close();
-  at.send(served("one"));  // the later commands can be read now
+  upstream.send(served("one"));  // the later commands can be read now
   let_rest();
   other.send(query(5));
-  EXPECT_EQ(at.command().at(2), id(5));
-  at.send(served("five"));
+  EXPECT_EQ(upstream.command().at(2), id(5));
+  upstream.send(served("five"));
   EXPECT_EQ(other.reply(), "five");
   EXPECT_TRUE(ready.quiet(0));
   EXPECT_FALSE(host.waiting(0));
 }
 
-TEST(RareClients, AnAttemptThatWaitsForAConnectionIsNotWrittenAfterADisconnect) {
+TEST(DisconnectRaces, AnAttemptThatWaitsForAConnectionIsNotWrittenAfterADisconnect) {
   Listener slow(0), discovery;
-  auto filled = fill(slow);
-  auto conf = config(known({target("s-1", slow.port())}), discovery.port());
+  auto filled = fill_accept_queue(slow);
+  auto conf = config(snapshot({target("s-1", slow.port())}), discovery.port());
   conf["settings"].as_object()["ceilings"].as_object()["cancel"] = false;
   Program program(conf);
   auto client = program.client();
@@ -270,15 +271,15 @@
   other.send(query(2));
   filled.clear();
   for (;;) {  // the connections that filled the queue, then those established late
-    auto at = slow.accept();
+    auto upstream = slow.accept();
     std::vector<std::string> words;
     try {
-      words = at.command();
+      words = upstream.command();
     } catch (const Hung&) {
       continue;
     }
     EXPECT_EQ(words.at(2), id(2));
-    at.send(served("two"));
+    upstream.send(served("two"));
     break;
   }
   EXPECT_EQ(other.reply(), "two");
@@ -288,7 +289,7 @@
 
 // Bytes leave the socket only in the event that delivers them, so a connection that is reported as quiet
 // holds none.
-TEST(RareClose, ReceivedBytesAreCountedUntilTheyAreDelivered) {
+TEST(CloseRaces, ReceivedBytesAreCountedUntilTheyAreDelivered) {
   struct Events : resp::StreamCallbacks {
     void on_connected(Ms, bool) override {}
     void on_read(Ms, std::size_t n, bool) override { bytes += n; }
@@ -299,7 +300,7 @@
   boost::asio::io_context io(1);
   Clock clock;
   Listener listener;
-  auto far = Peer::connect(listener.port());
+  auto peer = Peer::connect(listener.port());
   boost::asio::ip::tcp::acceptor acceptor(io);
   boost::asio::ip::tcp::socket socket(io);
   acceptor.assign(boost::asio::ip::tcp::v4(), ::dup(listener.fd()));
@@ -307,7 +308,7 @@
   socket.non_blocking(true);
   const auto events = std::make_shared<Events>();
   TcpStream stream(std::move(socket), clock, *events);
-  far.send("noise");
+  peer.send("noise");
   while (stream.unread_bytes() < 5) {
   }
   std::array<char, 16> space{};
@@ -315,7 +316,7 @@
   EXPECT_EQ(stream.unread_bytes(), 5u);
   EXPECT_FALSE(stream.is_quiet());
   EXPECT_FALSE(stream.peer_closed());
-  far.close();
+  peer.close();
   while (!stream.peer_closed()) {
   }
   EXPECT_EQ(stream.unread_bytes(), 5u);
@@ -326,15 +327,15 @@
 
 // A request that crosses the close after the last reply must not be read: the kernel answers it with a reset,
 // so that the client can send it elsewhere.
-TEST(RareClose, ARequestThatCrossesTheLastReplyIsNeverRead) {
+TEST(CloseRaces, ARequestThatCrossesTheLastReplyIsNeverRead) {
   Listener host, discovery;
-  Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
-  ask(program, "POST /_lameduck/on");
+  Program program(with_admin_port(config(snapshot({target("s-1", host.port())}), discovery.port())));
+  admin_status_line(program, "POST /_lameduck/on");
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("one"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_FALSE(client.more());  // closed
   client.send(query(2));
@@ -345,36 +346,35 @@
 // ---- at the limit of descriptors ----
 
 // A file with settings of the gateway, deleted with this object.
-class OwnFile {
+class SettingsFile {
  public:
-  explicit OwnFile(const std::string& text)
+  explicit SettingsFile(const std::string& text)
       : path_(std::filesystem::temp_directory_path() / ("rare-" + std::to_string(::getpid()) + ".toml")) {
     std::ofstream(path_) << text;
   }
-  ~OwnFile() { std::filesystem::remove(path_); }
+  ~SettingsFile() { std::filesystem::remove(path_); }
   std::string path() const { return path_.string(); }
 
  private:
   std::filesystem::path path_;
 };
 
-boost::json::object crowded(boost::json::object conf) {
+boost::json::object with_few_descriptors(boost::json::object conf) {
   conf["limits"].as_object()["sockets"] = 56;  // four for clients
   return conf;
 }
 
-TEST(RareEviction, AConnectionWithARequestIsNotEvicted) {
+TEST(EvictionRaces, AConnectionWithARequestIsNotEvicted) {
   Listener host, discovery;
-  const OwnFile own("[hosts]\ndescriptors_share = 0.5\n");
-  Program program(crowded(config(known({target("s-1", host.port())}), discovery.port())),
-                  {"--settings", own.path()}, {});
+  const SettingsFile settings_file("[hosts]\ndescriptors_share = 0.5\n");
+  Program program(with_few_descriptors(config(snapshot({target("s-1", host.port())}), discovery.port())),
+                  {"--settings", settings_file.path()}, {});
   std::vector<Peer> clients;
   for (unsigned i = 0; i < 4; ++i) {
     clients.push_back(program.client());
     clients.back().send(command({"PING"}));
     EXPECT_EQ(clients.back().reply(), "+PONG");
-    if (i > 0)
-      clients.back().send("*1\r\n$4\r\n");  // an incomplete command: evicted after idle connections
+    if (i > 0) clients.back().send("*1\r\n$4\r\n");  // an incomplete command: evicted after idle connections
   }
   {
     const Stopped stopped(program);
@@ -388,10 +388,10 @@
 
 // ---- shutdown ----
 
-TEST(RareStop, AConnectionMadeJustBeforeTheListenerClosesIsServed) {
+TEST(ShutdownRaces, AConnectionMadeJustBeforeTheListenerClosesIsServed) {
   Listener host, discovery;
-  Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
-  stop_begins(program);
+  Program program(with_admin_port(config(snapshot({target("s-1", host.port())}), discovery.port())));
+  begin_shutdown(program);
   std::vector<Peer> clients;
   {
     const Stopped stopped(program);
@@ -399,19 +399,19 @@
     clients.push_back(program.client());
     clients.back().send(query(1));
   }
-  auto at = host.accept();
-  at.command();
-  at.send(served("one"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("one"));
   EXPECT_EQ(clients[0].reply(), "one");
   EXPECT_TRUE(clients[0].ends());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(RareStop, ARequestUnderWayWhenTheListenerClosesIsServed) {
+TEST(ShutdownRaces, ARequestUnderWayWhenTheListenerClosesIsServed) {
   Listener host, discovery;
-  Program program(operated(config(known({target("s-1", host.port())}), discovery.port())));
+  Program program(with_admin_port(config(snapshot({target("s-1", host.port())}), discovery.port())));
   auto kept = program.client();
-  stop_begins(program);
+  begin_shutdown(program);
   kept.send(command({"PING"}));
   EXPECT_EQ(kept.reply(), "+PONG");
   std::vector<Peer> clients;
@@ -420,19 +420,20 @@
     stopped.outlast(550ms);
     kept.send(query(1));  // unread when idle connections are closed
   }
-  auto at = host.accept();
-  at.command();
-  at.send(served("one"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("one"));
   EXPECT_EQ(kept.reply(), "one");
   EXPECT_TRUE(kept.ends());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
-TEST(RareStop, AConnectionQueuedAtTheLimitIsServedWhenAnotherCloses) {
+TEST(ShutdownRaces, AConnectionQueuedAtTheLimitIsServedWhenAnotherCloses) {
   Listener host, discovery;
-  const OwnFile own("[hosts]\ndescriptors_share = 0.5\n");
-  Program program(operated(crowded(config(known({target("s-1", host.port())}), discovery.port()))),
-                  {"--settings", own.path()}, {});
+  const SettingsFile settings_file("[hosts]\ndescriptors_share = 0.5\n");
+  Program program(
+      with_admin_port(with_few_descriptors(config(snapshot({target("s-1", host.port())}), discovery.port()))),
+      {"--settings", settings_file.path()}, {});
   std::vector<Peer> clients, attempts;
   for (unsigned n = 1; n <= 4; ++n) {
     clients.push_back(program.client());
@@ -440,14 +441,14 @@
     attempts.push_back(host.accept());
     attempts.back().command();
   }
-  stop_begins(program);
+  begin_shutdown(program);
   {
     const Stopped stopped(program);
     stopped.outlast(550ms);
     clients.push_back(program.client());
     clients.back().send(command({"PING"}));
   }
-  ask(program, "GET /_ready");  // answered in an event loop iteration after the overdue timer
+  admin_status_line(program, "GET /_ready");  // answered in an event loop iteration after the overdue timer
   attempts[0].send(served("one"));
   EXPECT_EQ(clients[0].reply(), "one");
   EXPECT_TRUE(clients[0].ends());
@@ -458,9 +459,9 @@
 
 // SIGKILL follows after the longest deadline of the current classes, so withdrawn classes must not prolong
 // the shutdown.
-TEST(RareStop, AWithdrawnClassDoesNotProlongTheShutdown) {
+TEST(ShutdownRaces, AWithdrawnClassDoesNotProlongTheShutdown) {
   Listener host, discovery;
-  const auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  const auto conf = config(snapshot({target("s-1", host.port())}), discovery.port());
   Program program(conf);
   auto changed = conf;
   auto& classes = changed["settings"].as_object()["lanes"].as_array();
@@ -469,33 +470,33 @@
   classes[0].as_object()["deadline_ms"] = 1000.0;
   auto client = program.client();
   client.send(submit("pay", 1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   program.reload(boost::json::serialize(changed));
   program.log_until("configuration read again");
-  const auto told = Steady::now();
+  const auto terminated_at = Steady::now();
   program.terminate();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   EXPECT_TRUE(client.ends());
   EXPECT_EQ(program.exit_code(), 0);
-  EXPECT_LT(Steady::now() - told, 3s);  // would be 3.45 s with the withdrawn class
+  EXPECT_LT(Steady::now() - terminated_at, 3s);  // would be 3.45 s with the withdrawn class
 }
 
-TEST(RareStop, ASecondSignalAndAReloadChangeNothing) {
+TEST(ShutdownRaces, ASecondSignalAndAReloadChangeNothing) {
   Listener host, discovery;
-  const auto conf = operated(config(known({target("s-1", host.port())}), discovery.port()));
+  const auto conf = with_admin_port(config(snapshot({target("s-1", host.port())}), discovery.port()));
   Program program(conf);
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  stop_begins(program);
+  auto upstream = host.accept();
+  upstream.command();
+  begin_shutdown(program);
   auto changed = conf;
   changed["settings"].as_object()["lanes"].as_array().resize(1);
   program.reload(boost::json::serialize(changed));
   program.log_until("configuration read again");
   program.terminate();
-  at.send(served("one"));
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_TRUE(client.ends());
   EXPECT_EQ(program.exit_code(), 0);
@@ -505,10 +506,10 @@
 
 // A host restarts at the same address while a connection to it is being made. The attempt that waits for it
 // was meant for the previous process, and the new one is not warmed up.
-TEST(RareAttempts, AnAttemptThatWaitsForARestartedHostIsRetriedElsewhere) {
+TEST(AttemptRaces, AnAttemptThatWaitsForARestartedHostIsRetriedElsewhere) {
   Listener slow(0), next, discovery;
-  const auto filled = fill(slow);
-  Program program(config(known({target("s-1", slow.port())}), discovery.port()));
+  const auto filled = fill_accept_queue(slow);
+  Program program(config(snapshot({target("s-1", slow.port())}), discovery.port()));
   auto agent = discovery.accept();
   watch_head(agent);
   auto client = program.client();
@@ -521,9 +522,9 @@
   const auto boot = std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
   anew.replace(anew.find("\"boot_ms\":0"), 11, "\"boot_ms\":" + boot);
   chunk(agent, list(8, false, {anew, target("s-2", next.port())}) + "\n");
-  auto at = next.accept();
-  EXPECT_EQ(at.command().at(2), id(1));
-  at.send(served("paid"));
+  auto upstream = next.accept();
+  EXPECT_EQ(upstream.command().at(2), id(1));
+  upstream.send(served("paid"));
   EXPECT_EQ(client.reply(), "paid");
 }
 
--- a/tests/streamed_values_test.cpp
+++ b/tests/streamed_values_test.cpp
@@ -98,7 +98,7 @@
   bool closed = false;
 };
 
-struct RecordingOwner : resp::ClientConnectionCallbacks {
+struct RecordingCallbacks : resp::ClientConnectionCallbacks {
   resp::CommandResult on_command(Ms, resp::ResponseHandle handle, std::span<const resp::Item>, Ms) override {
     return {handle.sequence + 1, handle.sequence + 1, true};
   }
@@ -110,13 +110,13 @@
   std::vector<std::uint64_t> disconnected, writable;
 };
 
-struct OneClient {
-  RecordingOwner owner;
+struct SingleClientFixture {
+  RecordingCallbacks callbacks;
   resp::ClientTotals totals;
   std::shared_ptr<resp::ClientConnection> connection =
-      std::make_shared<resp::ClientConnection>(owner, totals, 1, 0);
+      std::make_shared<resp::ClientConnection>(callbacks, totals, 1, 0);
   LimitedStream* stream;
-  explicit OneClient(int commands) {
+  explicit SingleClientFixture(int commands) {
     class ReadableStream : public LimitedStream {
      public:
       void read(std::span<char> offered) override { space = offered; }
@@ -134,19 +134,19 @@
 };
 
 TEST(StreamedValues, ASlowClientPausesTheValueAndLittleIsBuffered) {
-  OneClient client(1);
+  SingleClientFixture client(1);
   client.connection->start_value(1, 0, 4 * kMebibyte);
   const auto chunk = random_bytes(16 * 1024);
   int chunks = 0;
   while (client.connection->append_value(1, 0, chunk)) ASSERT_LT(++chunks, 100);
   EXPECT_LE(client.totals.unsent_bytes, 96 * 1024u);
-  EXPECT_TRUE(client.owner.writable.empty());
+  EXPECT_TRUE(client.callbacks.writable.empty());
   std::size_t sent = (chunks + 1) * chunk.size(), max_unsent = 0;
   while (sent < 4 * kMebibyte) {
     client.stream->capacity = 40 * 1024;
     client.connection->on_writable(2, true);
-    ASSERT_FALSE(client.owner.writable.empty());  // now that the client has read
-    client.owner.writable.clear();
+    ASSERT_FALSE(client.callbacks.writable.empty());  // now that the client has read
+    client.callbacks.writable.clear();
     for (bool more = true; more && sent < 4 * kMebibyte; sent += chunk.size())
       more = client.connection->append_value(2, 0, chunk);
     max_unsent = std::max(max_unsent, client.totals.unsent_bytes);
@@ -161,7 +161,7 @@
 }
 
 TEST(StreamedValues, OneBehindAnotherReplyIsBufferedWithinLimitsAndResumesAfterIt) {
-  OneClient client(2);
+  SingleClientFixture client(2);
   client.stream->capacity = kMebibyte;
   client.connection->start_value(1, 1, 100'000);
   const auto chunk = random_bytes(16 * 1024);
@@ -173,11 +173,11 @@
   EXPECT_EQ(client.stream->written.substr(0, 17), "+first\r\n$100000\r\n");
   ASSERT_EQ(client.stream->posts, 1);
   client.connection->on_posted(2);
-  EXPECT_EQ(client.owner.writable, std::vector<std::uint64_t>{2});
+  EXPECT_EQ(client.callbacks.writable, std::vector<std::uint64_t>{2});
 }
 
 TEST(StreamedValues, AnAbortClosesTheConnectionOnceSomeIsWrittenAndElseIsAnError) {
-  OneClient partly_written(1);
+  SingleClientFixture partly_written(1);
   partly_written.stream->capacity = kMebibyte;
   partly_written.connection->start_value(1, 0, 100'000);
   partly_written.connection->append_value(1, 0, "some");
@@ -186,9 +186,9 @@
   partly_written.connection->on_posted(2);
   EXPECT_TRUE(partly_written.stream->closed);
   EXPECT_EQ(partly_written.stream->written, "$100000\r\nsome");
-  EXPECT_TRUE(partly_written.owner.disconnected.empty());  // the request has already been answered
+  EXPECT_TRUE(partly_written.callbacks.disconnected.empty());  // the request has already been answered
 
-  OneClient buffered(2);
+  SingleClientFixture buffered(2);
   buffered.stream->capacity = kMebibyte;
   buffered.connection->start_value(1, 1, 100'000);
   buffered.connection->append_value(1, 1, "some");
@@ -209,22 +209,22 @@
   ProgramFixture fixture;
   auto client = fixture.program.client();
   client.send(query(1));
-  auto at = fixture.host.accept();
-  at.command();
+  auto upstream = fixture.host.accept();
+  upstream.command();
   const auto value = random_bytes(3 * kMebibyte);
   const auto reply = served(value);
-  at.send(reply.substr(0, 100'000));
+  upstream.send(reply.substr(0, 100'000));
   EXPECT_EQ(client.line(), "$" + std::to_string(value.size()));
   std::string received = client.exactly(90'000);
-  at.send(reply.substr(100'000));
+  upstream.send(reply.substr(100'000));
   received += client.exactly(value.size() - received.size() + 2);
   EXPECT_EQ(received, value + "\r\n");
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");
   let_rest();
   client.send(query(2));  // the connection to the host is reused
-  EXPECT_EQ(at.command().at(2), id(2));
-  at.send(served("short"));
+  EXPECT_EQ(upstream.command().at(2), id(2));
+  upstream.send(served("short"));
   EXPECT_EQ(client.reply(), "short");
 }
 
@@ -232,13 +232,13 @@
   ProgramFixture fixture;
   auto client = fixture.program.client();
   client.send(query(1, "400"));
-  auto at = fixture.host.accept();
-  at.command();
+  auto upstream = fixture.host.accept();
+  upstream.command();
   const auto reply = served(random_bytes(100'000));
-  at.send(reply.substr(0, 50'000));
+  upstream.send(reply.substr(0, 50'000));
   EXPECT_EQ(client.line(), "$100000");
   std::this_thread::sleep_for(std::chrono::milliseconds(700));
-  at.send(reply.substr(50'000));
+  upstream.send(reply.substr(50'000));
   EXPECT_EQ(client.exactly(100'002), random_bytes(100'000) + "\r\n");
 }
 
@@ -246,11 +246,11 @@
   ProgramFixture fixture;
   auto client = fixture.program.client(), other = fixture.program.client();
   client.send(query(1));
-  auto at = fixture.host.accept();
-  at.command();
-  at.send(served(random_bytes(200'000)).substr(0, 100'000));
+  auto upstream = fixture.host.accept();
+  upstream.command();
+  upstream.send(served(random_bytes(200'000)).substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
-  at.reset();
+  upstream.reset();
   EXPECT_TRUE(client.ends());
   EXPECT_FALSE(fixture.host.waiting(20));  // no retry, as part of the value is written
   other.send(command({"PING"}));
@@ -261,24 +261,24 @@
   ProgramFixture fixture;
   auto client = fixture.program.client();
   client.send(query(1));
-  auto at = fixture.host.accept();
-  at.command();
-  at.send("*3\r\n$70000\r\n" + random_bytes(70'000) + "XX$-1\r\n$-1\r\n");
+  auto upstream = fixture.host.accept();
+  upstream.command();
+  upstream.send("*3\r\n$70000\r\n" + random_bytes(70'000) + "XX$-1\r\n$-1\r\n");
   EXPECT_EQ(client.line(), "$70000");
   EXPECT_TRUE(client.ends());
-  EXPECT_TRUE(at.ends());
+  EXPECT_TRUE(upstream.ends());
 }
 
 TEST(StreamedValues, AClientThatDisconnectsEndsItsAttempt) {
   ProgramFixture fixture;
   auto client = fixture.program.client();
   client.send(query(1));
-  auto at = fixture.host.accept();
-  at.command();
-  at.send(served(random_bytes(200'000)).substr(0, 100'000));
+  auto upstream = fixture.host.accept();
+  upstream.command();
+  upstream.send(served(random_bytes(200'000)).substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
   client.reset();
-  EXPECT_TRUE(at.ends());
+  EXPECT_TRUE(upstream.ends());
 }
 
 TEST(StreamedValues, AHostThatIsRemovedMeanwhileSendsTheRest) {
@@ -287,14 +287,14 @@
   watch_head(watch);
   auto client = fixture.program.client();
   client.send(query(1));
-  auto at = fixture.host.accept();
-  at.command();
+  auto upstream = fixture.host.accept();
+  upstream.command();
   const auto reply = served(random_bytes(200'000));
-  at.send(reply.substr(0, 100'000));
+  upstream.send(reply.substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
   chunk(watch, list(8, false, {target("s-1", fixture.host.port(), "left")}) + "\n");
   let_rest();
-  at.send(reply.substr(100'000));
+  upstream.send(reply.substr(100'000));
   EXPECT_EQ(client.exactly(200'002), random_bytes(200'000) + "\r\n");
 }
 
