--- a/include/cometfold/attempt_rules.h
+++ b/include/cometfold/attempt_rules.h
@@ -1,7 +1,7 @@
-// What the rules allow for a request's attempts and its rejection: pure functions.
+// Rules that decide whether a request may be attempted again or rejected, as pure functions.
 //
-// The decision module applies them when it decides, and the engine once more when the first byte of an
-// attempt would be written, as its connection may have come up late.
+// The decision module applies them to each decision. The engine applies them again before it writes the first
+// byte of an attempt, because the connection may have been established much later.
 #pragma once
 
 #include <algorithm>
@@ -15,21 +15,21 @@
 
 namespace cometfold {
 
-// Longest pause of a process between reading its clock and writing that the rules allow for.
+// Longest pause of the process between reading the clock and writing that the rules tolerate.
 inline constexpr Ms kProcessPauseAllowanceMs = 150;
-// Of an idempotency key's lifetime, within which retries are sent; the rest is for their way to the host.
+// Fraction of an idempotency key's lifetime in which retries are sent; the rest is left for transmission.
 inline constexpr double kKeyLifetimeFraction = 0.8;
-// At least so much of the lifetime is kept for that way.
+// Minimum part of the lifetime that is left for transmission.
 inline constexpr Ms kKeyLifetimeMarginMs = kProcessPauseAllowanceMs + 50;
 
-// Where a host is. A zone or cell that is not known is shared with no other host.
+// Location of a host. An unknown zone or cell is not shared with any other host.
 struct HostLocation {
   std::optional<std::uint32_t> zone, cell;
   bool operator==(const HostLocation&) const = default;
 };
 inline HostLocation location_of(const HostEntry& entry) { return {entry.zone, entry.cell}; }
 
-// Whether hosts at both locations know each other's idempotency keys.
+// Whether hosts at both locations share idempotency keys.
 inline bool in_same_scope(IdempotencyScope scope, const HostLocation& a, const HostLocation& b) {
   const bool same_zone = a.zone && a.zone == b.zone;
   switch (scope) {
@@ -45,8 +45,7 @@
   return false;
 }
 
-// Time after its first attempt within which a request with an idempotency key may be retried, in
-// milliseconds.
+// Time from its first attempt in which a request with an idempotency key may be retried, in milliseconds.
 inline Ms retry_window_ms(const ClassSettings& terms) {
   return std::max(std::min(kKeyLifetimeFraction * terms.idempotency_key_ttl_ms,
                            terms.idempotency_key_ttl_ms - kKeyLifetimeMarginMs),
@@ -59,18 +58,18 @@
          outcome != Outcome::kNotSent;
 }
 
-// Whether an attempt may be sent, and else why not.
+// Whether an attempt may be sent, and if not, why.
 enum class AttemptVerdict : std::uint8_t {
   kAllowed,
-  kAnswered,            // the request has its final answer, or its client has disconnected
-  kClientDisconnected,  // its client has disconnected, which the engine has not been notified of yet
+  kAnswered,            // the request has been answered, or its client has disconnected
+  kClientDisconnected,  // its client has disconnected, but the engine has not been notified yet
   kDeadlineExceeded,    // of the request or of the attempt
   kTooManyAttempts,
-  kAttemptInFlight,  // another attempt is in flight, and the request may not be hedged (any further)
+  kAttemptInFlight,  // another attempt is in flight, and the request may not be hedged (again)
   kMayHaveExecuted,  // an attempt may have been executed, and the request is not idempotent
-  kKeyExpired,       // likewise, and its idempotency key's lifetime is over
-  kOutOfScope,       // likewise, and this host does not know the key
-  kNotListed,        // the host drains or was removed
+  kKeyExpired,       // an attempt may have been executed, and its idempotency key may have expired
+  kOutOfScope,       // an attempt may have been executed, and this host does not share its key
+  kNotListed,        // the host is draining or was removed
   kHostRestarted,    // the host has restarted since the decision
 };
 inline constexpr std::string_view kAttemptVerdictNames[] = {
@@ -78,15 +77,16 @@
     "may_have_run", "key_forgotten", "other_group", "not_listed", "other_process"};
 inline constexpr std::size_t kAttemptVerdictCount = std::size(kAttemptVerdictNames);
 
-// What a request's earlier attempts leave for one more. `Attempt` has the members `host`, `place` (its
-// location when the attempt was sent), `sent` (time), `out` (in flight) and `may_have_run`; one in flight may
-// have been executed. Holds a pointer into the attempts, so it is used before they change.
+// Constraint that a request's earlier attempts impose on the next one. `Attempt` has the members `host`,
+// `place` (the host's location when the attempt was sent), `sent` (time), `out` (in flight) and
+// `may_have_run`; attempts in flight count as executed. Holds a pointer into the attempts and is invalidated
+// when they change.
 template <class Attempt>
 struct RetryConstraint {
   AttemptVerdict verdict = AttemptVerdict::kAllowed;
-  const Attempt* key_holder = nullptr;  // if set: only hosts that know this attempt's idempotency key
+  const Attempt* key_holder = nullptr;  // if set, only hosts that share this attempt's idempotency key
 
-  // Whether the host at this location may get the attempt; `verdict` is kAllowed.
+  // Whether the attempt may be sent to the host at this location. Requires that `verdict` is kAllowed.
   bool allows(const ClassSettings& terms, HostId host, const HostLocation& location) const {
     if (key_holder == nullptr) return true;
     const bool same_host = key_holder->host == host && key_holder->place == location;
@@ -94,7 +94,7 @@
   }
 };
 
-// The constraint of the request's earlier attempts, oldest first, on one that is sent now.
+// Computes the constraint for an attempt that is sent now. `attempts` are the earlier ones, oldest first.
 template <class Attempts>
 auto retry_constraint(const ClassSettings& terms, const Attempts& attempts, Ms now) {
   RetryConstraint<typename Attempts::value_type> constraint;
@@ -113,7 +113,7 @@
   return constraint;
 }
 
-// Whether one more attempt may be sent beside those in flight.
+// Whether another attempt may be sent in addition to those in flight.
 template <class Attempts>
 bool may_hedge(const Attempts& attempts, bool hedging_allowed) {
   const auto in_flight =
@@ -121,7 +121,7 @@
   return in_flight == 0 || (hedging_allowed && in_flight == 1);
 }
 
-// Whether the request may be rejected, which lets its client know that a retry is harmless.
+// Whether the request may be rejected, which tells the client that a retry is safe.
 template <class Attempts>
 bool may_reject(const ClassSettings& terms, const Attempts& attempts) {
   if (terms.idempotency == Idempotency::kIdempotent) return true;
--- a/src/admission/admission_controller.cpp
+++ b/src/admission/admission_controller.cpp
@@ -1,4 +1,4 @@
-// The public interface: sets the time of the event and passes it on.
+// The public interface: sets the time of each event and forwards it to the implementation.
 #include "cometfold/admission_controller.h"
 
 #include "admission/controller_impl.h"
--- a/src/admission/attempt_handling.cpp
+++ b/src/admission/attempt_handling.cpp
@@ -1,4 +1,4 @@
-// What the controller learns from attempts, and what it does when they end.
+// Results of attempts: updates the statistics, and retries or finishes the request.
 #include "admission/controller_impl.h"
 
 namespace cometfold {
@@ -19,8 +19,8 @@
 
 }  // namespace
 
-// The host's work for a long value is done when the value begins to come: counted on, slow readers would look
-// like a queue.
+// The host has done its work when a streamed response begins. Counting the attempt as in flight any longer
+// would make slow readers look like a queue.
 void AdmissionController::Impl::on_stream_started(RequestId id, std::uint32_t index, ActionSink& out) {
   PendingRequest* pending = requests_.find(id);
   if (pending == nullptr || index >= pending->attempts.size()) return;
@@ -91,8 +91,8 @@
   if (is_host_failure(result.outcome)) record_outcome(host, true, out);
 }
 
-// An attempt that was never executed added no work, so its retry is outside the budget, unless the fleet is
-// overloaded.
+// An attempt that was rejected or could not connect added no work, so its retry is not charged to the budget,
+// unless the fleet is overloaded.
 void AdmissionController::Impl::record_rejections(const PendingRequest& pending, const Attempt& attempt,
                                                   Host& host, Outcome outcome) {
   overload_.record(host, pending.request, outcome == Outcome::kOverloaded, now_);
--- a/src/admission/concurrency_limiter.cpp
+++ b/src/admission/concurrency_limiter.cpp
@@ -3,10 +3,10 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kUnloadedLatencyFactor = 3.5;  // target latency, in unloaded latencies,
-constexpr double kMinObjectiveFraction = 0.3;   // and in latency objectives at least
-constexpr double kMaxObjectiveFraction = 0.5;   // and at most
-constexpr double kMinRateSamples = 4;           // completions that measure a rate
+constexpr double kUnloadedLatencyFactor = 3.5;  // target latency as a multiple of the unloaded latency
+constexpr double kMinObjectiveFraction = 0.3;   // lower bound, as a fraction of the latency objective
+constexpr double kMaxObjectiveFraction = 0.5;   // upper bound, likewise
+constexpr double kMinRateSamples = 4;           // completions needed to measure a rate
 constexpr Ms kProvenRateMemoryMs = 60'000;
 
 }  // namespace
@@ -24,8 +24,8 @@
                     kMinObjectiveFraction * shortest_objective_, kMaxObjectiveFraction * shortest_objective_);
 }
 
-// After a lull, or at the gateway's start, no completions are known: a warm host that has never answered may
-// get more, and one that was idle just now what it has proven.
+// After an idle period or the gateway's start there are no recent completions. So a warm host that has never
+// answered gets a higher minimum limit, and one that was idle until just now may use its proven rate.
 bool ConcurrencyLimiter::is_at_limit(Host& host, Ms target_latency, Ms now) const {
   hosts_.decay(host, now);
   const bool warm = !slow_start_.is_warming_up(host, now);
--- a/src/admission/concurrency_limiter.h
+++ b/src/admission/concurrency_limiter.h
@@ -6,10 +6,10 @@
 
 namespace cometfold::admission {
 
-// A host's limit is what it completes within the target latency, so that no queue outgrows the latency
-// objective. The target is a multiple of the unloaded latency, within bounds by the objective: where requests
-// take a good part of it on idle hosts, attempts in flight are no queue. All referenced objects outlive this
-// one.
+// A host's limit is the number of requests that it completes within the target latency, so that queueing
+// stays within the latency objective. The target is a multiple of the unloaded latency, because attempts in
+// flight are no queue where requests take a large part of the objective even on idle hosts. The objective
+// bounds it on both sides. All referenced objects must outlive this one.
 class ConcurrencyLimiter {
  public:
   ConcurrencyLimiter(const AdmissionSettings& settings, const LatencyStatistics& latency,
@@ -18,28 +18,28 @@
 
   void on_settings_changed();
 
-  // Shortest latency objective of all classes, which wait in the same queues.
+  // Shortest latency objective of all classes, as they share the hosts' queues.
   Ms shortest_objective() const { return shortest_objective_; }
   // Mean latency that the limits aim for.
   Ms target_latency() const;
-  // Attempts in flight from this gateway that keep a small host's cores busy.
+  // This gateway's part of the attempts in flight that keep a small host's cores busy.
   double min_in_flight() const { return kMinInFlight / std::max(settings_.gateway_count, 1.0); }
 
-  // Whether the host has reached its limit. `target_latency`: the function's result, which callers compute
-  // once.
+  // Whether the host has reached its limit. Callers compute `target_latency()` once for all hosts and pass
+  // it.
   bool is_at_limit(Host& host, Ms target_latency, Ms now) const;
 
-  // An attempt is sent, before it is counted in flight.
+  // Must be called for each attempt before it is counted as in flight.
   void record_send(Host& host, Ms now) const;
   void record_completion(Host& host, Ms now) const;
 
-  // Most completions a second that the host has shown, fading over time.
+  // Highest measured completions per second of the host, decaying over time.
   double proven_rate(const Host& host, Ms now) const;
   void restore(Host& host, double proven_rate, Ms now) const;
 
  private:
-  static constexpr double kMinInFlight = 4;       // from all gateways
-  static constexpr double kInitialInFlight = 16;  // before a warm host has answered anything
+  static constexpr double kMinInFlight = 4;       // over all gateways
+  static constexpr double kInitialInFlight = 16;  // likewise, before a warm host has ever answered
 
   const AdmissionSettings& settings_;
   const LatencyStatistics& latency_;
--- a/src/admission/controller_impl.cpp
+++ b/src/admission/controller_impl.cpp
@@ -1,4 +1,4 @@
-// The controller's wiring, timers, settings, hosts and hand-over.
+// Construction of the controller, and its timers, settings, host lists and hand-over.
 #include "admission/controller_impl.h"
 
 namespace cometfold {
@@ -8,8 +8,8 @@
 
 constexpr std::uint64_t kTickToken = ~std::uint64_t{0};
 constexpr std::uint64_t kHostListToken = kTickToken - 1;
-constexpr Ms kHostListRetryMs = 1000;   // pause after a failed call to discovery
-constexpr Ms kStartToleranceMs = 1000;  // two gateways' readings of a host's start differ by no more
+constexpr Ms kHostListRetryMs = 1000;   // delay after a failed call to discovery
+constexpr Ms kStartToleranceMs = 1000;  // two gateways' values of a host's start time differ by at most this
 
 }  // namespace
 
@@ -41,7 +41,7 @@
   quotas_.start(now_);
   shedder_.start(now_);
   if (settings_.host_watch_required) out.watch_hosts();
-  out.poll_hosts();  // the list that a restart finds is old
+  out.poll_hosts();  // the cached list that a restarted gateway begins with may be outdated
   out.schedule_timer(admission::kTickIntervalMs, kTickToken);
 }
 
@@ -116,7 +116,7 @@
   import_hosts(snapshot);
 }
 
-// A host that has restarted since is another process, of which nothing is known.
+// Skips hosts that have restarted since the export, as the statistics do not apply to the new process.
 void AdmissionController::Impl::import_hosts(const HandoverSnapshot& snapshot) {
   for (const auto& imported : snapshot.hosts) {
     Host* host = hosts_.find(imported.id);
--- a/src/admission/controller_impl.h
+++ b/src/admission/controller_impl.h
@@ -1,5 +1,5 @@
-// What an AdmissionController consists of. It holds the settings, the clock of the present event and the
-// random numbers, and passes events on to the classes that decide.
+// The implementation of AdmissionController. It holds the settings, the time of the current event and the
+// random number generator, and dispatches events to the components that decide.
 #pragma once
 
 #include <span>
@@ -15,15 +15,15 @@
 
 namespace cometfold {
 
-// Its parts refer to each other, so it is neither copied nor moved. The handlers of events are called with
-// `now_` set.
+// Neither copyable nor movable, because its components refer to each other. Event handlers are called after
+// `set_time`.
 class AdmissionController::Impl {
  public:
   Impl(const AdmissionSettings& settings, std::uint64_t seed);
   Impl(const Impl&) = delete;
   Impl& operator=(const Impl&) = delete;
 
-  // The time of the event that follows, in milliseconds.
+  // Sets the time of the event that follows, in milliseconds.
   void set_time(Ms now) { now_ = now; }
 
   void on_start(ActionSink& out);
@@ -55,14 +55,14 @@
   };
   struct QuotaDecision {
     std::optional<Rejection> rejection;
-    double value_factor = 1;  // value of admitting the request, against that of one within its quota
+    double value_factor = 1;  // value of admitting the request, relative to one within its quota
   };
 
   void on_tick(ActionSink& out);
   void resize_statistics();
   void import_hosts(const HandoverSnapshot& snapshot);
 
-  // Requests, in request_handling.cpp.
+  // Requests; defined in request_handling.cpp.
   void admit(PendingRequest& pending, ActionSink& out);
   void record_arrival(Customer& customer, const Request& request);
   QuotaDecision check_quota(PendingRequest& pending, Customer& customer, ActionSink& out);
@@ -79,7 +79,7 @@
   void cancel_all_attempts(PendingRequest& pending, ActionSink& out) const;
   void erase_if_done(RequestId id);
 
-  // Attempts, in attempt_handling.cpp.
+  // Attempts; defined in attempt_handling.cpp.
   void end_attempt(PendingRequest& pending, Attempt& attempt, Host& host, Outcome outcome);
   void release_host(Host& host, const Attempt& attempt) const;
   void record_result(const PendingRequest& pending, const Attempt& attempt, Host& host,
--- a/src/admission/customer_quotas.cpp
+++ b/src/admission/customer_quotas.cpp
@@ -8,9 +8,9 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr Ms kCustomerIdleMs = 60'000;     // an idle customer is evicted after it
-constexpr Ms kArrivalMemoryMs = 1000;      // of the arrivals by which quota is lent
-constexpr double kRetainedFraction = 0.2;  // of each level at a hand-over, for requests that still come here
+constexpr Ms kCustomerIdleMs = 60'000;     // idle customers are evicted after this time
+constexpr Ms kArrivalMemoryMs = 1000;      // time constant of the arrivals that lending is based on
+constexpr double kRetainedFraction = 0.2;  // of each level at a hand-over, for requests still to arrive here
 
 }  // namespace
 
@@ -18,7 +18,7 @@
   for (auto& [id, customer] : customers_) fit_buckets(customer, now);
 }
 
-// Levels stay, within the new capacities.
+// Levels are kept, up to the new capacities.
 void CustomerQuotas::fit_buckets(Customer& customer, Ms now) const {
   const PlanSettings& plan = plan_of(customer);
   const double refills = handed_over_ ? 0 : 1;
@@ -43,7 +43,7 @@
     customer.undivided_quota = TokenBucket::initially_full();
   }
   const double gateway_count = std::clamp(request.gateway_count, 1.0, std::max(1.0, settings_.gateway_count));
-  // A customer that changes its plan or its gateways must not keep the former buckets.
+  // The buckets must match the plan and the gateway count of the latest request.
   if (created || customer.plan_index != request.plan_index || customer.gateway_count != gateway_count) {
     customer.plan_index = request.plan_index;
     customer.gateway_count = gateway_count;
@@ -60,7 +60,8 @@
   customer.units_grantable = customer.quota.tokens();
   customer.undivided_quota.scale_tokens(factor);
   for (auto& class_quota : customer.classes) class_quota.bucket.scale_tokens(factor);
-  // The slice of a ceiling starts empty with the gateway, which may have granted all of it before a crash.
+  // The slice of a ceiling starts empty when the gateway starts, as the gateway may have granted all of it
+  // before a crash.
   customer.ceiling.set_tokens(customer.ceiling.rate() * age(now) / 1000);
 }
 
@@ -82,8 +83,8 @@
   }
 }
 
-// Lending, equation (19): a class's next rate is the guaranteed one and, by its arrivals, its part of the
-// rest.
+// Lending, equation (19): a class's next rate is its guaranteed rate plus a part of the unused quota in
+// proportion to its arrivals.
 void CustomerQuotas::lend_between_classes(Customer& customer, Ms now) {
   double arrived_units = 0;
   for (const auto& class_quota : customer.classes) arrived_units += class_quota.recent_units;
@@ -98,7 +99,8 @@
   }
 }
 
-// Only customers with a full quota and ceiling are evicted, as a new one starts with a full quota.
+// Only customers with a full quota and ceiling are evicted: a new customer starts with a full quota, so an
+// earlier eviction would grant units twice.
 bool CustomerQuotas::can_evict(Customer& customer, Ms now) {
   if (!customer.quota.is_full() || !customer.ceiling.is_full()) return false;
   const bool idle = now - customer.last_request_at > kCustomerIdleMs || is_like_new(customer, now);
@@ -120,7 +122,7 @@
 bool CustomerQuotas::is_at_concurrency_limit(const Customer& customer) const {
   const double limit = plan_of(customer).max_concurrent_attempts;
   if (limit <= 0) return false;
-  if (handed_over_) return true;  // the successor counts the whole slice
+  if (handed_over_) return true;  // the whole slice belongs to the successor
   const double slice = std::max(1.0, std::ceil(limit / customer.gateway_count - kEpsilon));
   return customer.attempts_in_flight + customer.predecessor_attempts_in_flight >= slice;
 }
@@ -168,7 +170,7 @@
   customer->classes[request.class_index].bucket.put_back(unused_units);
 }
 
-// Levels are divided, so that both gateways together grant no more than one would; debts go to the successor.
+// Levels are split so that both gateways together grant no more than one would. Debt moves to the successor.
 void CustomerQuotas::export_to(HandoverSnapshot& snapshot, Ms now) {
   snapshot.age_ms = age(now);
   for (auto& [id, customer] : customers_) {
@@ -191,9 +193,9 @@
   on_settings_changed(now);
 }
 
-// What a customer that is not in the snapshot was granted by the predecessor is not known, so its ceiling
-// fills from the predecessor's start on, or from now if that is not known either: not from the start of this
-// process, which may have waited long for its turn.
+// For a customer that is not in the snapshot it is unknown what the predecessor has granted. Its ceiling
+// therefore counts as empty at the predecessor's start, or now if that is unknown too. The start of this
+// process would be wrong, as it may have waited long for the hand-over.
 void CustomerQuotas::import_from(const HandoverSnapshot& snapshot, Ms now) {
   started_at_ = now - finite_or(snapshot.age_ms, 0);
   const auto set_level = [](TokenBucket& bucket, double level) {
--- a/src/admission/fleet_size.h
+++ b/src/admission/fleet_size.h
@@ -1,4 +1,4 @@
-// From which number of gateways on a single one sees too little of a customer or a host to judge it alone.
+// In a large fleet a single gateway sees too few requests of a customer or a host to judge it by them alone.
 #pragma once
 
 namespace cometfold::admission {
--- a/src/admission/host_selector.cpp
+++ b/src/admission/host_selector.cpp
@@ -7,15 +7,14 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kFailureCostFactor =
-    8;  // a host that fails all attempts looks so many times slower, and more
+constexpr double kFailureCostFactor = 8;  // a failure rate of 1 multiplies the cost by 1 plus this
 constexpr double kOtherZoneFactor = 1.15;
-constexpr double kUnconnectedFactor = 1.3;  // of a host that needs a new connection, in large fleets
-constexpr double kConnectedIdleFraction =
-    7 / 15.0;                         // of a connection's idle timeout, for which it surely lives
+constexpr double kUnconnectedFactor = 1.3;  // for hosts that need a new connection, in large fleets
+// A connection that was idle for less than this fraction of its idle timeout is surely still open.
+constexpr double kConnectedIdleFraction = 7 / 15.0;
 constexpr double kCostJitter = 0.02;  // spreads requests over hosts of equal cost
 constexpr double kHealthChecksPerSend = 0.5;
-constexpr Ms kHealthCheckSilenceMs = 1500;  // a host that answered later needs no check
+constexpr Ms kHealthCheckSilenceMs = 1500;  // hosts that have answered since need no check
 
 }  // namespace
 
@@ -49,8 +48,9 @@
   return best;
 }
 
-// Expected time to an answer, for comparison. A host that owes answers counts as slow as it has been silent
-// for, which finds dead, partitioned and stuck ones before any time-out.
+// Expected time to an answer, for comparing hosts. The latency of a host with attempts in flight is taken to
+// be at least the time for which it has been silent. This avoids dead, partitioned and stuck hosts before
+// their attempts time out.
 double HostSelector::expected_cost(Host& host, const Request& request, Ms now) const {
   parts_.hosts.decay(host, now);
   Ms latency = parts_.latency.class_latency(request.class_index) * host.relative_latency;
--- a/src/admission/host_selector.h
+++ b/src/admission/host_selector.h
@@ -1,4 +1,4 @@
-// Chooses the host of each attempt, and hosts for health checks.
+// Selects the host for each attempt and the hosts for health checks.
 #pragma once
 
 #include <optional>
@@ -11,7 +11,7 @@
 
 namespace cometfold::admission {
 
-// All referenced objects outlive this one.
+// All referenced objects must outlive this one.
 class HostSelector {
  public:
   struct Parts {
@@ -26,22 +26,22 @@
   };
   explicit HostSelector(const Parts& parts) : parts_(parts) {}
 
-  // The host of least expected cost that the constraint allows and that is below its limit; null if there is
-  // none. Hosts that were tried or are ejected are taken only where no other is left.
+  // Returns the host of least expected cost that the constraint allows and that is below its limit, or null.
+  // Hosts that were already tried or are ejected are selected only if there is no other.
   Host* select(const PendingRequest& pending, const RetryConstraint<Attempt>& constraint, Ms now) const;
 
-  // A host whose load should be asked for now, if any: the one of two random hosts whose report is older, if
-  // it has not answered lately either.
+  // Returns a host that needs a health check now, if any: of two random hosts the one with the older load
+  // report, unless it has answered recently.
   std::optional<HostId> select_for_health_check(Ms now) const;
 
-  // Whether the request could go to a usable host where it was not sent.
+  // Whether there is a usable host that the request was not sent to and that is not ejected.
   bool has_untried_host(const PendingRequest& pending, Ms now) const;
 
  private:
   struct Search {
     const PendingRequest& pending;
     const RetryConstraint<Attempt>& constraint;
-    const Host* warming_up;  // the only one of those that warm up that may be taken
+    const Host* warming_up;  // the only warming-up host that may be selected; null if none
     Ms target_latency;
     Ms now;
   };
--- a/src/admission/host_table.cpp
+++ b/src/admission/host_table.cpp
@@ -4,8 +4,8 @@
 namespace {
 
 constexpr Ms kDepartedMemoryMs = 10'000;
-constexpr Ms kFailureHalfLifeMs = 4000;      // so that a repaired host is tried again
-constexpr Ms kRejectionHalfLifeMs = 10'000;  // a limit on one plan lasts, and shows less often
+constexpr Ms kFailureHalfLifeMs = 4000;      // so that a recovered host is tried again
+constexpr Ms kRejectionHalfLifeMs = 10'000;  // longer, as limits on a plan last and are observed less often
 constexpr Ms kReportMemoryMs = 4000;         // queues change faster, but slow hosts stay slow for longer
 constexpr double kReportGain = 0.1;          // weight of one report in the fleet's mean
 
@@ -27,7 +27,7 @@
 void HostTable::list_host(const HostEntry& entry, Ms now) {
   Host& host = hosts_[entry.id];
   const bool restarted = host.entry.started_at != entry.started_at;
-  if (restarted) {  // statistics of the former process do not hold for the new one
+  if (restarted) {  // the statistics of the former process do not apply to the new one
     Host fresh;
     fresh.attempts_in_flight = host.attempts_in_flight;
     fresh.overdue_attempts = host.overdue_attempts;
--- a/src/admission/host_table.h
+++ b/src/admission/host_table.h
@@ -1,4 +1,4 @@
-// The hosts as discovery lists them, and what they report of their load.
+// The hosts listed by discovery and the load that they report.
 #pragma once
 
 #include <map>
@@ -8,8 +8,8 @@
 
 namespace cometfold::admission {
 
-// A host that is listed no more stays for a while, as attempts may be in flight there. References to hosts
-// hold until `erase_departed`. The settings and the statistics outlive the object.
+// Hosts that are no longer listed are kept for a while, because attempts may be in flight there. References
+// to hosts are valid until `erase_departed`. The settings and the statistics must outlive the object.
 class HostTable {
  public:
   using Map = std::map<HostId, Host>;
@@ -17,7 +17,7 @@
   HostTable(const AdmissionSettings& settings, LatencyStatistics& latency)
       : settings_(settings), latency_(latency) {}
 
-  // A list from discovery; `kind` is not `kFailed`.
+  // Applies a list from discovery. `kind` must not be `kFailed`.
   void update(HostListUpdate kind, std::span<const HostEntry> entries, Ms now);
   // Erases hosts that left long ago and have no attempts in flight.
   void erase_departed(Ms now);
@@ -27,28 +27,28 @@
   Map::const_iterator begin() const { return hosts_.begin(); }
   Map::const_iterator end() const { return hosts_.end(); }
   std::size_t size() const { return hosts_.size(); }
-  // Null if the host is not known.
+  // Returns null if the host is unknown.
   Host* find(HostId id);
-  // An unlisted host is created if it is not known: its record may have been erased while a long value came.
+  // Creates an unlisted host if it is unknown: its record may have been erased while a response was streamed.
   Host& find_or_create(HostId id) { return hosts_[id]; }
   bool any_usable() const;
 
-  // Lets the host's statistics fade up to now.
+  // Decays the host's statistics up to `now`.
   void decay(Host& host, Ms now) {
     if (now > host.decayed_at) decay_by(host, now - host.decayed_at, now);
   }
 
   // An attempt sent at `sent_at` was answered now.
   void record_answer(Host& host, Ms sent_at, Ms now);
-  // When the latest answered attempt at any host was sent.
+  // Latest send time of all answered attempts, at any host.
   Ms newest_answered_sent_at() const { return newest_answered_sent_at_; }
 
-  // A report of a host's load. Without any field, and if one was `required`, the host counts as fuller than
-  // the mean.
+  // Records a load report. If it is empty although a report was `required`, the host counts as more loaded
+  // than the mean.
   void record_load(Host& host, const LoadReport& report, bool required, Ms now);
-  // Requests waiting at a host: its last report, and the fleet's mean the older that is.
+  // Expected load of the host: its last report, which gives way to the fleet's mean as it ages.
   double expected_load(const Host& host, Ms now) const;
-  // Whether reports hold the number of requests that wait.
+  // Whether load reports contain the number of waiting requests.
   bool reports_queue_length() const;
 
  private:
--- a/src/admission/latency_statistics.cpp
+++ b/src/admission/latency_statistics.cpp
@@ -3,11 +3,11 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kClassGain = 0.025;      // least weight of one latency in its class's mean
+constexpr double kClassGain = 0.025;      // minimum weight of one latency in its class's mean
 constexpr double kHostGain = 0.2;         // weight in its host's mean
 constexpr double kKindGain = 0.05;        // weight in the mean of its host's kind
-constexpr double kSamples = 40;           // completions that make a mean
-constexpr Ms kUnloadedMemoryMs = 60'000;  // longer than a rush or a slowdown of hosts
+constexpr double kSamples = 40;           // completions that a mean is taken over
+constexpr Ms kUnloadedMemoryMs = 60'000;  // longer than load peaks and slowdowns of hosts last
 
 }  // namespace
 
@@ -27,7 +27,7 @@
   record_unloaded(latency, now);
 }
 
-// The unloaded latency follows the recent mean downwards at once and upwards slowly.
+// The unloaded latency follows the recent mean down immediately and up slowly.
 void LatencyStatistics::record_unloaded(Ms latency, Ms now) {
   recent_samples_ = std::min(recent_samples_ + 1, kSamples);
   recent_latency_ += (latency - recent_latency_) / recent_samples_;
--- a/src/admission/latency_statistics.h
+++ b/src/admission/latency_statistics.h
@@ -1,4 +1,4 @@
-// Mean latency of classes and host kinds, and of all requests while nothing queues.
+// Mean latency of classes and host kinds, and of all requests without queueing.
 #pragma once
 
 #include <map>
@@ -10,17 +10,17 @@
 
 class LatencyStatistics {
  public:
-  // Makes room for so many classes; what is known of the others stays.
+  // Sets the number of classes; the statistics of existing classes are kept.
   void resize(std::size_t class_count);
 
-  // A successful answer of a request of this class took `latency`.
+  // Records the latency of a successful request of this class.
   void record(Host& host, std::uint32_t class_index, Ms latency, Ms now);
 
   // Mean latency of a class, at least 1 ms.
   Ms class_latency(std::uint32_t class_index) const { return std::max(class_latency_[class_index], 1.0); }
-  // Mean latency of hosts of this kind against that of the class; 1 if not known.
+  // Mean latency of hosts of this kind relative to that of the class; 1 if unknown.
   double kind_relative_latency(std::uint32_t kind) { return kind_latency(kind); }
-  // Mean latency while nothing queues; 0 if not known.
+  // Mean latency without queueing; 0 if unknown.
   Ms unloaded_latency() const { return unloaded_latency_; }
 
   void export_to(HandoverSnapshot& snapshot) const;
--- a/src/admission/load_shedder.cpp
+++ b/src/admission/load_shedder.cpp
@@ -7,14 +7,14 @@
 
 constexpr double kUnitsGain = 0.1;          // weight of one request in its class's mean units
 constexpr double kLatencyGain = 0.05;       // weight of one latency in the mean
-constexpr double kOverloadedLatency = 0.5;  // mean latency against the objective
-constexpr double kPressedLatency = 0.18;    // expected mean latency against the shortest objective
-constexpr double kShedUtilization = 0.5;    // from here on requests are shed
-constexpr double kLargeFleetShedUtilization =
-    0.2;                                    // earlier, as requests beyond a quota are hard to find there
-constexpr double kMaxShedFraction = 0.85;   // the rest keeps the statistics up to date
-constexpr Ms kUtilizationMemoryMs = 300;    // smooths chance clusters of requests
-constexpr double kUtilizationSamples = 10;  // where requests are rare, memory is so many of them
+constexpr double kOverloadedLatency = 0.5;  // mean latency relative to the objective
+constexpr double kPressedLatency = 0.18;    // expected mean latency relative to the shortest objective
+constexpr double kShedUtilization = 0.5;    // requests are shed above this utilization
+// Lower in large fleets, where requests beyond a quota are hard to recognize.
+constexpr double kLargeFleetShedUtilization = 0.2;
+constexpr double kMaxShedFraction = 0.85;   // the remaining requests keep the statistics up to date
+constexpr Ms kUtilizationMemoryMs = 300;    // smooths out random clusters of requests
+constexpr double kUtilizationSamples = 10;  // minimum memory in requests, where requests are rare
 constexpr std::size_t kRankedRequests = 512;
 
 }  // namespace
@@ -28,7 +28,8 @@
   relative_latency_ += kLatencyGain * (latency / std::max(objective, 1.0) - relative_latency_);
 }
 
-// Limits are compared in sum: a sum of maxima over hosts that complete little would be mostly chance.
+// The minimum is applied to the sum of the limits. Applied to each host, it would add up the random maxima of
+// hosts with few completions and overestimate the capacity.
 void LoadShedder::measure_utilization(Ms now) {
   const Ms target_latency = parts_.limiter.target_latency();
   const double min_in_flight = parts_.limiter.min_in_flight();
@@ -83,8 +84,8 @@
   return shed;
 }
 
-// The part of the last requests' work that is of less value; 1 before the first request. Of work of equal
-// value the part `tie_breaker` counts.
+// Returns the fraction of the last requests' work that has a lower value; 1 before the first request. Work of
+// equal value counts with the fraction `tie_breaker`.
 double LoadShedder::rank(double value_per_work, double tie_breaker) const {
   double below = 0;
   double total = 0;
--- a/src/admission/load_shedder.h
+++ b/src/admission/load_shedder.h
@@ -1,4 +1,4 @@
-// Measures how loaded the hosts are, and sheds the requests of least value.
+// Measures the load of the hosts and sheds the requests of least value.
 #pragma once
 
 #include <deque>
@@ -11,7 +11,7 @@
 
 namespace cometfold::admission {
 
-// All referenced objects outlive this one.
+// All referenced objects must outlive this one.
 class LoadShedder {
  public:
   struct Parts {
@@ -29,20 +29,21 @@
   void on_settings_changed() { class_units_.resize(parts_.settings.classes.size(), 1); }
 
   void record_request(const Request& request);
-  // A request was answered in `latency` ms, against its latency objective in ms.
+  // Records the latency of an answered request and its latency objective, both in milliseconds.
   void record_latency(Ms latency, Ms objective);
-  // Measures the utilization when a request has come.
+  // Samples the utilization. Called when a request arrives.
   void measure_utilization(Ms now);
 
-  // Whether answers come too late on the whole, or the fleet rejects attempts.
+  // Whether the mean latency is too close to the objectives, or the fleet rejects attempts.
   bool is_overloaded() const;
-  // Whether hosts are so loaded that quotas bind: overloaded, or queueing takes a good part of the objective.
+  // Whether hosts are loaded enough to enforce quotas: the fleet is overloaded, or the expected latency takes
+  // a significant part of the objective.
   bool is_pressed() const;
 
-  // Host time that a unit of this class takes, in milliseconds.
+  // Host time per unit of this class, in milliseconds.
   double work_per_unit(std::uint32_t class_index) const;
-  // Whether to shed a request of this value for each ms of host time and this much host time (ms), by its
-  // rank among the last requests.
+  // Whether to shed a request, by its rank among the last requests. `value_per_work` is its value per ms of
+  // host time, `work` its host time in ms.
   bool should_shed(double value_per_work, double work);
 
  private:
@@ -56,8 +57,8 @@
   Parts parts_;
   std::vector<double> class_units_;          // mean units of a request, by class
   std::deque<RankedRequest> last_requests_;  // oldest first
-  double relative_latency_ = 0;              // mean latency against the objectives
-  double utilization_ = 0;                   // smoothed part of all limits in use
+  double relative_latency_ = 0;              // mean latency relative to the objectives
+  double utilization_ = 0;                   // smoothed fraction of the hosts' limits in use
   Ms request_interval_ = 0;                  // mean time between requests
   Ms measured_at_ = 0;
 };
--- a/src/admission/outlier_detector.cpp
+++ b/src/admission/outlier_detector.cpp
@@ -4,8 +4,8 @@
 namespace {
 
 constexpr double kFailureGain = 0.2;         // weight of one outcome in a host's failure rate
-constexpr double kMaxEjectedFraction = 0.5;  // of the hosts; where more fail, the cause is elsewhere
-constexpr Ms kMaxEjectionMs = 8000;          // each ejection is twice as long as the one before, up to this
+constexpr double kMaxEjectedFraction = 0.5;  // of the hosts; if more fail, the cause is elsewhere
+constexpr Ms kMaxEjectionMs = 8000;          // each ejection is twice as long as the previous one, up to this
 
 }  // namespace
 
--- a/src/admission/outlier_detector.h
+++ b/src/admission/outlier_detector.h
@@ -5,22 +5,23 @@
 
 namespace cometfold::admission {
 
-// The hosts outlive the object.
+// The hosts must outlive the object.
 class OutlierDetector {
  public:
   explicit OutlierDetector(HostTable& hosts) : hosts_(hosts) {}
 
-  // Records the outcome of an attempt; true if the host is ejected for it.
+  // Records the outcome of an attempt. Returns true if the host is ejected because of it.
   bool record(Host& host, bool failed, Ms now);
 
-  // After the ejection one attempt at a time is sent until the failure rate has fallen.
+  // After an ejection only one attempt at a time is sent until the failure rate has recovered.
   bool is_ejected(const Host& host, Ms now) const {
     if (now < host.ejected_until) return true;
     const bool on_trial = host.ejected_until > 0 && host.failure_rate > kRecoveredFailureRate;
     return on_trial && host.live_attempts() >= 1;
   }
 
-  // What another gateway knew of the host. `ejection_remaining`: not above the longest ejection.
+  // Restores the state that the predecessor handed over. `ejection_remaining` is limited to the maximum
+  // ejection time.
   void restore(Host& host, double failure_rate, Ms ejection_remaining, Ms now) const;
 
  private:
--- a/src/admission/overdue_detector.cpp
+++ b/src/admission/overdue_detector.cpp
@@ -3,8 +3,9 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kOverdueClassLatencies = 2;  // without an answer, while later attempts were answered
-constexpr double kFailedHostLatencies = 6;    // likewise, in mean latencies of the class at this host
+// Time without an answer, while later attempts were answered, after which an attempt is overdue or failed.
+constexpr double kOverdueClassLatencies = 2;  // in mean latencies of the class
+constexpr double kFailedHostLatencies = 6;    // in mean latencies of the class at this host, if slower
 
 }  // namespace
 
--- a/src/admission/overdue_detector.h
+++ b/src/admission/overdue_detector.h
@@ -1,4 +1,4 @@
-// Finds attempts whose answer will probably never come.
+// Detects attempts that will probably never be answered.
 #pragma once
 
 #include "admission/host_table.h"
@@ -7,15 +7,16 @@
 
 namespace cometfold::admission {
 
-// An attempt is overdue if attempts sent much later, to any host, were answered before it. It no longer
-// counts towards its host's limit, the load or the host's silence, which it would fill until its deadline;
-// later still it is a failure of its host. All referenced objects outlive this one.
+// An attempt is overdue if attempts that were sent much later, to any host, have already been answered. It no
+// longer counts towards its host's limit, load and silence, which it would otherwise affect until its
+// deadline. After a further delay it counts as a failure of its host. All referenced objects must outlive
+// this one.
 class OverdueDetector {
  public:
   OverdueDetector(HostTable& hosts, const LatencyStatistics& latency, const SlowStart& slow_start)
       : hosts_(hosts), latency_(latency), slow_start_(slow_start) {}
 
-  // Marks the attempt if it is overdue. True if it has just become a failure of its host.
+  // Marks the attempt if it is overdue. Returns true if it has just begun to count as a failure of its host.
   bool update(Attempt& attempt, const Request& request, Ms now) const;
 
  private:
--- a/src/admission/overload_statistics.cpp
+++ b/src/admission/overload_statistics.cpp
@@ -3,9 +3,9 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kFleetGain = 0.05;   // greatest weight of one attempt in the fleet's counts
-constexpr double kHostGain = 0.5;     // weight of one attempt in its host's rate: two in a row are no chance
-constexpr double kMinAttempts = 0.1;  // that a fraction is taken of
+constexpr double kFleetGain = 0.05;  // maximum weight of one attempt in the fleet's counts
+constexpr double kHostGain = 0.5;  // weight of one attempt in its host's rate; two rejections are significant
+constexpr double kMinAttempts = 0.1;  // lower bound of the denominator of a fraction
 
 }  // namespace
 
@@ -16,8 +16,9 @@
   for (auto& [id, host] : hosts_) host.rejection_rates.clear();
 }
 
-// A host that rejects repeatedly, as one that drains unknown to this gateway, says nothing of the fleet.
-// Where hosts report their queues, one without a queue is not overloaded.
+// Repeated rejections by the same host count less, because they say nothing about the fleet: the host may be
+// draining without this gateway knowing. Where hosts report their queues, a host without one is not
+// overloaded.
 void OverloadStatistics::record(Host& host, const Request& request, bool rejected, Ms now) {
   host.rejection_rates.resize(counts_.size());
   const double queueing = hosts_.reports_queue_length() ? std::min(1.0, hosts_.expected_load(host, now)) : 1;
--- a/src/admission/overload_statistics.h
+++ b/src/admission/overload_statistics.h
@@ -1,4 +1,4 @@
-// How often hosts reject attempts as overloaded, by plan and by class.
+// Rates at which hosts reject attempts as overloaded, by plan and by class.
 #pragma once
 
 #include <vector>
@@ -7,24 +7,24 @@
 
 namespace cometfold::admission {
 
-// A host with free capacity may reject one plan or one class only. So a host counts as overloaded for a
-// request by the lower rate of its plan and its class, and the fleet without the plan or class that is
-// rejected most. All referenced objects outlive this one.
+// A host with free capacity may reject a single plan or class. Therefore the rejection rate of a host for a
+// request is the lower one of its plan and its class, and that of the fleet leaves out the plan or class with
+// the most rejections. All referenced objects must outlive this one.
 class OverloadStatistics {
  public:
-  // Above it the fleet is overloaded.
+  // The fleet is overloaded above this rejection fraction.
   static constexpr double kOverloadedFraction = 0.1;
 
   OverloadStatistics(const AdmissionSettings& settings, HostTable& hosts)
       : settings_(settings), hosts_(hosts) {}
 
-  // Counts start anew where the number of plans or classes has changed.
+  // Resets all counts if the number of plans or classes has changed.
   void on_settings_changed();
 
   // Records whether the host rejected an attempt of this request.
   void record(Host& host, const Request& request, bool rejected, Ms now);
 
-  // Recent rejection rate of the host for such requests, in [0, 1].
+  // Recent rejection rate of the host for requests of this plan and class, in [0, 1].
   double rejection_rate(const Host& host, const Request& request) const {
     if (host.rejection_rates.empty()) return 0;
     return std::min(host.rejection_rates[request.plan_index],
--- a/src/admission/pending_request.h
+++ b/src/admission/pending_request.h
@@ -1,4 +1,4 @@
-// A request that has no final answer yet, or attempts in flight, and its attempts.
+// A request that has not been answered or has attempts in flight, and its attempts.
 #pragma once
 
 #include <vector>
@@ -8,7 +8,7 @@
 
 namespace cometfold::admission {
 
-// The fields that attempt_rules.h names are under its names.
+// Has the members that attempt_rules.h requires.
 struct Attempt {
   HostId host = 0;
   Ms sent = 0;
@@ -19,17 +19,17 @@
   bool cancelled = false;
   bool overdue = false;    // see OverdueDetector
   bool failed = false;     // overdue for so long that it counts as a failure of its host
-  bool streaming = false;  // its long value is coming: it counts at its host no more
+  bool streaming = false;  // its response is being streamed; no longer counted as in flight at its host
 };
 
 struct PendingRequest {
   Request request;
-  ClassSettings terms;  // of its class when it came: later settings are for later requests
+  ClassSettings terms;  // of its class at its arrival; later settings apply to later requests
   Ms arrived_at = 0;
   bool within_quota = false;
-  bool charged = false;    // its units were taken: it was sent at least once
-  bool answered = false;   // has its final answer; kept until its attempts have ended
-  bool streaming = false;  // a long value is coming from one of its attempts
+  bool charged = false;    // its units were taken when its first attempt was sent
+  bool answered = false;   // answered or given up; kept until its attempts have ended
+  bool streaming = false;  // the response to one of its attempts is being streamed
   std::vector<Attempt> attempts;
 
   bool was_sent_to(HostId host) const {
@@ -44,11 +44,11 @@
     return std::all_of(attempts.begin(), attempts.end(),
                        [](const Attempt& attempt) { return attempt.never_sent; });
   }
-  // Latency that counts as good, in milliseconds.
+  // Latency up to which an answer has its full value, in milliseconds.
   Ms latency_objective() const {
     return terms.latency_objective_ms > 0 ? terms.latency_objective_ms : terms.deadline_ms;
   }
-  // After it an answer has no value.
+  // Time after which an answer has no value.
   Ms value_ends_at() const {
     const Ms objective_at = terms.late_value_fraction > 0 ? kInfiniteMs : arrived_at + latency_objective();
     return std::min(objective_at, request.expires_at);
--- a/src/admission/quota_overrun_estimator.cpp
+++ b/src/admission/quota_overrun_estimator.cpp
@@ -6,19 +6,19 @@
 namespace {
 
 constexpr double kRequestUnitsGain = 0.025;    // weight of one request in the mean
-constexpr double kDemandMemoryRequests = 8;    // that a slice lets expect within the memory
+constexpr double kDemandMemoryRequests = 8;    // units to expect from a slice within the memory
 constexpr Ms kMinDemandMemoryMs = 1500;        // shorter than customers take to move between gateways
-constexpr Ms kMaxDemandMemoryMs = 60'000;      // idle customers are evicted after it
-constexpr double kPriorRequests = 0.4;         // of a usual customer, counted before any is seen
-constexpr double kPriorDemandSlices = 1.25;    // demand, in slices, of the customer of a random request
-constexpr double kBaseSkewSlices = 1.5;        // of two: as likely a heavy customer as an uneven spread
-constexpr double kSkewSlicesPerGateway = 0.3;  // more for each gateway beyond two
-constexpr double kMaxSkewGateways = 4;         // beyond it, unevenness grows no further
-constexpr double kSparseSkewSlices = 4;        // more for sparse customers, half of them at:
-constexpr double kSparseHalfRequests = 3;      // requests to be expected
-constexpr Ms kSparseSkewMs = 15'000;           // observed for longer, unevenness averages out
+constexpr Ms kMaxDemandMemoryMs = 60'000;      // idle customers are evicted after this time
+constexpr double kPriorRequests = 0.4;         // weight of the prior, in requests
+constexpr double kPriorDemandSlices = 1.25;    // prior demand in slices: that of a random request's customer
+constexpr double kBaseSkewSlices = 1.5;        // base skew tolerance, which is that of two gateways
+constexpr double kSkewSlicesPerGateway = 0.3;  // added for each further gateway
+constexpr double kMaxSkewGateways = 4;         // the tolerance does not grow beyond this many gateways
+constexpr double kSparseSkewSlices = 4;        // added for sparse customers, if many requests are expected
+constexpr double kSparseHalfRequests = 3;      // expected requests for which half of it is added
+constexpr Ms kSparseSkewMs = 15'000;           // over longer observation times skew averages out
 constexpr double kMinAdmissionProbability = 0.35;
-constexpr double kOverrunCostPerRetry = 2;  // cost of an overrun grows by so much where all clients retry
+constexpr double kOverrunCostPerRetry = 2;  // relative increase of an overrun's cost if all clients retry
 
 }  // namespace
 
@@ -44,7 +44,8 @@
   return std::max(kTickIntervalMs, memory * (1 - decay_factor(age, memory)));
 }
 
-// Slices of demand at which a customer is as likely beyond its quota as unevenly spread over its gateways.
+// Demand in slices at which a customer is as likely to exceed its quota as to be unevenly spread over its
+// gateways.
 double QuotaOverrunEstimator::skew_tolerance(const Customer& customer, const Request& request, Ms age) const {
   if (!is_sparse(customer, request)) {
     return kBaseSkewSlices +
--- a/src/admission/random_source.h
+++ b/src/admission/random_source.h
@@ -1,4 +1,4 @@
-// The controller's random numbers: one seeded sequence, so that equal events and seeds give equal decisions.
+// The controller's random number generator: one seeded sequence, so that decisions are reproducible.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
  public:
   explicit RandomSource(std::uint64_t seed) : engine_(seed) {}
 
-  // Uniform in [0, 1), from the 53 high bits of one draw.
+  // Returns a uniform number in [0, 1), from the 53 high bits of one draw.
   double uniform() { return static_cast<double>(engine_() >> 11) * 0x1.0p-53; }
 
  private:
--- a/src/admission/request_handling.cpp
+++ b/src/admission/request_handling.cpp
@@ -1,4 +1,4 @@
-// A request's way through the controller: admission, sends, retries and its final answer.
+// Handling of requests: admission, sends, retries, hedging and final answers.
 #include "admission/controller_impl.h"
 
 namespace cometfold {
@@ -9,7 +9,7 @@
 using admission::kInfiniteMs;
 using admission::QuotaOverrunEstimator;
 
-constexpr double kReturnWindowFactor = 1.5;  // clients retry within so many times the longest Retry-After
+constexpr double kReturnWindowFactor = 1.5;  // clients retry within this multiple of the maximum Retry-After
 
 }  // namespace
 
@@ -87,8 +87,8 @@
                     beyond_quota ? RejectionReason::kOverQuota : *exceeded}};
 }
 
-// Whether hosts are so loaded that a request beyond its slice is rejected. A slice that is too small to judge
-// a customer by binds later.
+// Whether hosts are loaded enough to reject requests beyond their slice. For slices that are too small to
+// judge a customer by, this takes a higher load.
 bool AdmissionController::Impl::is_quota_binding(const Customer& customer, const Request& request) const {
   return QuotaOverrunEstimator::is_sparse(customer, request) ? shedder_.is_overloaded()
                                                              : shedder_.is_pressed();
@@ -135,7 +135,8 @@
   schedule_next_check(pending, out);
 }
 
-// Hedges the request, or else cancels its attempt, whose end brings the retry.
+// Hedges the request, or cancels its attempt if it may not be hedged. The end of the attempt then triggers
+// the retry.
 void AdmissionController::Impl::retry_slow_attempt(PendingRequest& pending, ActionSink& out) {
   if (retries_.may_hedge_request(pending)) {
     send_retry(pending, out);
@@ -150,8 +151,8 @@
   out.schedule_timer(retries_.next_check_after(pending, now_), pending.request.id);
 }
 
-// Rejects the request if it surely had no effect, and fails it otherwise. Erases it if no attempt is in
-// flight.
+// Rejects the request if the client may safely retry it, and fails it otherwise. Erases it if no attempt is
+// in flight.
 void AdmissionController::Impl::give_up(PendingRequest& pending, const Rejection& rejection,
                                         ActionSink& out) {
   if (pending.answered) return;
@@ -168,7 +169,7 @@
   erase_if_done(id);
 }
 
-// Spread over half the longest Retry-After, so that rejected clients do not return all at once.
+// Random in the upper half of the maximum Retry-After, so that rejected clients do not all return at once.
 Ms AdmissionController::Impl::random_retry_after() {
   return settings_.max_retry_after_ms * (0.5 + random_.uniform() / 2);
 }
@@ -185,7 +186,7 @@
   for (std::uint32_t i = 0; i < pending.attempts.size(); ++i) cancel_attempt(pending, i, out);
 }
 
-// A request that was never sent costs its customer nothing.
+// Erases the request if it is answered and no attempt is in flight. Refunds its units if it was never sent.
 void AdmissionController::Impl::erase_if_done(RequestId id) {
   const auto entry = requests_.locate(id);
   if (entry == requests_.end()) return;
--- a/src/admission/request_table.h
+++ b/src/admission/request_table.h
@@ -1,4 +1,4 @@
-// The pending requests of this gateway by their ids.
+// The pending requests of this gateway, by id.
 #pragma once
 
 #include <map>
@@ -7,15 +7,15 @@
 
 namespace cometfold::admission {
 
-// References hold until the request is erased.
+// References are valid until the request is erased.
 class RequestTable {
  public:
   using Map = std::map<RequestId, PendingRequest>;
 
-  // Null if no such request is pending.
+  // Returns null if no such request is pending.
   PendingRequest* find(RequestId id);
   PendingRequest& insert(const Request& request, const ClassSettings& terms, Ms now);
-  // The entry to erase; `end()` if no such request is pending.
+  // Returns the entry for `erase`, or `end()` if no such request is pending.
   Map::iterator locate(RequestId id) { return requests_.find(id); }
   void erase(Map::iterator entry) { requests_.erase(entry); }
 
--- a/src/admission/retry_budget.h
+++ b/src/admission/retry_budget.h
@@ -1,4 +1,4 @@
-// Limits retries and hedged requests to a part of the first attempts.
+// Limits retries and hedged requests to a fraction of the first attempts.
 #pragma once
 
 #include <algorithm>
@@ -10,7 +10,7 @@
   bool has_retry() const { return retries_ >= 1; }
   void on_first_attempt() { retries_ = std::min(retries_ + kRetriesPerFirstAttempt, kMaxRetries); }
   void on_retry() { retries_ -= 1; }
-  // An attempt was never executed, so its retry adds no work.
+  // An attempt was never executed, so its retry is not charged.
   void refund_retry() { retries_ += 1; }
 
  private:
--- a/src/admission/retry_observer.cpp
+++ b/src/admission/retry_observer.cpp
@@ -4,9 +4,9 @@
 namespace {
 
 constexpr Ms kMemoryMs = 60'000;
-constexpr double kSameGatewayFraction = 0.37;  // of the retries, which a load balancer spreads over gateways
-constexpr double kPriorRetryFraction = 0.3;    // before any first request was seen
-constexpr double kPriorSamples = 6;            // first requests that the prior counts for
+constexpr double kSameGatewayFraction = 0.37;  // of retries, as a load balancer spreads them over gateways
+constexpr double kPriorRetryFraction = 0.3;    // estimate before any first request was counted
+constexpr double kPriorSamples = 6;            // weight of the prior, in first requests
 
 }  // namespace
 
--- a/src/admission/retry_observer.h
+++ b/src/admission/retry_observer.h
@@ -1,30 +1,30 @@
-// Estimates which part of the rejected clients send their request again.
+// Estimates the fraction of rejected clients that retry.
 #pragma once
 
 #include "admission/numeric.h"
 
 namespace cometfold::admission {
 
-// Counts customers that send a request after a pause, by whether that first request was admitted, and how
-// many of them come back soon. Customers that come back for other reasons do so after an admission too; the
-// difference is what rejections cause.
+// Counts the first requests of customers after a pause, separately for admitted and rejected ones, and how
+// many of these customers send another request soon. Customers that do so for other reasons also do so after
+// an admission, so the difference is caused by rejections.
 class RetryObserver {
  public:
-  // The last counted first request of a customer; kept with the customer.
+  // A customer's last first request that was counted; stored with the customer.
   struct FirstRequest {
     Ms at = -kInfiniteMs;
     bool admitted = false;
   };
 
-  // A request of the customer has come. `starts_sequence`: it is the first in a while, and no retry.
-  // `return_window_ms`: clients that retry do so within it.
+  // A request of the customer has arrived. `starts_sequence`: it is the first after a pause and not a retry.
+  // `return_window_ms`: time in which clients retry.
   void on_request(FirstRequest& first, bool starts_sequence, Ms return_window_ms, Ms now);
-  // The request that has come at `now` was admitted.
+  // The request that arrived at `now` was admitted.
   void on_admitted(FirstRequest& first, Ms now);
-  // One tick's decay.
+  // Applies the decay of one tick.
   void on_tick();
 
-  // The part of rejected clients that retry at any gateway, in [0, 1].
+  // Fraction of the rejected clients that retry at any gateway, in [0, 1].
   double retry_fraction() const;
 
  private:
--- a/src/admission/retry_policy.cpp
+++ b/src/admission/retry_policy.cpp
@@ -3,9 +3,10 @@
 namespace cometfold::admission {
 namespace {
 
-constexpr double kRetryDelayClassLatencies = 8;  // another attempt is sent after so many mean latencies,
-constexpr double kRetryDelayObjectives = 0.6;    // and after this part of the latency objective
-constexpr double kWorthwhileFraction = 0.9;      // of a request's time: a retry after it comes too late
+// The retry delay is the longer one of these two.
+constexpr double kRetryDelayClassLatencies = 8;  // in mean latencies of the class
+constexpr double kRetryDelayObjectives = 0.6;    // as a fraction of the latency objective
+constexpr double kWorthwhileFraction = 0.9;      // of the time in which answers have value; later is too late
 
 }  // namespace
 
--- a/src/admission/slow_start.cpp
+++ b/src/admission/slow_start.cpp
@@ -3,7 +3,8 @@
 namespace cometfold::admission {
 namespace {
 
-// Of what a host that warms up can serve; the rest allows for errors and chance.
+// Fraction of a warming-up host's capacity that is used; the rest allows for estimation errors and
+// randomness.
 constexpr double kSafetyFactor = 0.6;
 
 }  // namespace
@@ -29,8 +30,8 @@
   return fleet;
 }
 
-// A warm host's part of the sends. Where many hosts warm up, the warm ones get more than an even part of what
-// is sent, so their completions count where they are more.
+// A warm host's share of the sends. Where many hosts are warming up, each warm one receives more than an
+// equal share, so its share of the completions is used if that is higher.
 double SlowStart::even_fraction(const FleetSummary& fleet) const {
   const double even = 1 / fleet.usable_hosts;
   if (fleet.warm_hosts <= 0 || send_rate_ <= 0) return even;
--- a/src/admission/slow_start.h
+++ b/src/admission/slow_start.h
@@ -1,4 +1,4 @@
-// Slow start: hosts that have just started get a part of the requests that grows with their age.
+// Slow start: hosts that have just started receive a share of the requests that grows with their age.
 #pragma once
 
 #include "admission/host_table.h"
@@ -6,10 +6,11 @@
 
 namespace cometfold::admission {
 
-// Each send draws which host that warms up may get it, if any. A whole number of attempts for each gateway
-// would add up to hundreds over all of them, whereas chances add up to each host's part. One draw serves all
-// hosts that warm up, so that no two get the same send, and the selected one goes first, as by cost it would
-// come after the others. The settings outlive the object.
+// For each send, one random draw selects the warming-up host that may receive it, if any. A limit in whole
+// attempts per gateway would add up to hundreds over all gateways, whereas probabilities add up to each
+// host's share. A single draw for all warming-up hosts ensures that no two are selected for the same send.
+// The selected host takes precedence, as it would lose to the others by cost. The settings must outlive the
+// object.
 class SlowStart {
  public:
   explicit SlowStart(const AdmissionSettings& settings) : settings_(settings) {}
@@ -17,10 +18,10 @@
   bool is_warming_up(const Host& host, Ms now) const {
     return host.entry.started_at > 0 && now - host.entry.started_at < settings_.slow_start_duration_ms;
   }
-  // What the host can serve against a warm one, in (0, 1].
+  // Capacity of the host relative to a warm one, in [0, 1].
   double weight(const Host& host, Ms now) const;
 
-  // The host that warms up and may get the next send, null if none may.
+  // Selects the warming-up host that may receive the next send; null if none may.
   const Host* select(HostTable& hosts, RandomSource& random, Ms now) const;
 
   void record_send(Ms now);
@@ -30,13 +31,13 @@
     double usable_hosts = 0;
     double warm_hosts = 0;
     double total_weight = 0;
-    double warm_completion_rate = 0;  // a second, through this gateway
+    double warm_completion_rate = 0;  // per second, through this gateway
   };
   FleetSummary summarize(HostTable& hosts, Ms now) const;
   double even_fraction(const FleetSummary& fleet) const;
 
   const AdmissionSettings& settings_;
-  double send_rate_ = 0;  // attempts a second
+  double send_rate_ = 0;  // attempts per second
   Ms sent_at_ = 0;
 };
 
--- a/src/admission/throttled_log.h
+++ b/src/admission/throttled_log.h
@@ -1,4 +1,4 @@
-// Passes each remark on at most once in a while.
+// Rate-limits log messages: repetitions of a message within a short interval are dropped.
 #pragma once
 
 #include <functional>
--- a/src/admission/token_bucket.h
+++ b/src/admission/token_bucket.h
@@ -5,8 +5,8 @@
 
 namespace cometfold::admission {
 
-// Holds at most `capacity` units and gains `rate` units a second. A request larger than the capacity passes a
-// full bucket and leaves it in debt, which the next refills pay back.
+// Holds at most `capacity` units and is refilled with `rate` units per second. A request larger than the
+// capacity is served by a full bucket and leaves it in debt, which later refills pay back.
 class TokenBucket {
  public:
   TokenBucket() = default;
@@ -14,7 +14,7 @@
   TokenBucket(double capacity, double rate, Ms now)
       : capacity_(capacity), rate_(rate), tokens_(capacity), refilled_at_(now) {}
 
-  // Empty of capacity, and full at whatever capacity `resize` gives it.
+  // Has no capacity yet and is full at the capacity that the first `resize` sets.
   static TokenBucket initially_full() {
     TokenBucket bucket;
     bucket.tokens_ = kInfiniteMs;
@@ -22,12 +22,12 @@
   }
 
   void refill(Ms now);
-  // Refills at the old rate, then sets capacity (units) and rate (units a second); tokens above the capacity
-  // go.
+  // Refills at the old rate, then sets capacity (units) and rate (units per second). Tokens above the new
+  // capacity are dropped.
   void resize(double capacity, double rate, Ms now);
-  // The rate from the last refill on, in units a second.
+  // Sets the rate from the last refill on, in units per second.
   void set_rate(double rate) { rate_ = rate; }
-  // At most the capacity is set; negative is debt.
+  // Sets the level, up to the capacity; a negative level is debt.
   void set_tokens(double tokens) { tokens_ = std::min(capacity_, tokens); }
   void scale_tokens(double factor) { tokens_ *= factor; }
 
@@ -39,10 +39,10 @@
   void take(double units) { tokens_ -= units; }
   // Returns units, up to the capacity; a negative number takes them.
   void put_back(double units) { tokens_ = std::min(capacity_, tokens_ + units); }
-  // Time until `units` are there, in milliseconds; negative if they are, infinite without a rate.
+  // Time until `units` are available, in milliseconds; not positive if they are, infinite without a rate.
   Ms wait_for(double units) const { return rate_ > 0 ? (units - tokens_) / rate_ * 1000 : kInfiniteMs; }
 
-  // Refills, keeps `retained_fraction` of the tokens and returns the rest. Debt is returned as a whole.
+  // Refills, retains `retained_fraction` of the tokens and returns the rest. Debt is returned in full.
   double split_off(double retained_fraction, Ms now);
 
   double capacity() const { return capacity_; }
