--- a/adapter/action_encoder.cpp
+++ b/adapter/action_encoder.cpp
@@ -5,7 +5,7 @@
 namespace cometfold::wire {
 namespace {
 
-// Codes of action records, with the wire's words.
+// Codes of action records, with their names in the wire protocol.
 enum ActionCode : std::uint8_t {
   kSend = 64,             // Relay
   kReject = 65,           // SayNo
--- a/adapter/action_encoder.h
+++ b/adapter/action_encoder.h
@@ -1,4 +1,4 @@
-// The actions of all instances as one reply on the simulator's wire.
+// Encodes the actions of all instances as one reply of the simulator's wire protocol.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class ActionEncoder {
  public:
-  // Encodes the actions of one instance. The encoder outlives the sink.
+  // Encodes the actions of one instance. The encoder must outlive the sink.
   class Sink : public ActionSink {
    public:
     Sink(ActionEncoder& encoder, std::uint32_t instance) : encoder_(encoder), instance_(instance) {}
@@ -33,12 +33,12 @@
     std::uint32_t instance_;
   };
 
-  // The reply: header, records and tail.
+  // Returns the reply: header, records and tail.
   std::string finish() const;
 
  private:
-  // A new record of this code, after one that selects the instance if the last record was another's. Valid
-  // until the next call.
+  // Appends a record with this code, preceded by one that selects the instance if the last record belongs to
+  // another. The returned pointer is valid until the next call.
   unsigned char* add_record(std::uint32_t instance, std::uint8_t code);
 
   std::string records_;
--- a/adapter/event_decoder.cpp
+++ b/adapter/event_decoder.cpp
@@ -14,7 +14,7 @@
   Outcome outcome;
 };
 constexpr std::uint16_t kOkCode = 100;
-// Other codes are errors.
+// All other codes are decoded as Outcome::kError.
 constexpr OutcomeCode kOutcomeCodes[] = {
     {kOkCode, Outcome::kOk},        {302, Outcome::kOverloaded},     {303, Outcome::kTimedOut},
     {304, Outcome::kConnectFailed}, {305, Outcome::kConnectionLost}, {306, Outcome::kCancelled},
@@ -61,7 +61,8 @@
     throw WireError("batch header", "wrong length", "set the length to that of the whole batch");
   }
   if (event_count > (frame.size() - kBatchHeaderSize) / kEventSize) {
-    throw WireError("batch", "more records than bytes", "set the count to the number of event records");
+    throw WireError("batch", "more records than fit into its length",
+                    "set the count to the number of event records");
   }
   const std::size_t records_size = event_count * kEventSize;
   return {.now = now,
@@ -88,7 +89,8 @@
 
 Bytes EventRecord::tail_part(std::uint32_t offset, std::uint64_t length, const char* where) const {
   if (offset > tail_.size() || length > tail_.size() - offset) {
-    throw WireError(where, "tail offset or length out of bounds", "point into the batch's tail");
+    throw WireError(where, "tail offset or length out of bounds",
+                    "make offset and length refer to bytes of the batch's tail");
   }
   return tail_.subspan(offset, length);
 }
@@ -146,7 +148,7 @@
   return result;
 }
 
-// A count and so many numbers, in the order of the settings' fields.
+// Reads a count and that many numbers, in the order of the load report fields in the settings.
 LoadReport EventRecord::load_report(std::size_t offset, std::span<const LoadField> fields) const {
   LoadReport report;
   const std::size_t count =
--- a/adapter/event_decoder.h
+++ b/adapter/event_decoder.h
@@ -1,4 +1,4 @@
-// The events of the simulator's wire: record layouts and codes. Offsets are those of the wire page.
+// Decodes the events of the simulator's wire protocol. Layouts and offsets are those of its specification.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 inline constexpr std::size_t kEventSize = 48;
 inline constexpr std::size_t kHostEntrySize = 23;
 
-// Codes of event records, with the wire's words.
+// Codes of event records, with their names in the wire protocol.
 enum class EventCode : std::uint8_t {
   kHealthCheckEnd = 0,      // PingResult
   kRequest = 1,             // JobIn
@@ -29,18 +29,18 @@
   kHostList = 12,           // List
 };
 
-// The header of a batch, its event records, and the tail that they point into.
+// A batch: the fields of its header, its event records, and the tail that they refer to.
 struct Batch {
   double now = 0;  // milliseconds
   std::size_t event_count = 0;
   Bytes records;
   Bytes tail;
 };
-// Throws WireError if the header does not fit the frame.
+// Throws WireError if the header does not match the frame's size.
 Batch read_batch(Bytes frame);
 
-// One event record. The functions are for the codes in their names; strings and lists are read from the
-// batch's tail.
+// One event record. Each function decodes the kind of event that it is named after and must be called for
+// that code only. Strings and lists are read from the batch's tail.
 class EventRecord {
  public:
   EventRecord(Bytes record, Bytes tail) : record_(record), tail_(tail) {}
@@ -98,7 +98,7 @@
   Bytes tail_;
 };
 
-// The entries of a host list.
+// Decodes the entries of a host list.
 std::vector<HostEntry> read_host_entries(Bytes bytes);
 
 }  // namespace cometfold::wire
--- a/adapter/gateway_instances.cpp
+++ b/adapter/gateway_instances.cpp
@@ -53,7 +53,7 @@
       instances_.erase(it);
       return;
     default:
-      return;  // events of later versions of the wire are skipped
+      return;  // skips events of later protocol versions
   }
 }
 
@@ -73,7 +73,8 @@
   }
   const auto list = host_lists_.find(update.list_number);
   if (list == host_lists_.end()) {
-    throw WireError("membership", "unknown list", "send the numbered list before the event that names it");
+    throw WireError("host list update", "unknown list number",
+                    "send the list before an update that refers to it");
   }
   instance.controller.on_host_list(now, update.kind, list->second, out);
 }
--- a/adapter/gateway_instances.h
+++ b/adapter/gateway_instances.h
@@ -1,4 +1,4 @@
-// The gateways that the simulator plays in this process, each with its decision module.
+// The gateways that the simulator runs in this process, each with its own decision module.
 #pragma once
 
 #include <cstdint>
@@ -11,17 +11,17 @@
 
 namespace cometfold::wire {
 
-// The instances share nothing but the numbered host lists of the wire.
+// Instances share nothing but the numbered host lists.
 class GatewayInstances {
  public:
-  // Passes the events of one batch on to the instances and returns the reply. Throws WireError if the batch
-  // cannot be read; events before the fault have been passed on then.
+  // Dispatches the events of one batch to the instances and returns the reply. Throws WireError if the batch
+  // is malformed; events before the malformed one have been handled by then.
   std::string handle_batch(Bytes frame);
 
  private:
   struct Instance {
     AdmissionController controller;
-    std::vector<LoadField> load_fields;  // of the load reports, in their order
+    std::vector<LoadField> load_fields;  // of its load reports, in their order on the wire
   };
 
   void handle_event(const EventRecord& event, std::uint32_t id, Ms now, ActionEncoder& encoder);
@@ -29,7 +29,7 @@
   void update_hosts(const EventRecord& event, Instance& instance, Ms now, ActionSink& out) const;
 
   std::map<std::uint32_t, Instance> instances_;
-  std::map<std::uint16_t, std::vector<HostEntry>> host_lists_;  // by their numbers
+  std::map<std::uint16_t, std::vector<HostEntry>> host_lists_;  // by number
 };
 
 }  // namespace cometfold::wire
--- a/adapter/main.cpp
+++ b/adapter/main.cpp
@@ -1,4 +1,4 @@
-// Reads batches of events from standard input and writes one reply for each to standard output.
+// Reads batches of events from standard input and writes a reply to each to standard output.
 #include <cstdint>
 #include <cstdio>
 #include <cstring>
@@ -13,31 +13,32 @@
 using cometfold::wire::kBatchHeaderSize;
 using cometfold::wire::WireError;
 
-// The next batch with its header; nothing at the end of the input.
+// Returns the next batch including its header, or nothing at the end of the input.
 std::optional<std::vector<unsigned char>> read_frame(std::FILE* input) {
   std::vector<unsigned char> frame(kBatchHeaderSize);
   const std::size_t header_size = std::fread(frame.data(), 1, kBatchHeaderSize, input);
   if (header_size == 0) return {};
   if (header_size < kBatchHeaderSize) {
-    throw WireError("batch header", "input ends inside it", "send whole batches");
+    throw WireError("batch header", "unexpected end of input", "send complete batches");
   }
   std::uint32_t size = 0;
   std::memcpy(&size, frame.data(), sizeof size);
   if (size < kBatchHeaderSize) {
-    throw WireError("batch header", "length below the header's own",
+    throw WireError("batch header", "length is less than that of the header",
                     "set the length to that of the whole batch");
   }
   frame.resize(size);
   const std::size_t body_size = size - kBatchHeaderSize;
   if (std::fread(frame.data() + kBatchHeaderSize, 1, body_size, input) < body_size) {
-    throw WireError("batch", "input ends inside it", "send whole batches");
+    throw WireError("batch", "unexpected end of input", "send complete batches");
   }
   return frame;
 }
 
 void write_reply(const std::string& reply, std::FILE* output) {
   if (std::fwrite(reply.data(), 1, reply.size(), output) < reply.size() || std::fflush(output) != 0) {
-    throw WireError("reply", "output closed", "read replies until the input ends");
+    throw WireError("reply", "cannot be written to standard output",
+                    "read replies until the end of the input");
   }
 }
 
--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -11,7 +11,8 @@
 
 constexpr double kMaxIndex = 65536;  // classes, plans and zones have 16 bits on the wire
 
-// The words of the settings and what they mean to the module. Numbers are read in this order.
+// Names in the platform's settings and the module's values or members that they stand for. Numbers are read
+// in this order.
 template <class Value>
 struct Word {
   std::string_view word;
@@ -110,7 +111,7 @@
     }
     return static_cast<std::uint32_t>(value);
   }
-  // Reads the numbers of one object, whose keys begin with `prefix`.
+  // Reads the numbers of one object, whose keys start with `prefix`.
   template <class Settings, std::size_t kCount>
   void read_numbers(const Word<double Settings::*> (&words)[kCount], const std::string& prefix,
                     Settings& settings) const {
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -1,5 +1,6 @@
-// Reads the platform's settings of the decision module: from lines on the simulator's wire, or from a
-// gateway's configuration in JSON, both as pairs of a dotted path and a text. Unknown keys are ignored.
+// Reads the platform's settings for the decision module, either from lines sent by the simulator or from a
+// gateway's JSON configuration. Both are passed as pairs of a dotted path and a value. Unknown keys are
+// ignored.
 #pragma once
 
 #include <map>
@@ -11,15 +12,15 @@
 
 namespace cometfold::wire {
 
-// Values by path. Lists of objects are at `path.count` and `path.0.key`; lists of plain values are joined by
-// commas.
+// Values by path. Lists of objects are stored as `path.count`, `path.0.key` and so on; lists of plain values
+// are joined by commas.
 using Pairs = std::map<std::string, std::string, std::less<>>;
 
-// Settings without a value keep their default. Throws WireError if a value is not a number, or out of range.
+// Settings without a value keep their defaults. Throws WireError if a value is not a number or out of range.
 AdmissionSettings read_settings(const Pairs& values);
-// The same from one `path=value` a line; other lines are ignored.
+// Reads the same from lines of the form `path=value`; other lines are ignored.
 AdmissionSettings read_settings(std::string_view text);
-// kOther if the module does not know the field.
+// Returns kOther for fields that the module does not use.
 LoadField load_field(std::string_view word);
 
 }  // namespace cometfold::wire
--- a/adapter/wire_error.h
+++ b/adapter/wire_error.h
@@ -1,4 +1,4 @@
-// The error of input from the simulator's wire or the platform's settings that cannot be read.
+// The exception for malformed input from the simulator or in the platform's settings.
 #pragma once
 
 #include <stdexcept>
@@ -9,8 +9,8 @@
 // `what()` is "where: problem".
 class WireError : public std::runtime_error {
  public:
-  // `where`: the part of the input, such as "batch header". `problem`: what is wrong with it. `remedy`: what
-  // the sender of the input has to do.
+  // `where`: the part of the input, such as "batch header". `problem`: what is wrong with it. `remedy`: how
+  // the sender can fix it.
   WireError(const std::string& where, const std::string& problem, std::string remedy)
       : std::runtime_error(where + ": " + problem),
         where_(where),
--- a/tests/admission/concurrency_limiter_test.cpp
+++ b/tests/admission/concurrency_limiter_test.cpp
@@ -21,7 +21,7 @@
 
 TEST(ConcurrencyLimiter, TheTargetLatencyIsBoundedByTheShortestObjective) {
   AdmissionSettings settings = HostParts::default_settings();
-  settings.classes[1].latency_objective_ms = 0;  // its deadline of 4 s counts
+  settings.classes[1].latency_objective_ms = 0;  // its deadline of 4 s is used instead
   HostParts parts(settings);
   EXPECT_EQ(parts.limiter.shortest_objective(), 1000);
   EXPECT_DOUBLE_EQ(parts.limiter.target_latency(), 300);
@@ -73,7 +73,7 @@
   EXPECT_EQ(limit_of(parts, 1, 20'000), 5);
   parts.limiter.record_send(host, 20'000);
   EXPECT_EQ(limit_of(parts, 1, 20'000), 31);
-  EXPECT_EQ(limit_of(parts, 1, 20'300), 5) << "for the target latency only";
+  EXPECT_EQ(limit_of(parts, 1, 20'300), 5) << "the proven rate is used for the target latency only";
 }
 
 }  // namespace
--- a/tests/admission/customer_quotas_test.cpp
+++ b/tests/admission/customer_quotas_test.cpp
@@ -5,7 +5,7 @@
 namespace cometfold::admission {
 namespace {
 
-// Two classes; a quota of 10 units a second and a ceiling of 20, over two gateways.
+// Two classes; a quota of 10 units per second and a ceiling of 20, over two gateways.
 AdmissionSettings settings_of_two_classes() {
   AdmissionSettings settings;
   settings.classes.resize(2);
@@ -89,7 +89,7 @@
   quotas.on_tick(100);
   customer.classes[0].recent_units = 3;
   quotas.on_tick(200);
-  // What the slice could have granted within the tick, and its guaranteed half of 5 units a second.
+  // Its guaranteed half of 5 units per second, plus what the slice could have granted within the tick.
   EXPECT_NEAR(customer.classes[0].bucket.rate(), 2.5 + 5.5 / 0.1, 1e-9);
   EXPECT_NEAR(customer.classes[1].bucket.rate(), 2.5, 1e-9);
 }
--- a/tests/admission/fleet_quotas_test.cpp
+++ b/tests/admission/fleet_quotas_test.cpp
@@ -1,4 +1,4 @@
-// What customers get through all gateways together, against their quotas.
+// Units admitted over all gateways together, compared with the customers' quotas.
 #include <gtest/gtest.h>
 
 #include "model_customers.h"
@@ -20,10 +20,10 @@
   return settings;
 }
 
-// 450 customers with 90 to 300 gateways each, on hosts without load. A tenth of them requests 1.8 to 4.8
-// times its quota. Figures are fractions of what one bucket for all gateways would admit.
+// Results for 450 customers with 90 to 300 gateways each, on hosts without load. A tenth of them requests 1.8
+// to 4.8 times its quota. Both are fractions of what one bucket for all gateways would admit.
 struct QuietDay {
-  double price = 0;         // admitted beyond the quota, by the plans' costs
+  double price = 0;         // admitted beyond the quota, weighted with the plans' costs
   double within_quota = 0;  // admitted within the quota
 };
 
@@ -51,15 +51,15 @@
   return day;
 }
 
-// 300 slices that start full would admit fifty bursts of the quota together, as rejected clients retry at the
-// next.
+// 300 slices start full. Without a limit they would together admit fifty bursts of the quota, because
+// rejected clients retry at another gateway.
 TEST(FleetQuotas, WhereClientsRetryFullSlicesDoNotAdmitAll) {
   const QuietDay day = play(shop(), 0.9);
   EXPECT_LE(day.price, 0.155);
   EXPECT_GE(day.within_quota, 0.80);
 }
 
-// Where no client retries, a rejection ends a request, so fewer are rejected.
+// Where no client retries, each rejection ends a request, so fewer requests are rejected.
 TEST(FleetQuotas, WhereNoClientRetriesMoreIsAdmitted) {
   const QuietDay day = play(shop(), 0);
   EXPECT_LE(day.price, 0.16);
@@ -79,7 +79,9 @@
   return sent / static_cast<double>(kCustomers);
 }
 
-// A slice of half a request at each of four gateways: four bursts at most, and all are admitted.
+// A slice of half a request at each of four gateways admits at most four bursts in total, so all first
+// requests are admitted. The same holds for customers of four gateways in a larger fleet, but not for those
+// of a hundred.
 TEST(FleetQuotas, WithFewGatewaysAFullSliceAdmitsAll) {
   auto settings = shop();
   settings.plans[0].quota_burst = 8;
@@ -90,7 +92,7 @@
   EXPECT_LT(first_requests_sent(settings, 300, 100), 0.95);
 }
 
-// Plans whose overruns earn what they cost are limited under load only.
+// Plans whose overruns earn as much as they cost are limited under load only.
 TEST(FleetQuotas, PlansWithoutOverrunCostAreNotLimited) {
   auto settings = shop();
   settings.plans[0].over_quota_value = settings.plans[0].over_quota_cost = 0.7;
@@ -98,7 +100,7 @@
   EXPECT_EQ(first_requests_sent(settings, 300, 100), 1);
 }
 
-// Two gateways reject alike; one's clients retry within a second, the other's never do.
+// Two gateways reject alike. The clients of one retry within a second, those of the other never do.
 TEST(FleetQuotas, AGatewayLearnsWhetherRejectedClientsRetry) {
   const auto sent_in_the_end = [](bool again) {
     Gateway gateway(shop(), {host(1), host(2), host(3), host(4)});
@@ -109,8 +111,8 @@
       gateway.answer_all();
       sent += customer > 300 && passed;
       gateway.wait(200);
-      // 0.37 of the retries come to the same gateway; the others go elsewhere, which this gateway does not
-      // see.
+      // 0.37 of the retries, here those of every third customer, arrive at the same gateway. The others go
+      // elsewhere, which it cannot observe.
       if (again && !passed && customer % 3 == 0) gateway.ask(++id, 1, 200, customer);
       gateway.answer_all();
     }
--- a/tests/admission/handover_test.cpp
+++ b/tests/admission/handover_test.cpp
@@ -1,4 +1,4 @@
-// A gateway's successor takes its state over, and settings change while requests are pending.
+// Hand-over of a gateway's state to its successor, and changes of settings while requests are pending.
 #include <gtest/gtest.h>
 
 #include <random>
@@ -18,7 +18,7 @@
   return settings;
 }
 
-// Wherever requests go, both gateways together admit no more than one would.
+// However requests are spread, both gateways together admit no more than one would.
 TEST(Handover, BothGatewaysTogetherKeepTheCeiling) {
   const auto settings = with_ceiling();
   const double rate = 20 / 2.0, burst = 30 / 2.0;  // the slice of one of two gateways
@@ -38,7 +38,7 @@
       if (random() % 3 == 0) try_at(first);
     }
     first.out.take();
-    // Admitted before the hand-over; counted anew after it.
+    // Counts up to the hand-over and after it separately.
     const double before = given;
     EXPECT_LE(before, burst + rate * 3 + 1);
     const auto state = first.control.export_handover(first.now);
@@ -50,7 +50,7 @@
       try_at(random() % 4 == 0 ? first : second);
     }
     EXPECT_LE(given, left + rate * 3 + 1e-6) << seed;
-    EXPECT_GE(given, rate * 3 * 0.8) << seed;  // and the successor refills
+    EXPECT_GE(given, rate * 3 * 0.8) << seed;  // the successor refills its buckets
   }
 }
 
@@ -71,7 +71,7 @@
   EXPECT_FALSE(second.ask(1));
 }
 
-// A successor that waited long for a predecessor that then crashed, or handed over nothing.
+// The successor has waited long for a predecessor that then crashed or handed over an empty snapshot.
 TEST(Handover, WithoutASnapshotTheCeilingIsEmptyHoweverLongTheSuccessorHasWaited) {
   const auto settings = with_ceiling();
   for (const bool died : {true, false}) {
@@ -117,7 +117,7 @@
       if (handed && started == 0) {
         EXPECT_EQ(bad, 0);
       } else if (started == 0) {
-        EXPECT_GE(bad, 2) << "the even part is 4";
+        EXPECT_GE(bad, 2) << "an equal share is 4";
       } else {
         EXPECT_EQ(second.control.excluded_host_count(second.now), 0u);
       }
@@ -141,7 +141,8 @@
   EXPECT_NEAR(second.control.export_handover(second.now).class_latency_ms.at(0), 220, 25);
 }
 
-// A customer may have two attempts in flight through a gateway; the predecessor's count until it has exited.
+// A customer may have two attempts in flight through a gateway. Those of the predecessor count until it
+// exits.
 TEST(Handover, AttemptsInFlightAtThePredecessorCountAtTheSuccessor) {
   auto settings = plain_settings();
   settings.plans[0] = {};
@@ -154,7 +155,7 @@
   second.control.import_handover(second.now, first.control.export_handover(first.now));
   EXPECT_FALSE(second.ask(4));
   first.answer_all();
-  EXPECT_FALSE(first.ask(5)) << "the places are the second's now";
+  EXPECT_FALSE(first.ask(5)) << "the limit's slice belongs to the successor";
   second.control.on_predecessor_exited(second.now);
   EXPECT_TRUE(second.ask(6));
   EXPECT_TRUE(second.ask(7));
@@ -203,7 +204,7 @@
   EXPECT_TRUE(asks(4, 1));
   EXPECT_FALSE(asks(5, 1));
   EXPECT_TRUE(asks(6, 0));   // its first plan has no ceiling
-  EXPECT_FALSE(asks(7, 1));  // and changing plans back and forth fills nothing
+  EXPECT_FALSE(asks(7, 1));  // switching plans back and forth does not refill the ceiling
 }
 
 TEST(SettingsUpdate, ClassesAreAddedAndAPendingRequestKeepsItsSettings) {
--- a/tests/admission/host_feedback_test.cpp
+++ b/tests/admission/host_feedback_test.cpp
@@ -1,4 +1,5 @@
-// What a gateway makes of rejections by hosts and of health checks, and the reasons of its own rejections.
+// Handling of rejections by hosts and of health checks, and the reasons that a gateway gives for its own
+// rejections.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -11,7 +12,7 @@
 namespace cometfold::testing {
 namespace {
 
-// Hosts with free capacity reject one plan.
+// Hosts with free capacity reject the requests of one plan.
 TEST(HostRejections, OnlyTheRejectedPlanAvoidsTheHostAndItsRetriesAreOutsideTheBudget) {
   auto settings = large(2);
   settings.plans.push_back(settings.plans[0]);
@@ -39,8 +40,8 @@
     if (id % 5 == 0) gateway.tick();
   }
   EXPECT_LE(unserved, 8);
-  EXPECT_LE(throttled[1] + throttled[2], 100) << "of 200: half is the even part";
-  EXPECT_GE(other[1] + other[2], 70) << "the other plan still goes there";
+  EXPECT_LE(throttled[1] + throttled[2], 100) << "of 200; an equal share is half";
+  EXPECT_GE(other[1] + other[2], 70) << "the other plan is still sent there";
 }
 
 TEST(HostRejections, AnAttemptThatWasNotExecutedIsRetriedOutsideTheBudget) {
@@ -67,7 +68,7 @@
       gateway.out.take();
       gateway.now += 20;
     }
-    EXPECT_EQ(again, 30) << "the budget alone has 5 and a tenth of 60";
+    EXPECT_EQ(again, 30) << "the budget alone allows 5 plus a tenth of 60";
   }
 }
 
@@ -128,7 +129,7 @@
     return gateway.out.why(id);
   };
   EXPECT_EQ(cause(9, 0, {host(1)}), RejectionReason::kMalformed);
-  EXPECT_EQ(cause(1, 0, {host(1)}), RejectionReason::kCeiling) << "its slice begins empty";
+  EXPECT_EQ(cause(1, 0, {host(1)}), RejectionReason::kCeiling) << "its slice starts empty";
   EXPECT_EQ(cause(0, 0, {}), RejectionReason::kNoHost);
   EXPECT_EQ(cause(0, 0, {host(1, HostState::kDraining)}), RejectionReason::kNoHost);
   EXPECT_EQ(cause(0, 0, {host(1)}), std::nullopt);
--- a/tests/admission/host_parts.h
+++ b/tests/admission/host_parts.h
@@ -1,4 +1,4 @@
-// The classes that keep statistics of hosts, wired as in the controller, for tests of single ones.
+// Fixture for unit tests: the components that maintain host statistics, connected as in the controller.
 #pragma once
 
 #include <vector>
--- a/tests/admission/host_table_test.cpp
+++ b/tests/admission/host_table_test.cpp
@@ -48,7 +48,7 @@
   ASSERT_NE(parts.hosts.find(1), nullptr);
   parts.host(1).attempts_in_flight = 0;
   parts.hosts.erase_departed(10'000);
-  ASSERT_NE(parts.hosts.find(1), nullptr) << "it departed 10 s ago, not longer";
+  ASSERT_NE(parts.hosts.find(1), nullptr) << "it is erased after more than 10 s";
   parts.hosts.erase_departed(10'001);
   EXPECT_EQ(parts.hosts.find(1), nullptr);
 }
@@ -67,7 +67,7 @@
   parts.hosts.record_load(parts.host(1), LoadReport{10, {}, {}}, false, 0);
   EXPECT_NEAR(parts.hosts.expected_load(parts.host(1), 0), 10, 1e-12);
   EXPECT_NEAR(parts.hosts.expected_load(parts.host(1), 60'000), 1, 1e-4)
-      << "the mean of one report of weight 0.1";
+      << "the mean after one report with weight 0.1";
   EXPECT_NEAR(parts.hosts.expected_load(parts.host(2), 0), 1, 1e-12) << "it has not reported";
 }
 
--- a/tests/admission/invariants_test.cpp
+++ b/tests/admission/invariants_test.cpp
@@ -1,4 +1,5 @@
-// The rules for answers, retries and draining hosts, one by one and on random days, and invalid input.
+// The rules for final answers, retries and draining hosts, individually and under random events, and invalid
+// input.
 #include <gtest/gtest.h>
 
 #include <cmath>
@@ -74,7 +75,7 @@
   gateway.now += 450;  // the first attempt's key expires at 500
   gateway.end(1, 1, second, Outcome::kConnectionLost);
   EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
-  EXPECT_EQ(gateway.out.count(Act::kFail), 1u) << "a refusal would promise that a retry does no harm";
+  EXPECT_EQ(gateway.out.count(Act::kFail), 1u) << "a rejection would promise that a retry is safe";
 }
 
 TEST(Idempotency, NothingIsHedgedWhereHedgingIsNotAllowed) {
@@ -121,7 +122,7 @@
   minute(300, 10);
   gateway.list(HostListUpdate::kDelta,
                {host(2, HostState::kReady, gateway.now), host(3, HostState::kReady, gateway.now)});
-  auto sends = minute(50, 20);  // weights 0.2 to 0.28; twice that would be overload
+  auto sends = minute(50, 20);  // weights 0.2 to 0.28; twice the weight would be overload
   EXPECT_LT(sends[2], 0.4 * sends[1]);
   EXPECT_LT(sends[3], 0.4 * sends[1]);
   EXPECT_GE(sends[2], 1);
@@ -166,8 +167,8 @@
             0u);
 }
 
-// A random sequence of events with a fixed seed. Outcomes are drawn without a model of hosts, which is harder
-// than any real fleet.
+// A random sequence of events with a fixed seed. Outcomes are drawn without a model of hosts, so the sequence
+// is harder than any real fleet.
 class RandomDay : public ::testing::TestWithParam<std::uint64_t> {};
 
 TEST_P(RandomDay, KeepsTheFiveRules) {
@@ -204,7 +205,7 @@
   std::map<HostId, HostState> state;
   for (auto& host_id : hosts) state[host_id.id] = host_id.state;
   double ceiling = 0,
-         ceiling_at = gateway.now;  // this gateway's slice: 40 a second, 80 at most, empty at first
+         ceiling_at = gateway.now;  // this gateway's slice: 40 units per second, at most 80, initially empty
   RequestId next = 1;
 
   const auto refill = [&] {
@@ -224,13 +225,13 @@
       bool may = false, out = false;
       for (auto& attempt : record.tries) may |= attempt.out || attempt.may, out |= attempt.out;
       if (action.kind == Act::kSend) {
-        ASSERT_EQ(state[action.host], HostState::kReady) << "sent to a leaving host";
+        ASSERT_EQ(state[action.host], HostState::kReady) << "sent to a draining or removed host";
         ASSERT_LT(record.tries.size(), settings.max_attempts);
         if (!settings.hedging_allowed) {
           ASSERT_FALSE(out);
         }
         if (record.cls == 2) {
-          ASSERT_FALSE(may) << "an unsafe effect could happen twice";
+          ASSERT_FALSE(may) << "a non-idempotent request could be executed twice";
         }
         if (record.cls == 1) {
           for (auto& attempt : record.tries) {
@@ -242,13 +243,13 @@
         if (record.plan == 1 && never_sent(record)) {
           refill();
           ceiling -= record.units;
-          ASSERT_GE(ceiling, -1e-6) << "the ceiling's slice was passed";
+          ASSERT_GE(ceiling, -1e-6) << "the ceiling's slice was exceeded";
         }
         record.tries.push_back({action.host, gateway.now});
       } else {
         ASSERT_LE(gateway.now, record.expires + 16);
         if (action.kind == Act::kRefuse && record.cls != 0) {
-          ASSERT_FALSE(may) << "refused though it may have run";
+          ASSERT_FALSE(may) << "rejected although it may have been executed";
         }
         record.ended = true;
       }
@@ -307,7 +308,7 @@
   }
   for (auto& [id, record] : all) {
     if (record.expires + 16 < gateway.now) {
-      EXPECT_TRUE(record.ended) << "request " << id << " was lost";
+      EXPECT_TRUE(record.ended) << "request " << id << " was never answered";
     }
   }
   EXPECT_GT(next, 5000u);
@@ -315,10 +316,8 @@
 
 INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, ::testing::Values(1, 2, 3, 4, 5, 6));
 
-// ---- where a request with an idempotency key may be retried ----
-
-// A request with an idempotency key is in flight at host 1 in zone 1 when the list changes; then its
-// connection is lost.
+// Hosts that a request with an idempotency key may be retried at. It is in flight at host 1 in zone 1 when
+// the host list changes; then its connection is lost.
 class KeyedRetry : public ::testing::TestWithParam<IdempotencyScope> {
  protected:
   static AdmissionSettings settings() {
@@ -386,7 +385,7 @@
   Gateway held(short_lived, {host(1, HostState::kReady, 0, 1), host(3, HostState::kReady, 0, 1)}, 20'000);
   ASSERT_TRUE(held.ask(1));
   const HostId first = held.out.take().front().host;
-  held.now += 600 - 140;  // within 0.8 of the lifetime, but the bytes may be written 0.15 s later
+  held.now += 600 - 140;  // within 0.8 of the key's lifetime, but the bytes may be written 0.15 s later
   held.end(1, 0, first, Outcome::kConnectionLost);
   EXPECT_EQ(held.out.of(Act::kSend, 1), nullptr);
 }
--- a/tests/admission/large_fleet_test.cpp
+++ b/tests/admission/large_fleet_test.cpp
@@ -1,4 +1,4 @@
-// What single gateways of a large fleet decide, where each sees little of a customer or a host.
+// Decisions of single gateways in a large fleet, where each sees few requests of a customer or a host.
 #include "large_fleet.h"
 
 #include <gtest/gtest.h>
@@ -11,7 +11,7 @@
 namespace cometfold::testing {
 namespace {
 
-// At three requests a second a single attempt in flight is no overload.
+// At three requests per second a single attempt in flight must not count as overload.
 TEST(LargeFleet, FewRequestsInFlightAreNoOverload) {
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -26,8 +26,8 @@
   EXPECT_LE(refused, 20 * 60 / 20);
 }
 
-// A slice of a fiftieth of a request: the first request is admitted, and a customer that keeps coming through
-// one gateway of two hundred is probably far beyond its quota.
+// A slice of a fiftieth of a request per second. The first request is admitted. A customer that sends many
+// requests through one gateway of two hundred is probably far beyond its quota.
 TEST(LargeFleet, ASliceBelowOneRequestIsAdmittedByItsExpectedValue) {
   auto settings = large();
   settings.plans[0].quota_rate = 4;
@@ -41,7 +41,7 @@
     gateway.answer_all();
     gateway.wait(300);
   }
-  EXPECT_GE(first, 36) << "a quarter of the refused may ask again, for all that is known here";
+  EXPECT_GE(first, 36) << "a quarter is rejected until the gateway has observed that clients do not retry";
   int still = 0;
   for (RequestId id = 1000; id < 1400; ++id) {  // no client retries
     still += gateway.ask(id, 1, 200, id) && id >= 1350;
@@ -58,7 +58,8 @@
   EXPECT_GE(later, 1);
 }
 
-// A client's retry was rejected elsewhere: after one request, a new request is admitted and a retry is not.
+// A retry marked by the client was rejected by another gateway before. So a customer's second request is
+// admitted if it is new and rejected if it is a retry.
 TEST(LargeFleet, AMarkedClientRetryCountsItsRejectionElsewhere) {
   auto settings = large();
   settings.plans[0].quota_rate = 4;
@@ -66,7 +67,7 @@
   settings.plans[0].over_quota_cost = 1;
   for (const bool repeat : {false, true}) {
     Gateway gateway(settings, host_list(50));
-    gateway.wait(3000);  // a slice of a fifth a second lets half a request be expected
+    gateway.wait(3000);  // with a slice of 0.2 per second, about half a request is expected by then
     CustomerId customer = 7;
     while (!gateway.ask(customer, 1, 20, customer))
       ASSERT_LT(++customer, 20u);  // some are rejected by chance
@@ -78,7 +79,7 @@
   }
 }
 
-// A ceiling's slice of two requests is nearly used up by any request, which alone is no reason to reject.
+// Any request uses up most of a ceiling slice of two requests. That alone is no reason to reject.
 TEST(LargeFleet, ACeilingSliceOfTwoRequestsRejectsFew) {
   auto settings = large();
   settings.plans[0].quota_rate = 10;
@@ -98,8 +99,8 @@
   EXPECT_GE(sent, 18);
 }
 
-// i745d0f, i620946, ib62993: the capacity of hosts with few answers must not be overestimated by adding up
-// chance maxima. Answers take nearly half of the objective, which does not shed load by itself.
+// i745d0f, i620946, ib62993: the capacity of hosts with few answers was overestimated as a sum of random
+// maxima. Answers take nearly half of the objective, which does not shed load by itself.
 TEST(LargeFleet, QueuesAtHostsWithFewAnswersCountAsLoad) {
   int asked = 0, sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
@@ -121,11 +122,11 @@
       }
     }
   }
-  EXPECT_LE(sent, asked / 2) << "the sum of maxima sends 64 of 100";
+  EXPECT_LE(sent, asked / 2) << "with the sum of maxima it was 64 of 100";
   EXPECT_GE(sent, asked / 4);
 }
 
-// The mean latency sheds load before all answers are late, however few attempts one gateway has in flight.
+// A high mean latency sheds load before all answers are late, however few attempts one gateway has in flight.
 TEST(LargeFleet, SlowAnswersOfAllHostsShedLoad) {
   Gateway gateway(large(), host_list(100));
   int sent = 0;
@@ -137,11 +138,11 @@
     gateway.answer_all(950);  // of an objective of 1 s
   }
   EXPECT_LE(sent, 60) << "of 100";
-  EXPECT_GE(sent, 1) << "some go on, or the signals would stop";
+  EXPECT_GE(sent, 1) << "some must be sent to keep the statistics up to date";
 }
 
-// 48 gateways with a slice of a tenth of a request each: a customer that requests three times its quota gets
-// about its quota.
+// 48 gateways with a slice of about a tenth of a request per second each: a customer that requests three
+// times its quota receives about its quota.
 TEST(LargeFleet, AQuotaIsUsedWhereEachSliceIsBelowOneRequest) {
   constexpr double kQuota = 4, kAsked = 12, kGateways = 48;
   auto settings = large(kGateways);
@@ -165,8 +166,8 @@
   EXPECT_LE(sent, 30 * kQuota * 1.6);
 }
 
-// Hosts that drain before this gateway knows of it reject everything. As no host reports a queue, the fleet
-// is not overloaded, nothing is shed, and requests are retried elsewhere.
+// A third of the first attempts are rejected, as by hosts that drain before this gateway knows. Without
+// queues at the hosts that is no overload of the fleet: nothing is shed, and requests are retried elsewhere.
 TEST(LargeFleet, RejectionsOfHostsWithoutAQueueAreNoOverload) {
   for (const double queue : {0.0, 20.0}) {
     auto settings = large(48);
@@ -194,7 +195,7 @@
       gateway.wait(200);
     }
     if (queue > 0) {
-      EXPECT_GE(refused, 20) << "behind full queues it is one";
+      EXPECT_GE(refused, 20) << "with queues at the hosts it is overload";
     } else {
       EXPECT_LE(refused, 4);
     }
@@ -221,8 +222,8 @@
   }
 }
 
-// A customer prefers some of a hundred gateways five times over; one of these cannot tell it from a customer
-// far beyond its quota.
+// A customer sends five times its even share to some of a hundred gateways. These cannot distinguish it from
+// a customer far beyond its quota.
 TEST(LargeFleet, ACustomerWithinItsQuotaThatPrefersSomeGatewaysIsAdmitted) {
   constexpr double kQuota = 4, kGateways = 100;
   auto settings = large(kGateways);
--- a/tests/admission/latency_statistics_test.cpp
+++ b/tests/admission/latency_statistics_test.cpp
@@ -60,7 +60,7 @@
   second.import_from(snapshot, 0);
   second.record(host, 0, 1000, 0);
   EXPECT_NEAR(second.class_latency(0), 220, 1);
-  EXPECT_EQ(second.class_latency(1), 1) << "no number is no latency";
+  EXPECT_EQ(second.class_latency(1), 1) << "NaN is ignored";
 }
 
 }  // namespace
--- a/tests/admission/load_shedder_test.cpp
+++ b/tests/admission/load_shedder_test.cpp
@@ -14,7 +14,7 @@
     shedder.start(0);
     parts.list(2, 0);
   }
-  // Measures with so many attempts in flight at each host, until the utilization has settled.
+  // Samples with this many attempts in flight at each host, until the utilization has converged.
   void settle(double attempts_in_flight) {
     for (HostId id : {1u, 2u}) parts.host(id).attempts_in_flight = attempts_in_flight;
     for (int i = 0; i < 100; ++i) shedder.measure_utilization(now += 100);
@@ -38,7 +38,7 @@
 }
 
 TEST_F(LoadShedderTest, RequestsOfLeastValueAreShedFirst) {
-  settle(3);  // three quarters: half of all requests are shed
+  settle(3);  // three quarters of the limits: half of all requests are shed
   for (int i = 0; i < 300; ++i) shedder.should_shed(i % 2 == 0 ? 1 : 2, 1);
   int low = 0;
   int high = 0;
@@ -55,7 +55,7 @@
   for (int i = 0; i < 512; ++i) shedder.should_shed(1, 1);
   int shed = 0;
   for (int i = 0; i < 2000; ++i) shed += shedder.should_shed(1, 1);
-  EXPECT_NEAR(shed, 1700, 60) << "at most 0.85 are shed";
+  EXPECT_NEAR(shed, 1700, 60) << "at most a fraction of 0.85 is shed";
 }
 
 TEST_F(LoadShedderTest, LateAnswersAreOverload) {
--- a/tests/admission/model_customers.h
+++ b/tests/admission/model_customers.h
@@ -1,4 +1,4 @@
-// Customers of a model fleet.
+// Customers that send requests to a model fleet.
 #pragma once
 
 #include <algorithm>
@@ -10,8 +10,8 @@
 
 namespace cometfold::testing {
 
-// Customers that spread their requests unevenly over gateways and retry rejected ones. Each has the token
-// bucket that its quota would be if one gateway saw all its requests.
+// Customers that spread their requests unevenly over gateways and retry rejected ones. For comparison, each
+// has the token bucket that its quota would be if a single gateway received all its requests.
 class ModelCustomers {
  public:
   // Units of one plan.
@@ -20,11 +20,11 @@
     double admissible = 0;  // of these, what one bucket for all gateways would admit
     double within_quota = 0;
     double beyond_quota = 0;
-    double rejected_within_quota = 0;  // with retries
+    double rejected_within_quota = 0;  // including retries
   };
 
-  // `retry_fraction` of the rejected requests are retried, `same_gateway_fraction` of these at the same
-  // gateway.
+  // A fraction `retry_fraction` of the rejected requests is retried, and a fraction `same_gateway_fraction`
+  // of the retries is sent to the same gateway.
   ModelCustomers(ModelFleet& fleet, const AdmissionSettings& settings, double retry_fraction,
                  double same_gateway_fraction = 0)
       : fleet_(fleet),
@@ -38,8 +38,8 @@
     };
   }
 
-  // A customer that requests `relative_demand` times its quota's rate through `gateway_count` gateways from
-  // `first_gateway` on. The gateway of rank n among them gets a part in proportion to 1 / n^skew.
+  // Adds a customer that requests `relative_demand` times its quota's rate through `gateway_count` gateways
+  // from `first_gateway` on. The n-th of them receives a share in proportion to 1 / n^skew.
   void add(std::uint32_t plan, double relative_demand, std::size_t gateway_count, std::size_t first_gateway,
            double skew) {
     Customer customer{
@@ -78,8 +78,8 @@
     std::uint32_t plan;
     std::size_t first_gateway;
     std::vector<double> cumulative_shares;
-    double tokens;        // after what was admitted
-    double ideal_tokens;  // if all that fits had been admitted
+    double tokens;        // reduced by the requests that were sent within the quota
+    double ideal_tokens;  // reduced by every request that one bucket for all gateways would admit
     Ms refilled_at;
   };
   static std::size_t pick(const std::vector<double>& sums, double draw) {
@@ -124,7 +124,7 @@
   double same_gateway_fraction_;
   std::vector<Account> accounts_;
   std::vector<Customer> customers_;
-  std::vector<double> rates_;  // requests a second, cumulative
+  std::vector<double> rates_;  // requests per second, cumulative
 };
 
 }  // namespace cometfold::testing
--- a/tests/admission/model_fleet.h
+++ b/tests/admission/model_fleet.h
@@ -1,5 +1,5 @@
-// A fleet of real decision modules in one process, on one simulated clock, with modelled hosts. Equal
-// settings give equal runs.
+// A fleet of real decision modules in one process, with a simulated clock and simulated hosts. Runs with
+// equal settings are equal.
 #pragma once
 
 #include <algorithm>
@@ -16,7 +16,7 @@
 
 namespace cometfold::testing {
 
-// How an attempt ends, and after which time. `kNotSent`: it is never answered.
+// How and when an attempt ends. `kNotSent`: it never does.
 struct AttemptFate {
   Outcome outcome = Outcome::kOk;
   Ms after = 0;
@@ -24,7 +24,7 @@
 
 class ModelFleet {
  public:
-  static constexpr Ms kConnectionIdleMs = 7500;  // an unused connection is closed after it
+  static constexpr Ms kConnectionIdleMs = 7500;  // connections that are idle for longer are closed
   // Called for each attempt when it is sent.
   using HostModel = std::function<AttemptFate(ModelFleet&, HostId)>;
 
@@ -70,7 +70,7 @@
   std::size_t gateways() const { return members_.size(); }
   std::size_t rejecting_gateway() const { return rejecting_gateway_; }  // during `on_rejected`
 
-  // Kills a gateway and starts it again, without state.
+  // Kills a gateway and restarts it without state.
   void restart(std::size_t gateway) {
     Member& member = *members_[gateway];
     for (auto& [request_id, attempts] : member.attempts) {
@@ -102,15 +102,15 @@
 
   // Calls `action` at a time of the fleet's clock.
   void schedule_at(Ms when, std::function<void()> action) { schedule_in(when - now_, std::move(action)); }
-  // Plays all events of the next `span` milliseconds.
+  // Processes all events of the next `span` milliseconds.
   void wait(Ms span) {
     const Ms until = now_ + span;
     play_until(until);
     now_ = until;
   }
 
-  // A Poisson process of `rate` requests a second for `span` milliseconds, each at a random gateway.
-  // `make_request` returns the request, without id and deadline.
+  // Submits a Poisson process of `rate` requests per second for `span` milliseconds, each to a random
+  // gateway. `make_request` returns a request without id and deadline.
   template <class MakeRequest>
   void run(double rate, Ms span, MakeRequest&& make_request) {
     run_at(rate, span, [&](ModelFleet&) {
@@ -118,7 +118,7 @@
       return std::pair{static_cast<std::size_t>(draw() * static_cast<double>(members_.size())), request};
     });
   }
-  // The same, where `make_request` returns the gateway and the request.
+  // Like `run`, but `make_request` returns the gateway and the request.
   template <class MakeRequest>
   void run_at(double rate, Ms span, MakeRequest&& make_request) {
     const Ms until = now_ + span;
--- a/tests/admission/model_fleet_test.cpp
+++ b/tests/admission/model_fleet_test.cpp
@@ -1,4 +1,4 @@
-// Fleets of modules on one simulated clock, where only the sum over many gateways counts.
+// Tests with a simulated fleet, mostly of properties that hold only in the sum over many gateways.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,7 +10,7 @@
 namespace cometfold::testing {
 namespace {
 
-// Six of ten hosts warm up, 10 s into the 16 s that it takes, and get their part of the requests.
+// Six of ten hosts are 10 s into a slow start of 16 s and receive their share of the requests.
 TEST(ModelFleet, HostsThatWarmUpGetTheirPartFromAHundredGateways) {
   constexpr int kGateways = 100;
   auto settings = large(kGateways);
@@ -26,12 +26,12 @@
       gateway.answer_all(400);
     }
   }
-  // Their weight is 0.72 each by then, 26 of 50 in all.
+  // Their weight is 0.72 each by then, 26 of a total of 50.
   EXPECT_GE(cold, all * 46 / 100);
   EXPECT_LE(cold, all * 56 / 100);
 }
 
-// A hundred gateways and sixty healthy hosts, after `span`.
+// Runs a hundred gateways with sixty healthy hosts for `span` milliseconds.
 std::unique_ptr<ModelFleet> healthy(Ms span) {
   auto settings = large(100);
   settings.classes[0].latency_objective_ms = 1700;
@@ -44,15 +44,15 @@
   return fleet;
 }
 
-// Short answers come first, so the first ones underestimate a class's latency; that must not cause hedging.
+// Fast answers arrive first, so the first latencies underestimate their class. That must not cause hedging.
 TEST(ModelFleet, FewRequestsAreHedgedInTheFirstSeconds) {
   const auto fleet = healthy(4000);
   EXPECT_LE(fleet->counts().attempts - fleet->counts().sent_requests,
             fleet->counts().sent_requests * 3 / 100);
 }
 
-// Of six thousand pairs of gateway and host each is used every seven seconds. Hosts with an open connection
-// are preferred at nearly equal cost, and each host still gets between a third and twice its part.
+// Each of the six thousand pairs of gateway and host is used every seven seconds. At nearly equal cost hosts
+// with an open connection are preferred, but each host still receives between a third of and twice its share.
 TEST(ModelFleet, ConnectedHostsArePreferredAndAllHostsGetTheirPart) {
   const auto fleet = healthy(15'000);
   EXPECT_LE(fleet->counts().handshakes, fleet->counts().requests * 24 / 100);
@@ -63,8 +63,8 @@
   }
 }
 
-// 5 s after its last answer a host is preferred to a new one where connections live for 15 s unused, and not
-// where they live for 6 s.
+// 5 s after its last answer a host is preferred to a new one if the idle timeout of connections is 15 s, but
+// not if it is 6 s.
 TEST(ModelFleet, AHostIsConnectedUntilTheIdleTimeout) {
   const auto strangers_asked = [](Ms conn_idle) {
     int asked = 0;
@@ -88,8 +88,8 @@
 }
 
 // Three hundred gateways and two hundred hosts in three zones. Most customers use a part of their quota, a
-// tenth requests far more, and half of the rejected clients retry at another gateway. Each gateway sees a
-// customer once or twice in all.
+// tenth of them request far more, and half of the rejected clients retry at another gateway. Each gateway
+// sees only one or two requests of a customer.
 class ManyGateways : public ::testing::Test {
  protected:
   static constexpr std::size_t kGateways = 300;
@@ -144,7 +144,7 @@
   }
 }
 
-// Each gateway uses a host every ten seconds; no host is idle or gets far more than its part.
+// Each gateway uses a host every ten seconds. No host is idle or receives far more than its share.
 TEST_F(ManyGateways, HostsAndZonesGetTheirPart) {
   customers_.run(15'000);
   auto& counts = fleet_.counts();
@@ -160,7 +160,7 @@
   EXPECT_LE(counts.handshakes, counts.requests / 10);
 }
 
-// Seven in ten gateways restart at once without state and admit first requests anew.
+// Seven of ten gateways restart at the same time without state and admit first requests again.
 TEST_F(ManyGateways, RestartsAtMostDoubleTheOverruns) {
   const auto beyond_quota = [&] {
     double sum = 0;
@@ -178,7 +178,7 @@
 }
 
 // At one gateway of a hundred with a third of its limits in use, requests of low value are shed and hardly
-// any others; with a tenth in use, none are.
+// any others. With a tenth in use, nothing is shed.
 TEST(ModelFleet, RequestsOfLowValueAreShedBeforeHalfOfTheLimitsIsInUse) {
   for (const Ms took : {30.0, 100.0}) {
     auto settings = large(100);
--- a/tests/admission/quota_overrun_estimator_test.cpp
+++ b/tests/admission/quota_overrun_estimator_test.cpp
@@ -7,7 +7,7 @@
 namespace cometfold::admission {
 namespace {
 
-// A quota of 10 units a second over two gateways, whose overrun costs as much as a request earns.
+// A quota of 10 units per second over two gateways. An overrun costs as much as a request earns.
 class QuotaOverrunEstimatorTest : public ::testing::Test {
  protected:
   static AdmissionSettings two_gateways() {
--- a/tests/admission/quota_rules_test.cpp
+++ b/tests/admission/quota_rules_test.cpp
@@ -1,5 +1,5 @@
-// Quotas, lending, ceilings and limits of concurrent attempts at one gateway, with numbers worked by hand.
-// Numbers in brackets are equations of the paper.
+// Quotas, lending, ceilings and concurrency limits at one gateway, with values computed by hand. Numbers in
+// parentheses refer to equations of the paper.
 #include <gtest/gtest.h>
 
 #include "tests/support.h"
@@ -7,7 +7,7 @@
 namespace cometfold::testing {
 namespace {
 
-// Quota 4 a second with burst 8 over 2 gateways: a slice of 2 a second that holds 4.
+// A quota of 4 units per second with burst 8 over 2 gateways: a slice of 2 per second with capacity 4.
 TEST(QuotaRules, ASliceStartsFullAndTheRestIsRejectedWithARetryAfter) {  // (1), (4), (5)
   Gateway gateway(plain_settings());
   for (RequestId id = 1; id <= 4; ++id) EXPECT_TRUE(gateway.ask(id)) << id;
@@ -23,7 +23,7 @@
   Gateway gateway(settings);
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id));
   gateway.answer_all();
-  gateway.wait(1000);  // 2 units more
+  gateway.wait(1000);  // refills 2 units
   EXPECT_TRUE(gateway.ask(11));
   EXPECT_TRUE(gateway.ask(12));
   EXPECT_FALSE(gateway.ask(13));
@@ -36,13 +36,13 @@
 TEST(QuotaRules, ARequestAboveTheSlicesCapacityIsAdmittedWhenTheSliceIsFull) {
   auto settings = plain_settings(3);
   settings.max_request_units = 6;
-  settings.plans[0].quota_burst = 6;  // the slice alone would hold 3
+  settings.plans[0].quota_burst = 6;  // the slice holds 3
   Gateway gateway(settings);
   EXPECT_TRUE(gateway.ask(1, 6));  // from 3 to -3
   EXPECT_FALSE(gateway.ask(2, 1));
   gateway.answer_all();
   gateway.wait(1000);
-  EXPECT_FALSE(gateway.ask(3, 1)) << "the debt of 3 and one unit more take 2 s";
+  EXPECT_FALSE(gateway.ask(3, 1)) << "paying back the debt of 3 and refilling one unit takes 2 s";
   gateway.wait(2100);
   EXPECT_TRUE(gateway.ask(4, 6));  // full again
 }
@@ -50,8 +50,8 @@
 TEST(QuotaRules, WithoutArrivalsNothingIsLent) {
   auto settings = plain_settings(2);
   Gateway gateway(settings);
-  // Class 0 empties its bucket and the slice. Without arrivals the slice refills at 2 a second, the class's
-  // bucket at its guaranteed 1 a second.
+  // Class 0 empties its bucket and the slice. Without arrivals the slice is refilled at 2 units per second,
+  // the class's bucket at its guaranteed rate of 1 per second.
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id, 1, 2, 1, 0));
   gateway.answer_all();
   gateway.now += 2000;  // no tick in between: the class's rate is still the guaranteed one
@@ -64,7 +64,8 @@
 TEST(QuotaRules, UnusedQuotaIsLentInProportionToArrivals) {
   auto settings = plain_settings(2);
   Gateway gateway(settings);
-  // Only class 0 has arrivals. From the next tick on it borrows all that is unused, 2 a second in all.
+  // Only class 0 has arrivals. From the next tick on it borrows the whole unused quota, for 2 per second in
+  // total.
   for (RequestId id = 1; id <= 4; ++id) ASSERT_TRUE(gateway.ask(id, 1, 2, 1, 0));
   gateway.answer_all();
   gateway.wait(2000);
@@ -75,7 +76,7 @@
 
 TEST(QuotaRules, IdleCustomersAreEvictedOnlyWithFullBuckets) {
   auto settings = plain_settings();
-  settings.plans[0].quota_rate = 0.02;  // a slice of 0.01 a second: a minute brings 0.6 units
+  settings.plans[0].quota_rate = 0.02;  // a slice of 0.01 per second: 0.6 units in a minute
   settings.plans[0].quota_burst = 4;
   Gateway gateway(settings);
   EXPECT_TRUE(gateway.ask(1));
@@ -83,7 +84,7 @@
   EXPECT_FALSE(gateway.ask(3));
   gateway.answer_all();
   gateway.wait(61000);
-  EXPECT_FALSE(gateway.ask(4)) << "a drop gave tokens back early";
+  EXPECT_FALSE(gateway.ask(4)) << "an early eviction would have refilled the bucket";
 }
 
 TEST(QuotaRules, ActualUnitsReplaceTheEstimate) {
@@ -117,7 +118,7 @@
 TEST(CeilingRules, SlicesStartEmptyAndAreNeverExceeded) {
   auto settings = plain_settings();
   settings.plans[0].over_quota_value = 1;  // an overrun earns what it costs
-  settings.plans[0].ceiling_rate = 8;      // the slice: 4 a second, holds 8
+  settings.plans[0].ceiling_rate = 8;      // a slice of 4 per second with capacity 8
   settings.plans[0].ceiling_burst = 16;
   Gateway gateway(settings, {host(1), host(2), host(3)}, 5000);
   EXPECT_FALSE(gateway.ask(1)) << "the ceiling's slice is empty at the start";
@@ -141,7 +142,8 @@
   EXPECT_EQ(passed, 12);  // the slice alone holds 4
 }
 
-// A customer that comes through ten gateways instead of one has a tenth of its ceiling here from then on.
+// A customer whose requests arrive through ten gateways instead of one has a tenth of its ceiling here from
+// then on.
 TEST(CeilingRules, TheSliceFollowsTheCustomersGatewayCount) {
   AdmissionSettings settings = plain_settings();
   settings.gateway_count = 10;
--- a/tests/admission/regression_test.cpp
+++ b/tests/admission/regression_test.cpp
@@ -1,4 +1,5 @@
-// Faults of earlier versions, each by its smallest case. Numbers such as ic5cc20 name the incident.
+// Regression tests, each a minimal case of a fault in an earlier version. Identifiers such as ic5cc20 name
+// the incident.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -15,7 +16,7 @@
   return settings;
 }
 
-// ic5cc20: a host that rejects within a millisecond must not look fast.
+// ic5cc20: a host that rejects within a millisecond looked fast and attracted requests.
 TEST(HostSelection, AHostThatRejectsAtOnceDrawsNoTraffic) {
   Gateway gateway(roomy());
   std::map<HostId, int> sends;
@@ -34,17 +35,17 @@
     gateway.out.take();
     if (id % 20 == 0) gateway.tick();
   }
-  EXPECT_LT(sends[1], 60) << "of 300, a third would be its even part";
+  EXPECT_LT(sends[1], 60) << "of 300; an equal share is a third";
   EXPECT_GT(sends[2], 80);
 }
 
-// i5f6c38: attempts in flight are bounded where no answer comes.
+// i5f6c38: attempts in flight must be limited while no answers arrive.
 TEST(HostSelection, WithoutAnswersNoMoreIsSent) {
   Gateway gateway(roomy());
   RequestId id = gateway.fill(1, 50);
   int sent = 0;
   for (int i = 0; i < 200; ++i, gateway.now += 10) sent += gateway.ask(id++, 1, 2, 7);
-  // 3 hosts, 2 gateways: a few attempts for each core, and no long queues.
+  // 3 hosts, 2 gateways: a few attempts per core, without long queues.
   EXPECT_LE(sent, 40);
   EXPECT_GE(sent, 3);
 }
@@ -65,7 +66,8 @@
   EXPECT_LE(sends[1], 4);
 }
 
-// Quota 10 a second, burst 10: a slice of 5 and 5 at each of 2 gateways.
+// A quota of 10 units per second with burst 10: a slice of 5 per second with capacity 5 at each of 2
+// gateways.
 AdmissionSettings sold() {
   auto settings = plain_settings();
   settings.plans[0].quota_rate = 10;
@@ -84,15 +86,15 @@
   return passed;
 }
 
-// A customer within its quota sends most requests to this gateway: 6.25 a second against a slice of 5.
+// A customer within its quota sends most of its requests to this gateway: 6.25 per second, with a slice of 5.
 TEST(QuotaOverrun, AnUnevenlySpreadCustomerIsAdmittedBeyondItsSlice) {
   Gateway gateway(sold());
   passed_in(gateway, 1, 200, 160);
-  EXPECT_GE(passed_in(gateway, 1000, 100, 160), 90) << "80 is what the slice alone gives";
+  EXPECT_GE(passed_in(gateway, 1000, 100, 160), 90) << "the slice alone would admit 80";
 }
 
-// Two thirds of a customer's requests at one of four gateways are a usual spread; the same number of slices
-// at one of two gateways means a customer beyond its quota.
+// A customer with 2.4 slices of demand at one gateway may be unevenly spread if it has four gateways. If it
+// has two, it is beyond its quota.
 TEST(QuotaOverrun, MoreGatewaysMayBeUsedMoreUnevenly) {
   for (const double spread : {2.0, 4.0}) {
     auto settings = sold();
@@ -115,12 +117,12 @@
   }
 }
 
-// i7805d0, i5af206: three times the quota here is no uneven spread.
+// i7805d0, i5af206: a customer that requests three times its quota at one gateway is not unevenly spread.
 TEST(QuotaOverrun, AHeavyCustomerIsNotTakenForAnUnevenlySpreadOne) {
   Gateway gateway(sold());
   passed_in(gateway, 1, 300, 33);
-  const int passed = passed_in(gateway, 1000, 300, 33);  // 10 s at 30 a second
-  EXPECT_LE(passed, 55) << "the slice gives 50";
+  const int passed = passed_in(gateway, 1000, 300, 33);  // 10 s at 30 per second
+  EXPECT_LE(passed, 55) << "the slice admits 50";
   EXPECT_GE(passed, 45);
 }
 
@@ -134,7 +136,7 @@
   EXPECT_EQ(passed, 5);
 }
 
-// Hedging requests that merely take long wastes work.
+// Hedging requests that are long-running but not stuck wastes work.
 TEST(Retries, WaitForALongRequest) {
   Gateway gateway(roomy());
   gateway.fill(1, 50);
@@ -168,10 +170,10 @@
     gateway.end(id, 1, second_host_id, Outcome::kOk, 20);
   }
   EXPECT_GE(again, 10);
-  EXPECT_LE(again, 10 + 200 / 10 + 1) << "what was saved up and a tenth of first sends";
+  EXPECT_LE(again, 10 + 200 / 10 + 1) << "the saved retries plus a tenth of the first attempts";
 }
 
-// With one host, or without attempts left, cancelling an overdue attempt would only lose it.
+// With a single host or without attempts left, cancelling a slow attempt would only lose its answer.
 TEST(Retries, TheLastAttemptIsNotCancelledWithoutAnAlternative) {
   for (const bool alone : {true, false}) {
     for (const double attempts : {1.0, 4.0}) {
@@ -196,7 +198,7 @@
   }
 }
 
-// Where every host fails, the cause is elsewhere; without hosts everything would be shed.
+// If every host fails, the cause is elsewhere. Ejecting them all would leave no host for any request.
 TEST(OutlierEjection, NeverEjectsMoreThanHalfOfTheHosts) {
   Gateway gateway(roomy(), {host(1), host(2), host(3), host(4)});
   int first_sends = 0;
@@ -216,10 +218,10 @@
   EXPECT_GE(first_sends, 180);
 }
 
-// i6112a8: attempts whose answers never come must not use up the limits of healthy hosts.
+// i6112a8: attempts that are never answered must not use up the limits of healthy hosts.
 TEST(HostSelection, LostAnswersDoNotFillTheLimits) {
   auto settings = roomy();
-  settings.max_attempts = 1;  // a lost attempt is in flight until its deadline
+  settings.max_attempts = 1;  // a lost attempt stays in flight until its deadline
   Gateway gateway(settings);
   RequestId id = gateway.fill(1, 50);
   int asked = 0, sent = 0;
@@ -230,7 +232,7 @@
     if (i >= 300) ++asked, sent += on;
     for (const auto& action : gateway.out.take()) {
       if (action.kind == Act::kSend && i % 6 != 0)
-        answers.emplace_back(gateway.now + 60, action);  // each sixth is lost
+        answers.emplace_back(gateway.now + 60, action);  // every sixth answer is lost
     }
     gateway.wait(20);
     while (!answers.empty() && answers.front().first <= gateway.now) {
--- a/tests/admission/slow_start_test.cpp
+++ b/tests/admission/slow_start_test.cpp
@@ -28,8 +28,8 @@
   EXPECT_EQ(parts.random.uniform(), RandomSource(7).uniform());
 }
 
-// Four hosts of weights 0.2, 0.2, 1 and 1. A host's part is its weight of their sum 2.4, unless 0.6 of the
-// overload factor in even parts of the sends is less.
+// Four hosts with weights 0.2, 0.2, 1 and 1. The share of a warming-up host is its weight divided by the
+// sum 2.4, but at most its weight times 0.6 times the overload factor times an equal share.
 TEST(SlowStart, EachHostIsSelectedAsOftenAsItsWeightAllows) {
   struct Case {
     double overload_factor;
--- a/tests/admission/warm_up_test.cpp
+++ b/tests/admission/warm_up_test.cpp
@@ -1,4 +1,4 @@
-// Hosts that warm up and hosts that were idle.
+// Hosts during slow start, and hosts that were idle.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -12,8 +12,8 @@
 
 class SlowStartOfManyGateways : public ::testing::TestWithParam<int> {};
 
-// Hundreds of gateways that send one attempt each must not overload hosts that warm up. 40 % of the hosts and
-// all gateways have just restarted.
+// Hundreds of gateways that send one attempt each must not overload hosts during slow start. 40 % of the
+// hosts and all gateways have just restarted.
 TEST_P(SlowStartOfManyGateways, StaysBelowTheCapacityOfTheHosts) {
   const int gateways = GetParam();
   const auto settings = large(gateways);
@@ -30,17 +30,17 @@
   int cold = 0;
   for (HostId host_id = 1; host_id <= 16; ++host_id) {
     EXPECT_LE(sends[host_id], 2 * 0.28 * 30 + 3)
-        << "twice the present ability of a host that carries 30 a second";
+        << "twice the current capacity of a host that serves 30 per second when warm";
     cold += sends[host_id];
   }
-  EXPECT_GE(cold, 1) << "cold hosts must get work, or they stay cold where work warms them";
+  EXPECT_GE(cold, 1) << "hosts that warm up by working must receive requests";
   EXPECT_LE(cold, 16 * 30 * 0.4);
 }
 
 INSTANTIATE_TEST_SUITE_P(Gateways, SlowStartOfManyGateways, ::testing::Values(3, 400));
 
-// 16 of 24 hosts warm up while the others queue; their part goes by what the fleet could serve, not by what
-// the crowded hosts still complete.
+// 16 of 24 hosts warm up while the others queue. Their share is based on the capacity of the fleet, not on
+// what the overloaded hosts still complete.
 TEST(LargeFleet, HostsThatWarmUpGetTheirPartWhileOthersQueue) {
   int cold = 0, all = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
@@ -71,13 +71,13 @@
     }
   }
   ASSERT_GE(all, 200);
-  // At 6 s their weight is 0.47 each, 7.6 of 15.6 in all.
+  // At 6 s their weight is 0.47 each, 7.6 of a total of 15.6.
   EXPECT_GE(cold, all * 4 / 10);
   EXPECT_LE(cold, all * 8 / 10);
 }
 
-// Idle hosts take a burst at the start and after a lull; hosts that then do not answer get nothing more after
-// the target latency.
+// Idle hosts accept a burst at the start and after an idle period. Hosts that then do not answer receive
+// hardly anything more after the target latency.
 TEST(IdleHosts, ABurstFindsCapacityOnIdleHostsAndNotOnStuckOnes) {
   Gateway gateway(large(1), {host(1), host(2), host(3), host(4)}, 1000);
   RequestId id = 1;
@@ -96,16 +96,16 @@
   };
   EXPECT_GE(burst(), 45) << "at the start";
   answered();
-  EXPECT_GE(burst(), 45) << "at once again";
+  EXPECT_GE(burst(), 45) << "immediately after the first burst";
   answered();
   gateway.wait(10'000);
-  EXPECT_GE(burst(), 45) << "after a lull";
+  EXPECT_GE(burst(), 45) << "after an idle period";
   gateway.out.take();
   gateway.wait(1000);  // no answers
-  EXPECT_LE(burst(), 4) << "behind fifty that are stuck";
+  EXPECT_LE(burst(), 4) << "behind fifty stuck attempts";
 }
 
-// Hosts that warm up get no such credit.
+// Hosts during slow start get only the minimum limit.
 TEST(IdleHosts, HostsThatWarmUpGetTheLeastLimitAtFirst) {
   Gateway gateway(large(1), {host(1, HostState::kReady, 1e6), host(2, HostState::kReady, 1e6)}, 1e6 + 5000);
   int sent = 0;
--- a/tests/module_limits.cmake
+++ b/tests/module_limits.cmake
@@ -1,5 +1,5 @@
-# The module's limits: the files that the deploy file lists under `policy` are all of src/admission/ but its build list,
-# and none has a line past 110 characters.
+# Checks the limits of the decision module: the deploy file lists under `policy` exactly the files of src/admission/
+# without its CMakeLists.txt, and none of them has a line longer than 110 characters.
 file(STRINGS "${ROOT}/deploy/balancer.toml" policy REGEX "^policy = ")
 string(REGEX MATCHALL "src/[A-Za-z0-9_./]+" listed "${policy}")
 file(GLOB_RECURSE present RELATIVE "${ROOT}" "${ROOT}/src/admission/*")
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -1,4 +1,4 @@
-// The codec against the framing page's example bytes, and malformed input.
+// Tests of the codec with the example bytes of the protocol's specification, and with malformed input.
 #include <gtest/gtest.h>
 
 #include <cstdint>
@@ -87,7 +87,7 @@
   ASSERT_GE(reply.size(), 8u + 2 * 24);
   const Raw got(reply.begin(), reply.end());
   EXPECT_EQ(Raw(got.begin() + 8, got.begin() + 32), hex("4d 03000000", 24));
-  // Relay of that request to one of the two hosts on the list.
+  // The request is sent to one of the two hosts on the list.
   EXPECT_EQ(Raw(got.begin() + 32, got.begin() + 41), hex("40 c4913a5d02cb0100"));
   const Raw to(got.begin() + 41, got.begin() + 45);
   EXPECT_TRUE(to == hex("074a1203") || to == hex("f211902c"));
