--- a/include/cometfold/attempt_rules.h
+++ b/include/cometfold/attempt_rules.h
@@ -78,9 +78,9 @@
 inline constexpr std::size_t kAttemptVerdictCount = std::size(kAttemptVerdictNames);
 
 // Constraint that a request's earlier attempts impose on the next one. `Attempt` has the members `host`,
-// `place` (the host's location when the attempt was sent), `sent` (time), `out` (in flight) and
-// `may_have_run`; attempts in flight count as executed. Holds a pointer into the attempts and is invalidated
-// when they change.
+// `location` (of the host when the attempt was sent), `sent_at`, `in_flight` and
+// `may_have_executed`; attempts in flight count as executed. Holds a pointer into the attempts and is
+// invalidated when they change.
 template <class Attempt>
 struct RetryConstraint {
   AttemptVerdict verdict = AttemptVerdict::kAllowed;
@@ -89,8 +89,8 @@
   // Whether the attempt may be sent to the host at this location. Requires that `verdict` is kAllowed.
   bool allows(const ClassSettings& terms, HostId host, const HostLocation& location) const {
     if (key_holder == nullptr) return true;
-    const bool same_host = key_holder->host == host && key_holder->place == location;
-    return same_host || in_same_scope(terms.idempotency_scope, key_holder->place, location);
+    const bool same_host = key_holder->host == host && key_holder->location == location;
+    return same_host || in_same_scope(terms.idempotency_scope, key_holder->location, location);
   }
 };
 
@@ -102,12 +102,12 @@
   const bool has_key =
       terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope != IdempotencyScope::kNone;
   for (const auto& attempt : attempts) {
-    if (!attempt.out && !attempt.may_have_run) continue;
+    if (!attempt.in_flight && !attempt.may_have_executed) continue;
     if (!has_key) {
       constraint.verdict = AttemptVerdict::kMayHaveExecuted;
       return constraint;
     }
-    if (now > attempt.sent + retry_window_ms(terms)) constraint.verdict = AttemptVerdict::kKeyExpired;
+    if (now > attempt.sent_at + retry_window_ms(terms)) constraint.verdict = AttemptVerdict::kKeyExpired;
     if (constraint.key_holder == nullptr) constraint.key_holder = &attempt;
   }
   return constraint;
@@ -117,7 +117,7 @@
 template <class Attempts>
 bool may_hedge(const Attempts& attempts, bool hedging_allowed) {
   const auto in_flight =
-      std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) { return attempt.out; });
+      std::count_if(attempts.begin(), attempts.end(), [](const auto& attempt) { return attempt.in_flight; });
   return in_flight == 0 || (hedging_allowed && in_flight == 1);
 }
 
@@ -128,7 +128,7 @@
   if (terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope == IdempotencyScope::kAll)
     return true;
   return std::none_of(attempts.begin(), attempts.end(),
-                      [](const auto& attempt) { return attempt.out || attempt.may_have_run; });
+                      [](const auto& attempt) { return attempt.in_flight || attempt.may_have_executed; });
 }
 
 }  // namespace cometfold
--- a/src/admission/attempt_handling.cpp
+++ b/src/admission/attempt_handling.cpp
@@ -25,14 +25,14 @@
   PendingRequest* pending = requests_.find(id);
   if (pending == nullptr || index >= pending->attempts.size()) return;
   Attempt& attempt = pending->attempts[index];
-  if (pending->streaming || !attempt.out) return;
+  if (pending->streaming || !attempt.in_flight) return;
   Host& host = hosts_.find_or_create(attempt.host);
   hosts_.decay(host, now_);
   release_host(host, attempt);
   pending->streaming = true;
   attempt.streaming = true;
-  hosts_.record_answer(host, attempt.sent, now_);
-  record_success(*pending, host, now_ - attempt.sent, out);
+  hosts_.record_answer(host, attempt.sent_at, now_);
+  record_success(*pending, host, now_ - attempt.sent_at, out);
   for (std::uint32_t i = 0; i < pending->attempts.size(); ++i) {
     if (i != index) cancel_attempt(*pending, i, out);
   }
@@ -42,7 +42,7 @@
   PendingRequest* pending = requests_.find(result.request);
   if (pending == nullptr || result.attempt >= pending->attempts.size()) return;
   Attempt& attempt = pending->attempts[result.attempt];
-  if (!attempt.out || attempt.host != result.host) return;
+  if (!attempt.in_flight || attempt.host != result.host) return;
   Host& host = hosts_.find_or_create(attempt.host);
   end_attempt(*pending, attempt, host, result.outcome);
   record_result(*pending, attempt, host, result, out);
@@ -65,8 +65,8 @@
 
 void AdmissionController::Impl::end_attempt(PendingRequest& pending, Attempt& attempt, Host& host,
                                             Outcome outcome) {
-  attempt.out = false;
-  attempt.may_have_run = may_have_executed(outcome);
+  attempt.in_flight = false;
+  attempt.may_have_executed = may_have_executed(outcome);
   attempt.never_sent = outcome == Outcome::kNotSent;
   if (!attempt.streaming) release_host(host, attempt);
   if (Customer* customer = quotas_.find(pending.request.customer)) {
@@ -83,7 +83,7 @@
                                               Host& host, const AttemptResult& result, ActionSink& out) {
   hosts_.decay(host, now_);
   hosts_.record_load(host, result.load_report, false, now_);
-  if (is_answer(result.outcome)) hosts_.record_answer(host, attempt.sent, now_);
+  if (is_answer(result.outcome)) hosts_.record_answer(host, attempt.sent_at, now_);
   record_rejections(pending, attempt, host, result.outcome);
   if (result.outcome == Outcome::kOk && !attempt.streaming) {
     record_success(pending, host, result.duration_ms, out);
@@ -96,7 +96,7 @@
 void AdmissionController::Impl::record_rejections(const PendingRequest& pending, const Attempt& attempt,
                                                   Host& host, Outcome outcome) {
   overload_.record(host, pending.request, outcome == Outcome::kOverloaded, now_);
-  if (attempt.may_have_run || attempt.never_sent) return;
+  if (attempt.may_have_executed || attempt.never_sent) return;
   if (overload_.fleet_rejection_fraction() < OverloadStatistics::kOverloadedFraction) {
     retry_budget_.refund_retry();
   }
--- a/src/admission/pending_request.h
+++ b/src/admission/pending_request.h
@@ -11,10 +11,10 @@
 // Has the members that attempt_rules.h requires.
 struct Attempt {
   HostId host = 0;
-  Ms sent = 0;
-  HostLocation place = {};  // of the host when the attempt was sent
-  bool out = true;
-  bool may_have_run = true;
+  Ms sent_at = 0;
+  HostLocation location = {};  // of the host when the attempt was sent
+  bool in_flight = true;
+  bool may_have_executed = true;
   bool never_sent = false;
   bool cancelled = false;
   bool overdue = false;    // see OverdueDetector
@@ -38,7 +38,7 @@
   }
   std::ptrdiff_t attempts_in_flight() const {
     return std::count_if(attempts.begin(), attempts.end(),
-                         [](const Attempt& attempt) { return attempt.out; });
+                         [](const Attempt& attempt) { return attempt.in_flight; });
   }
   bool was_never_sent() const {
     return std::all_of(attempts.begin(), attempts.end(),
--- a/src/admission/request_handling.cpp
+++ b/src/admission/request_handling.cpp
@@ -111,7 +111,7 @@
   host->attempts_in_flight += 1;
   slow_start_.record_send(now_);
   if (Customer* customer = quotas_.find(pending.request.customer)) customer->attempts_in_flight += 1;
-  pending.attempts.push_back({.host = host->entry.id, .sent = now_, .place = location_of(host->entry)});
+  pending.attempts.push_back({.host = host->entry.id, .sent_at = now_, .location = location_of(host->entry)});
   out.send(pending.request.id, host->entry.id, pending.request.bounds.attempt_timeout_ms);
   return true;
 }
@@ -177,7 +177,7 @@
 void AdmissionController::Impl::cancel_attempt(PendingRequest& pending, std::uint32_t index,
                                                ActionSink& out) const {
   Attempt& attempt = pending.attempts[index];
-  if (!settings_.cancellation_allowed || !attempt.out || attempt.cancelled) return;
+  if (!settings_.cancellation_allowed || !attempt.in_flight || attempt.cancelled) return;
   attempt.cancelled = true;
   out.cancel(pending.request.id, index);
 }
--- a/src/admission/retry_policy.cpp
+++ b/src/admission/retry_policy.cpp
@@ -37,13 +37,13 @@
 }
 
 bool RetryPolicy::is_last_attempt_slow(const PendingRequest& pending, Ms now) const {
-  return now + kEpsilon >= pending.attempts.back().sent + retry_delay(pending);
+  return now + kEpsilon >= pending.attempts.back().sent_at + retry_delay(pending);
 }
 
 Ms RetryPolicy::next_check_after(const PendingRequest& pending, Ms now) const {
   Ms next = last_event_at(pending);
   if (!pending.attempts.empty()) {
-    const Ms retry_at = pending.attempts.back().sent + retry_delay(pending);
+    const Ms retry_at = pending.attempts.back().sent_at + retry_delay(pending);
     if (retry_at > now && retry_at < pending.value_ends_at()) next = std::min(next, retry_at);
   }
   return std::max(next - now, 0.0);
--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -11,10 +11,10 @@
 // An attempt with the field names that cometfold/attempt_rules.h requires.
 struct RuleAttempt {
   HostId host = 0;
-  HostLocation place;
-  Ms sent = 0;
-  bool out = true;
-  bool may_have_run = true;
+  HostLocation location;
+  Ms sent_at = 0;
+  bool in_flight = true;
+  bool may_have_executed = true;
 };
 
 RuleAttempt to_rule_attempt(const Attempt& attempt) {
--- a/tests/admission/host_selector_test.cpp
+++ b/tests/admission/host_selector_test.cpp
@@ -50,7 +50,7 @@
 }
 
 TEST_F(HostSelectorTest, TriedAndEjectedHostsAreTheLastResort) {
-  pending.attempts.push_back({.host = 1, .out = false});
+  pending.attempts.push_back({.host = 1, .in_flight = false});
   parts.host(2).ejected_until = now + 1000;
   const auto counts = select_often();
   EXPECT_EQ(counts.count(1) + counts.count(2), 0u);
--- a/tests/admission/overdue_detector_test.cpp
+++ b/tests/admission/overdue_detector_test.cpp
@@ -21,7 +21,7 @@
   HostParts parts;
   OverdueDetector detector{parts.hosts, parts.latency, parts.slow_start};
   Request request;
-  Attempt attempt{.host = 1, .sent = 1000};
+  Attempt attempt{.host = 1, .sent_at = 1000};
 };
 
 TEST_F(OverdueDetectorTest, AnAttemptThatLaterOnesHaveOvertakenNoLongerCounts) {
@@ -55,7 +55,7 @@
 
 TEST_F(OverdueDetectorTest, AnEndedAttemptIsLeftAlone) {
   answer_elsewhere(5000);
-  attempt.out = false;
+  attempt.in_flight = false;
   EXPECT_FALSE(detector.update(attempt, request, 6000));
   EXPECT_FALSE(attempt.overdue);
 }
--- a/tests/admission/retry_policy_test.cpp
+++ b/tests/admission/retry_policy_test.cpp
@@ -16,7 +16,7 @@
         .latency_objective_ms = 1000, .deadline_ms = 4000, .idempotency = Idempotency::kIdempotent};
     pending.request.expires_at = 4000;
   }
-  void send(Ms at) { pending.attempts.push_back({.host = 1, .sent = at}); }
+  void send(Ms at) { pending.attempts.push_back({.host = 1, .sent_at = at}); }
 
   AdmissionSettings settings;
   LatencyStatistics latency;
@@ -44,7 +44,7 @@
 
 TEST_F(RetryPolicyTest, AttemptsAreBoundedByTheSettingsTheRequestAndItsWindow) {
   send(0);
-  pending.attempts[0].out = false;
+  pending.attempts[0].in_flight = false;
   pending.request.bounds.retry_window_ms = 500;
   EXPECT_TRUE(policy.has_attempts_left(pending, 500));
   EXPECT_FALSE(policy.has_attempts_left(pending, 501));
