--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -125,12 +125,13 @@
 };
 
 ClassSettings read_class(const SettingsReader& reader, const std::string& prefix) {
-  ClassSettings terms;
-  reader.read_numbers(kClassNumbers, prefix, terms);
-  terms.idempotency =
+  ClassSettings class_settings;
+  reader.read_numbers(kClassNumbers, prefix, class_settings);
+  class_settings.idempotency =
       value_of(kIdempotencyWords, reader.text(prefix + "semantics"), Idempotency::kNonIdempotent);
-  terms.idempotency_scope = value_of(kScopeWords, reader.text(prefix + "group"), IdempotencyScope::kNone);
-  return terms;
+  class_settings.idempotency_scope =
+      value_of(kScopeWords, reader.text(prefix + "group"), IdempotencyScope::kNone);
+  return class_settings;
 }
 
 std::vector<LoadField> read_load_fields(std::string_view words) {
--- a/include/cometfold/attempt_rules.h
+++ b/include/cometfold/attempt_rules.h
@@ -46,9 +46,9 @@
 }
 
 // Time from its first attempt in which a request with an idempotency key may be retried, in milliseconds.
-inline Ms retry_window_ms(const ClassSettings& terms) {
-  return std::max(std::min(kKeyLifetimeFraction * terms.idempotency_key_ttl_ms,
-                           terms.idempotency_key_ttl_ms - kKeyLifetimeMarginMs),
+inline Ms retry_window_ms(const ClassSettings& class_settings) {
+  return std::max(std::min(kKeyLifetimeFraction * class_settings.idempotency_key_ttl_ms,
+                           class_settings.idempotency_key_ttl_ms - kKeyLifetimeMarginMs),
                   0.0);
 }
 
@@ -87,27 +87,28 @@
   const Attempt* key_holder = nullptr;  // if set, only hosts that share this attempt's idempotency key
 
   // Whether the attempt may be sent to the host at this location. Requires that `verdict` is kAllowed.
-  bool allows(const ClassSettings& terms, HostId host, const HostLocation& location) const {
+  bool allows(const ClassSettings& class_settings, HostId host, const HostLocation& location) const {
     if (key_holder == nullptr) return true;
     const bool same_host = key_holder->host == host && key_holder->location == location;
-    return same_host || in_same_scope(terms.idempotency_scope, key_holder->location, location);
+    return same_host || in_same_scope(class_settings.idempotency_scope, key_holder->location, location);
   }
 };
 
 // Computes the constraint for an attempt that is sent now. `attempts` are the earlier ones, oldest first.
 template <class Attempts>
-auto retry_constraint(const ClassSettings& terms, const Attempts& attempts, Ms now) {
+auto retry_constraint(const ClassSettings& class_settings, const Attempts& attempts, Ms now) {
   RetryConstraint<typename Attempts::value_type> constraint;
-  if (terms.idempotency == Idempotency::kIdempotent) return constraint;
-  const bool has_key =
-      terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope != IdempotencyScope::kNone;
+  if (class_settings.idempotency == Idempotency::kIdempotent) return constraint;
+  const bool has_key = class_settings.idempotency == Idempotency::kIdempotencyKey &&
+                       class_settings.idempotency_scope != IdempotencyScope::kNone;
   for (const auto& attempt : attempts) {
     if (!attempt.in_flight && !attempt.may_have_executed) continue;
     if (!has_key) {
       constraint.verdict = AttemptVerdict::kMayHaveExecuted;
       return constraint;
     }
-    if (now > attempt.sent_at + retry_window_ms(terms)) constraint.verdict = AttemptVerdict::kKeyExpired;
+    if (now > attempt.sent_at + retry_window_ms(class_settings))
+      constraint.verdict = AttemptVerdict::kKeyExpired;
     if (constraint.key_holder == nullptr) constraint.key_holder = &attempt;
   }
   return constraint;
@@ -123,9 +124,10 @@
 
 // Whether the request may be rejected, which tells the client that a retry is safe.
 template <class Attempts>
-bool may_reject(const ClassSettings& terms, const Attempts& attempts) {
-  if (terms.idempotency == Idempotency::kIdempotent) return true;
-  if (terms.idempotency == Idempotency::kIdempotencyKey && terms.idempotency_scope == IdempotencyScope::kAll)
+bool may_reject(const ClassSettings& class_settings, const Attempts& attempts) {
+  if (class_settings.idempotency == Idempotency::kIdempotent) return true;
+  if (class_settings.idempotency == Idempotency::kIdempotencyKey &&
+      class_settings.idempotency_scope == IdempotencyScope::kAll)
     return true;
   return std::none_of(attempts.begin(), attempts.end(),
                       [](const auto& attempt) { return attempt.in_flight || attempt.may_have_executed; });
--- a/src/admission/concurrency_limiter.cpp
+++ b/src/admission/concurrency_limiter.cpp
@@ -13,8 +13,9 @@
 
 void ConcurrencyLimiter::on_settings_changed() {
   shortest_objective_ = kInfiniteMs;
-  for (const auto& terms : settings_.classes) {
-    const Ms objective = terms.latency_objective_ms > 0 ? terms.latency_objective_ms : terms.deadline_ms;
+  for (const auto& class_settings : settings_.classes) {
+    const Ms objective = class_settings.latency_objective_ms > 0 ? class_settings.latency_objective_ms
+                                                                 : class_settings.deadline_ms;
     shortest_objective_ = std::min(shortest_objective_, objective);
   }
 }
--- a/src/admission/pending_request.h
+++ b/src/admission/pending_request.h
@@ -24,7 +24,7 @@
 
 struct PendingRequest {
   Request request;
-  ClassSettings terms;  // of its class at its arrival; later settings apply to later requests
+  ClassSettings class_settings;  // of its class at its arrival; later settings apply to later requests
   Ms arrived_at = 0;
   bool within_quota = false;
   bool charged = false;    // its units were taken when its first attempt was sent
@@ -46,11 +46,13 @@
   }
   // Latency up to which an answer has its full value, in milliseconds.
   Ms latency_objective() const {
-    return terms.latency_objective_ms > 0 ? terms.latency_objective_ms : terms.deadline_ms;
+    return class_settings.latency_objective_ms > 0 ? class_settings.latency_objective_ms
+                                                   : class_settings.deadline_ms;
   }
   // Time after which an answer has no value.
   Ms value_ends_at() const {
-    const Ms objective_at = terms.late_value_fraction > 0 ? kInfiniteMs : arrived_at + latency_objective();
+    const Ms objective_at =
+        class_settings.late_value_fraction > 0 ? kInfiniteMs : arrived_at + latency_objective();
     return std::min(objective_at, request.expires_at);
   }
 };
--- a/src/admission/request_handling.cpp
+++ b/src/admission/request_handling.cpp
@@ -98,7 +98,8 @@
   const Request& request = pending.request;
   const double plan_weight = settings_.plans[request.plan_index].plan_weight;
   const double work_per_unit = shedder_.work_per_unit(request.class_index);
-  const double value_per_work = plan_weight * pending.terms.priority_weight * value_factor / work_per_unit;
+  const double value_per_work =
+      plan_weight * pending.class_settings.priority_weight * value_factor / work_per_unit;
   return shedder_.should_shed(value_per_work, work_per_unit * request.units);
 }
 
@@ -142,7 +143,7 @@
     send_retry(pending, out);
     return;
   }
-  if (pending.terms.idempotency == Idempotency::kNonIdempotent) return;
+  if (pending.class_settings.idempotency == Idempotency::kNonIdempotent) return;
   if (!retries_.has_attempts_left(pending, now_) || !selector_.has_untried_host(pending, now_)) return;
   cancel_attempt(pending, static_cast<std::uint32_t>(pending.attempts.size() - 1), out);
 }
@@ -158,7 +159,7 @@
   if (pending.answered) return;
   pending.answered = true;
   const RequestId id = pending.request.id;
-  if (may_reject(pending.terms, pending.attempts)) {
+  if (may_reject(pending.class_settings, pending.attempts)) {
     const Ms max_retry_after = settings_.retry_after_allowed ? settings_.max_retry_after_ms : 0;
     const Ms retry_after = finite_or(rejection.retry_after, max_retry_after);
     out.reject(id, std::clamp(retry_after, 0.0, max_retry_after), rejection.reason);
--- a/src/admission/request_table.cpp
+++ b/src/admission/request_table.cpp
@@ -7,10 +7,10 @@
   return it == requests_.end() ? nullptr : &it->second;
 }
 
-PendingRequest& RequestTable::insert(const Request& request, const ClassSettings& terms, Ms now) {
+PendingRequest& RequestTable::insert(const Request& request, const ClassSettings& class_settings, Ms now) {
   PendingRequest& pending = requests_[request.id];
   pending.request = request;
-  pending.terms = terms;
+  pending.class_settings = class_settings;
   pending.arrived_at = now;
   return pending;
 }
--- a/src/admission/request_table.h
+++ b/src/admission/request_table.h
@@ -14,7 +14,7 @@
 
   // Returns null if no such request is pending.
   PendingRequest* find(RequestId id);
-  PendingRequest& insert(const Request& request, const ClassSettings& terms, Ms now);
+  PendingRequest& insert(const Request& request, const ClassSettings& class_settings, Ms now);
   // Returns the entry for `erase`, or `end()` if no such request is pending.
   Map::iterator locate(RequestId id) { return requests_.find(id); }
   void erase(Map::iterator entry) { requests_.erase(entry); }
--- a/src/admission/retry_policy.cpp
+++ b/src/admission/retry_policy.cpp
@@ -15,7 +15,7 @@
   if (now >= pending.request.expires_at) return {AttemptVerdict::kDeadlineExceeded};
   if (!has_attempts_left(pending, now)) return {AttemptVerdict::kTooManyAttempts};
   if (!may_hedge(pending.attempts, may_hedge_request(pending))) return {AttemptVerdict::kAttemptInFlight};
-  return retry_constraint(pending.terms, pending.attempts, now);
+  return retry_constraint(pending.class_settings, pending.attempts, now);
 }
 
 bool RetryPolicy::has_attempts_left(const PendingRequest& pending, Ms now) const {
--- a/tests/admission/host_parts.h
+++ b/tests/admission/host_parts.h
@@ -17,7 +17,8 @@
   static AdmissionSettings default_settings() {
     AdmissionSettings settings;
     settings.classes.resize(2);
-    for (auto& terms : settings.classes) terms = {.latency_objective_ms = 1000, .deadline_ms = 4000};
+    for (auto& class_settings : settings.classes)
+      class_settings = {.latency_objective_ms = 1000, .deadline_ms = 4000};
     settings.plans.resize(2);
     settings.slow_start_initial_weight = 0.2;
     settings.slow_start_duration_ms = 10'000;
--- a/tests/admission/retry_policy_test.cpp
+++ b/tests/admission/retry_policy_test.cpp
@@ -12,7 +12,7 @@
     settings.hedging_allowed = true;
     settings.min_event_interval_ms = 4;
     latency.resize(1);
-    pending.terms = {
+    pending.class_settings = {
         .latency_objective_ms = 1000, .deadline_ms = 4000, .idempotency = Idempotency::kIdempotent};
     pending.request.expires_at = 4000;
   }
@@ -55,7 +55,7 @@
 TEST_F(RetryPolicyTest, ARetryThatComesTooLateForItsValueIsNotWorthwhile) {
   EXPECT_TRUE(policy.is_retry_worthwhile(pending, 899));
   EXPECT_FALSE(policy.is_retry_worthwhile(pending, 900));
-  pending.terms.late_value_fraction = 0.5;  // an answer has value until the deadline
+  pending.class_settings.late_value_fraction = 0.5;  // an answer has value until the deadline
   EXPECT_TRUE(policy.is_retry_worthwhile(pending, 3599));
   EXPECT_FALSE(policy.is_retry_worthwhile(pending, 3600));
   while (budget.has_retry()) budget.on_retry();
