--- a/src/admission/load_shedder.cpp
+++ b/src/admission/load_shedder.cpp
@@ -8,7 +8,7 @@
 constexpr double kUnitsGain = 0.1;          // weight of one request in its class's mean units
 constexpr double kLatencyGain = 0.05;       // weight of one latency in the mean
 constexpr double kOverloadedLatency = 0.5;  // mean latency relative to the objective
-constexpr double kPressedLatency = 0.18;    // expected mean latency relative to the shortest objective
+constexpr double kPressureLatency = 0.18;   // expected mean latency relative to the shortest objective
 constexpr double kShedUtilization = 0.5;    // requests are shed above this utilization
 // Lower in large fleets, where requests beyond a quota are hard to recognize.
 constexpr double kLargeFleetShedUtilization = 0.2;
@@ -57,9 +57,9 @@
          parts_.overload.fleet_rejection_fraction() > OverloadStatistics::kOverloadedFraction;
 }
 
-bool LoadShedder::is_pressed() const {
+bool LoadShedder::is_under_pressure() const {
   return is_overloaded() || utilization_ * parts_.limiter.target_latency() >
-                                kPressedLatency * parts_.limiter.shortest_objective();
+                                kPressureLatency * parts_.limiter.shortest_objective();
 }
 
 double LoadShedder::work_per_unit(std::uint32_t class_index) const {
--- a/src/admission/load_shedder.h
+++ b/src/admission/load_shedder.h
@@ -38,7 +38,7 @@
   bool is_overloaded() const;
   // Whether hosts are loaded enough to enforce quotas: the fleet is overloaded, or the expected latency takes
   // a significant part of the objective.
-  bool is_pressed() const;
+  bool is_under_pressure() const;
 
   // Host time per unit of this class, in milliseconds.
   double work_per_unit(std::uint32_t class_index) const;
--- a/src/admission/quota_overrun_estimator.cpp
+++ b/src/admission/quota_overrun_estimator.cpp
@@ -6,7 +6,7 @@
 namespace {
 
 constexpr double kRequestUnitsGain = 0.025;    // weight of one request in the mean
-constexpr double kDemandMemoryRequests = 8;    // units to expect from a slice within the memory
+constexpr double kDemandMemoryUnits = 8;       // units to expect from a slice within the memory
 constexpr Ms kMinDemandMemoryMs = 1500;        // shorter than customers take to move between gateways
 constexpr Ms kMaxDemandMemoryMs = 60'000;      // idle customers are evicted after this time
 constexpr double kPriorRequests = 0.4;         // weight of the prior, in requests
@@ -27,8 +27,8 @@
 }
 
 Ms QuotaOverrunEstimator::demand_memory(const Customer& customer) {
-  return std::clamp(kDemandMemoryRequests * 1000 / std::max(customer.quota.rate(), kEpsilon),
-                    kMinDemandMemoryMs, kMaxDemandMemoryMs);
+  return std::clamp(kDemandMemoryUnits * 1000 / std::max(customer.quota.rate(), kEpsilon), kMinDemandMemoryMs,
+                    kMaxDemandMemoryMs);
 }
 
 bool QuotaOverrunEstimator::is_sparse(const Customer& customer, const Request& request) {
--- a/src/admission/request_handling.cpp
+++ b/src/admission/request_handling.cpp
@@ -91,7 +91,7 @@
 // judge a customer by, this takes a higher load.
 bool AdmissionController::Impl::is_quota_binding(const Customer& customer, const Request& request) const {
   return QuotaOverrunEstimator::is_sparse(customer, request) ? shedder_.is_overloaded()
-                                                             : shedder_.is_pressed();
+                                                             : shedder_.is_under_pressure();
 }
 
 bool AdmissionController::Impl::should_shed(const PendingRequest& pending, double value_factor) {
@@ -128,7 +128,7 @@
   if (retries_.is_deadline_due(pending, now_)) {
     return give_up(pending, {0, RejectionReason::kDeadlineExceeded}, out);
   }
-  const bool slow = retries_.is_last_attempt_slow(pending, now_) && !shedder_.is_pressed();
+  const bool slow = retries_.is_last_attempt_slow(pending, now_) && !shedder_.is_under_pressure();
   const bool failed = pending.attempts.back().failed && !shedder_.is_overloaded();
   if ((slow || failed) && pending.attempts_in_flight() == 1 && retries_.is_retry_worthwhile(pending, now_)) {
     retry_slow_attempt(pending, out);
--- a/tests/admission/load_shedder_test.cpp
+++ b/tests/admission/load_shedder_test.cpp
@@ -63,14 +63,14 @@
   EXPECT_FALSE(shedder.is_overloaded());
   for (int i = 0; i < 100; ++i) shedder.record_latency(800, 1000);
   EXPECT_TRUE(shedder.is_overloaded());
-  EXPECT_TRUE(shedder.is_pressed());
+  EXPECT_TRUE(shedder.is_under_pressure());
 }
 
 TEST_F(LoadShedderTest, AQuotaBindsBeforeTheHostsAreOverloaded) {
   settle(2);
-  EXPECT_FALSE(shedder.is_pressed()) << "half of the limits, 0.15 of the objective";
+  EXPECT_FALSE(shedder.is_under_pressure()) << "half of the limits, 0.15 of the objective";
   settle(3);
-  EXPECT_TRUE(shedder.is_pressed());
+  EXPECT_TRUE(shedder.is_under_pressure());
   EXPECT_FALSE(shedder.is_overloaded());
 }
 
--- a/tests/admission/quota_rules_test.cpp
+++ b/tests/admission/quota_rules_test.cpp
@@ -130,7 +130,7 @@
   gateway.answer_all();
 }
 
-TEST(CeilingRules, PlansWithoutOverrunCostAreNotLimitedWhileHostsAreNotPressed) {
+TEST(CeilingRules, PlansWithoutOverrunCostAreNotLimitedWhileHostsAreNotUnderPressure) {
   auto settings = plain_settings();
   settings.plans[0].over_quota_value = 1;
   Gateway gateway(settings);
