--- a/adapter/settings.cpp
+++ b/adapter/settings.cpp
@@ -14,33 +14,33 @@
 // Names in the platform's settings and the module's values or members that they stand for. Numbers are read
 // in this order.
 template <class Value>
-struct Word {
-  std::string_view word;
+struct NamedValue {
+  std::string_view name;
   Value value;
 };
 
-constexpr Word<Idempotency> kIdempotencyWords[] = {
+constexpr NamedValue<Idempotency> kIdempotencyNames[] = {
     {"safe", Idempotency::kIdempotent},
     {"keyed", Idempotency::kIdempotencyKey},
 };
-constexpr Word<IdempotencyScope> kScopeWords[] = {
+constexpr NamedValue<IdempotencyScope> kScopeNames[] = {
     {"all", IdempotencyScope::kAll},
     {"zone", IdempotencyScope::kZone},
     {"cell", IdempotencyScope::kCell},
 };
-constexpr Word<LoadField> kLoadFieldWords[] = {
+constexpr NamedValue<LoadField> kLoadFieldNames[] = {
     {"depth", LoadField::kQueueLength},
     {"concurrent", LoadField::kInFlight},
     {"load_share", LoadField::kUtilization},
 };
-constexpr Word<double ClassSettings::*> kClassNumbers[] = {
+constexpr NamedValue<double ClassSettings::*> kClassNumbers[] = {
     {"slo_ms", &ClassSettings::latency_objective_ms},
     {"deadline_ms", &ClassSettings::deadline_ms},
     {"worth", &ClassSettings::priority_weight},
     {"late_share", &ClassSettings::late_value_fraction},
     {"key_ttl_ms", &ClassSettings::idempotency_key_ttl_ms},
 };
-constexpr Word<double PlanSettings::*> kPlanNumbers[] = {
+constexpr NamedValue<double PlanSettings::*> kPlanNumbers[] = {
     {"quota_rate", &PlanSettings::quota_rate},
     {"burst", &PlanSettings::quota_burst},
     {"pays", &PlanSettings::plan_weight},
@@ -51,9 +51,9 @@
     {"ceiling_slack", &PlanSettings::ceiling_slack},
     {"concurrency", &PlanSettings::max_concurrent_attempts},
 };
-constexpr std::string_view kGatewayCountWord = "siblings";
-constexpr std::string_view kLocalZoneWord = "az";
-constexpr Word<double AdmissionSettings::*> kNumbers[] = {
+constexpr std::string_view kGatewayCountKey = "siblings";
+constexpr std::string_view kLocalZoneKey = "az";
+constexpr NamedValue<double AdmissionSettings::*> kNumbers[] = {
     {"family_info.units_top", &AdmissionSettings::max_request_units},
     {"ceilings.max_attempts", &AdmissionSettings::max_attempts},
     {"ceilings.max_retry_after_ms", &AdmissionSettings::max_retry_after_ms},
@@ -64,7 +64,7 @@
     {"rules.overload_factor", &AdmissionSettings::overload_factor},
     {"rules.fall_ms", &AdmissionSettings::overload_window_ms},
 };
-constexpr Word<bool AdmissionSettings::*> kFlags[] = {
+constexpr NamedValue<bool AdmissionSettings::*> kFlags[] = {
     {"family_info.trued_up", &AdmissionSettings::actual_units_reported},
     {"ceilings.second_copies", &AdmissionSettings::hedging_allowed},
     {"ceilings.cancel", &AdmissionSettings::cancellation_allowed},
@@ -73,10 +73,10 @@
 };
 
 template <class Value, std::size_t kCount>
-Value value_of(const Word<Value> (&words)[kCount], std::string_view word, Value fallback) {
+Value value_of(const NamedValue<Value> (&names)[kCount], std::string_view name, Value fallback) {
   const auto* found =
-      std::find_if(std::begin(words), std::end(words), [&](const auto& entry) { return entry.word == word; });
-  return found == std::end(words) ? fallback : found->value;
+      std::find_if(std::begin(names), std::end(names), [&](const auto& entry) { return entry.name == name; });
+  return found == std::end(names) ? fallback : found->value;
 }
 
 double parse_number(const std::string& key, const std::string& text) {
@@ -113,10 +113,10 @@
   }
   // Reads the numbers of one object, whose keys start with `prefix`.
   template <class Settings, std::size_t kCount>
-  void read_numbers(const Word<double Settings::*> (&words)[kCount], const std::string& prefix,
+  void read_numbers(const NamedValue<double Settings::*> (&names)[kCount], const std::string& prefix,
                     Settings& settings) const {
-    for (const auto& [word, member] : words) {
-      settings.*member = number(prefix + std::string(word), settings.*member);
+    for (const auto& [name, member] : names) {
+      settings.*member = number(prefix + std::string(name), settings.*member);
     }
   }
 
@@ -128,25 +128,25 @@
   ClassSettings class_settings;
   reader.read_numbers(kClassNumbers, prefix, class_settings);
   class_settings.idempotency =
-      value_of(kIdempotencyWords, reader.text(prefix + "semantics"), Idempotency::kNonIdempotent);
+      value_of(kIdempotencyNames, reader.text(prefix + "semantics"), Idempotency::kNonIdempotent);
   class_settings.idempotency_scope =
-      value_of(kScopeWords, reader.text(prefix + "group"), IdempotencyScope::kNone);
+      value_of(kScopeNames, reader.text(prefix + "group"), IdempotencyScope::kNone);
   return class_settings;
 }
 
-std::vector<LoadField> read_load_fields(std::string_view words) {
+std::vector<LoadField> read_load_fields(std::string_view names) {
   std::vector<LoadField> fields;
-  while (!words.empty()) {
-    const auto word = words.substr(0, words.find(','));
-    words.remove_prefix(std::min(word.size() + 1, words.size()));
-    fields.push_back(load_field(word));
+  while (!names.empty()) {
+    const auto name = names.substr(0, names.find(','));
+    names.remove_prefix(std::min(name.size() + 1, names.size()));
+    fields.push_back(load_field(name));
   }
   return fields;
 }
 
 }  // namespace
 
-LoadField load_field(std::string_view word) { return value_of(kLoadFieldWords, word, LoadField::kOther); }
+LoadField load_field(std::string_view name) { return value_of(kLoadFieldNames, name, LoadField::kOther); }
 
 AdmissionSettings read_settings(std::string_view text) {
   Pairs values;
@@ -171,10 +171,10 @@
   for (std::size_t i = 0; i < settings.plans.size(); ++i) {
     reader.read_numbers(kPlanNumbers, "packages." + std::to_string(i) + ".", settings.plans[i]);
   }
-  settings.gateway_count = reader.number(kGatewayCountWord, settings.gateway_count);
-  settings.local_zone = reader.index(kLocalZoneWord);
+  settings.gateway_count = reader.number(kGatewayCountKey, settings.gateway_count);
+  settings.local_zone = reader.index(kLocalZoneKey);
   reader.read_numbers(kNumbers, "", settings);
-  for (const auto& [word, member] : kFlags) settings.*member = reader.flag(word);
+  for (const auto& [name, member] : kFlags) settings.*member = reader.flag(name);
   settings.host_watch_required = reader.text("discovery") == "subscribe";
   const auto size_kind = reader.text("weight_kind");
   settings.host_sizes_known = !size_kind.empty() && size_kind != "off";
--- a/adapter/settings.h
+++ b/adapter/settings.h
@@ -21,6 +21,6 @@
 // Reads the same from lines of the form `path=value`; other lines are ignored.
 AdmissionSettings read_settings(std::string_view text);
 // Returns kOther for fields that the module does not use.
-LoadField load_field(std::string_view word);
+LoadField load_field(std::string_view name);
 
 }  // namespace cometfold::wire
