--- a/tests/admission/fleet_quotas_test.cpp
+++ b/tests/admission/fleet_quotas_test.cpp
@@ -9,7 +9,7 @@
 
 constexpr std::size_t kGateways = 300;
 
-AdmissionSettings shop() {
+AdmissionSettings fleet_settings() {
   auto settings = plain_settings();
   settings.gateway_count = kGateways;
   settings.classes[0].latency_objective_ms = 1700;
@@ -22,48 +22,50 @@
 
 // Results for 450 customers with 90 to 300 gateways each, on hosts without load. A tenth of them requests 1.8
 // to 4.8 times its quota. Both are fractions of what one bucket for all gateways would admit.
-struct QuietDay {
-  double price = 0;         // admitted beyond the quota, weighted with the plans' costs
+struct UnloadedResult {
+  double overrun_cost = 0;  // admitted beyond the quota, weighted with the plans' costs
   double within_quota = 0;  // admitted within the quota
 };
 
-QuietDay play(const AdmissionSettings& settings, double comes_again) {
+UnloadedResult run_unloaded(const AdmissionSettings& settings, double retry_fraction) {
   std::vector<HostEntry> hosts;
   for (HostId host_id = 1; host_id <= 200; ++host_id) hosts.push_back(host(host_id));
   ModelFleet fleet(settings, kGateways, hosts, [](ModelFleet& model, HostId) {
     return AttemptFate{Outcome::kOk, model.exponential(150)};
   });
-  ModelCustomers customers(fleet, settings, comes_again, 0.37);
+  ModelCustomers customers(fleet, settings, retry_fraction, 0.37);
   for (std::uint32_t i = 0; i < 450; ++i) {
-    const double use = i % 10 == 0 ? 1.8 + 3 * fleet.draw() : i % 10 < 3 ? 0.9 : 0.15 + 0.35 * fleet.draw();
-    customers.add(i / 10 % 3, use, 90 + static_cast<std::size_t>(210 * fleet.draw()),
+    const double relative_demand = i % 10 == 0  ? 1.8 + 3 * fleet.draw()
+                                   : i % 10 < 3 ? 0.9
+                                                : 0.15 + 0.35 * fleet.draw();
+    customers.add(i / 10 % 3, relative_demand, 90 + static_cast<std::size_t>(210 * fleet.draw()),
                   static_cast<std::size_t>(kGateways * fleet.draw()), 0.3 + 0.5 * fleet.draw());
   }
   customers.run(20'000);
-  QuietDay day;
+  UnloadedResult result;
   double admissible = 0;
   for (std::size_t p = 0; p < settings.plans.size(); ++p) {
     const auto& account = customers.accounts()[p];
-    admissible += account.admissible, day.within_quota += account.within_quota,
-        day.price += account.beyond_quota * settings.plans[p].over_quota_cost;
+    admissible += account.admissible, result.within_quota += account.within_quota,
+        result.overrun_cost += account.beyond_quota * settings.plans[p].over_quota_cost;
   }
-  day.within_quota /= admissible, day.price /= admissible;
-  return day;
+  result.within_quota /= admissible, result.overrun_cost /= admissible;
+  return result;
 }
 
 // 300 slices start full. Without a limit they would together admit fifty bursts of the quota, because
 // rejected clients retry at another gateway.
 TEST(FleetQuotas, WhereClientsRetryFullSlicesDoNotAdmitAll) {
-  const QuietDay day = play(shop(), 0.9);
-  EXPECT_LE(day.price, 0.155);
-  EXPECT_GE(day.within_quota, 0.80);
+  const UnloadedResult result = run_unloaded(fleet_settings(), 0.9);
+  EXPECT_LE(result.overrun_cost, 0.155);
+  EXPECT_GE(result.within_quota, 0.80);
 }
 
 // Where no client retries, each rejection ends a request, so fewer requests are rejected.
 TEST(FleetQuotas, WhereNoClientRetriesMoreIsAdmitted) {
-  const QuietDay day = play(shop(), 0);
-  EXPECT_LE(day.price, 0.16);
-  EXPECT_GE(day.within_quota, 0.74);
+  const UnloadedResult result = run_unloaded(fleet_settings(), 0);
+  EXPECT_LE(result.overrun_cost, 0.16);
+  EXPECT_GE(result.within_quota, 0.74);
 }
 
 double first_requests_sent(AdmissionSettings settings, double gateways, double spread) {
@@ -83,7 +85,7 @@
 // requests are admitted. The same holds for customers of four gateways in a larger fleet, but not for those
 // of a hundred.
 TEST(FleetQuotas, WithFewGatewaysAFullSliceAdmitsAll) {
-  auto settings = shop();
+  auto settings = fleet_settings();
   settings.plans[0].quota_burst = 8;
   settings.plans[0].over_quota_cost = 3;
   settings.max_request_units = 4;
@@ -94,7 +96,7 @@
 
 // Plans whose overruns earn as much as they cost are limited under load only.
 TEST(FleetQuotas, PlansWithoutOverrunCostAreNotLimited) {
-  auto settings = shop();
+  auto settings = fleet_settings();
   settings.plans[0].over_quota_value = settings.plans[0].over_quota_cost = 0.7;
   settings.max_request_units = 4;
   EXPECT_EQ(first_requests_sent(settings, 300, 100), 1);
@@ -102,8 +104,8 @@
 
 // Two gateways reject alike. The clients of one retry within a second, those of the other never do.
 TEST(FleetQuotas, AGatewayLearnsWhetherRejectedClientsRetry) {
-  const auto sent_in_the_end = [](bool again) {
-    Gateway gateway(shop(), {host(1), host(2), host(3), host(4)});
+  const auto requests_sent = [](bool clients_retry) {
+    Gateway gateway(fleet_settings(), {host(1), host(2), host(3), host(4)});
     int sent = 0;
     RequestId id = 0;
     for (CustomerId customer = 1; customer <= 600; ++customer) {
@@ -113,13 +115,13 @@
       gateway.wait(200);
       // 0.37 of the retries, here those of every third customer, arrive at the same gateway. The others go
       // elsewhere, which it cannot observe.
-      if (again && !passed && customer % 3 == 0) gateway.ask(++id, 1, 200, customer);
+      if (clients_retry && !passed && customer % 3 == 0) gateway.ask(++id, 1, 200, customer);
       gateway.answer_all();
     }
     return sent;
   };
-  EXPECT_LE(sent_in_the_end(true), 180);
-  EXPECT_GE(sent_in_the_end(false), 270);
+  EXPECT_LE(requests_sent(true), 180);
+  EXPECT_GE(requests_sent(false), 270);
 }
 
 }  // namespace
--- a/tests/admission/host_feedback_test.cpp
+++ b/tests/admission/host_feedback_test.cpp
@@ -14,7 +14,7 @@
 
 // Hosts with free capacity reject the requests of one plan.
 TEST(HostRejections, OnlyTheRejectedPlanAvoidsTheHostAndItsRetriesAreOutsideTheBudget) {
-  auto settings = large(2);
+  auto settings = large_fleet_settings(2);
   settings.plans.push_back(settings.plans[0]);
   Gateway gateway(settings, host_list(4));
   std::map<HostId, int> throttled, other;
@@ -46,7 +46,7 @@
 
 TEST(HostRejections, AnAttemptThatWasNotExecutedIsRetriedOutsideTheBudget) {
   for (const auto outcome : {Outcome::kOverloaded, Outcome::kConnectFailed}) {
-    auto settings = large(2);
+    auto settings = large_fleet_settings(2);
     settings.plans.push_back(settings.plans[0]);
     Gateway gateway(settings, host_list(60));
     int again = 0;
@@ -72,14 +72,14 @@
   }
 }
 
-AdmissionSettings probing() {
-  auto settings = large();
+AdmissionSettings health_check_settings() {
+  auto settings = large_fleet_settings();
   settings.health_checks_allowed = true;
   return settings;
 }
 
 TEST(HealthChecks, AreLimitedByTheNumberOfSends) {
-  Gateway gateway(probing(), host_list(30));
+  Gateway gateway(health_check_settings(), host_list(30));
   int probes = 0;
   for (RequestId id = 1; id <= 200; ++id) {
     gateway.wait(300);
@@ -94,7 +94,7 @@
 // A missing report, a failed health check and a long queue all make a host less preferred.
 TEST(HealthChecks, AMissingReportDoesNotMeanAnIdleHost) {
   for (const int silent : {0, 1, 2}) {
-    Gateway gateway(probing(), host_list(6));
+    Gateway gateway(health_check_settings(), host_list(6));
     std::map<HostId, int> sends;
     for (RequestId id = 1; id <= 300; ++id) {
       gateway.wait(300);
--- a/tests/admission/invariants_test.cpp
+++ b/tests/admission/invariants_test.cpp
@@ -109,7 +109,7 @@
   auto settings = plain_settings();
   Gateway gateway(settings, {host(1), host(2), host(3)}, 100000);
   RequestId id = 1;
-  const auto minute = [&](int n, Ms gap) {
+  const auto send_requests = [&](int n, Ms gap) {
     std::map<HostId, int> sends;
     for (int i = 0; i < n; ++i, ++id, gateway.now += gap) {
       if (gateway.ask(id, 1, 2, 5000 + id)) {
@@ -119,15 +119,15 @@
     }
     return sends;
   };
-  minute(300, 10);
+  send_requests(300, 10);
   gateway.list(HostListUpdate::kDelta,
                {host(2, HostState::kReady, gateway.now), host(3, HostState::kReady, gateway.now)});
-  auto sends = minute(50, 20);  // weights 0.2 to 0.28; twice the weight would be overload
+  auto sends = send_requests(50, 20);  // weights 0.2 to 0.28; twice the weight would be overload
   EXPECT_LT(sends[2], 0.4 * sends[1]);
   EXPECT_LT(sends[3], 0.4 * sends[1]);
   EXPECT_GE(sends[2], 1);
   gateway.now += 10000;  // warm by now
-  sends = minute(60, 20);
+  sends = send_requests(60, 20);
   EXPECT_GE(sends[2] + sends[3], 30);
 }
 
@@ -169,9 +169,9 @@
 
 // A random sequence of events with a fixed seed. Outcomes are drawn without a model of hosts, so the sequence
 // is harder than any real fleet.
-class RandomDay : public ::testing::TestWithParam<std::uint64_t> {};
+class RandomEvents : public ::testing::TestWithParam<std::uint64_t> {};
 
-TEST_P(RandomDay, KeepsTheFiveRules) {
+TEST_P(RandomEvents, KeepTheRules) {
   std::mt19937_64 random(GetParam());
   const auto draw = [&](std::uint64_t n) { return random() % n; };
   auto settings = plain_settings(3);
@@ -187,19 +187,19 @@
     hosts.push_back(host(host_id, HostState::kReady, 0, host_id % 2));
   Gateway gateway(settings, hosts, 1e6);
 
-  struct Try {
+  struct AttemptRecord {
     HostId host;
     Ms sent;
     bool out = true, may = true, never = false;  // was never sent
   };
-  struct Seen {
+  struct RequestRecord {
     std::uint32_t cls, plan;
     Ms expires;
     double units;
-    std::vector<Try> tries;
+    std::vector<AttemptRecord> attempts;
     bool ended = false;
   };
-  std::map<RequestId, Seen> all;
+  std::map<RequestId, RequestRecord> all;
   std::multimap<Ms, std::uint64_t> timers;
   timers.emplace(gateway.now + 100, ~std::uint64_t{0});
   std::map<HostId, HostState> state;
@@ -212,21 +212,22 @@
     ceiling = std::min(80.0, ceiling + 40 * (gateway.now - ceiling_at) / 1000);
     ceiling_at = gateway.now;
   };
-  const auto never_sent = [](const Seen& record) {
-    return std::all_of(record.tries.begin(), record.tries.end(), [](auto& attempt) { return attempt.never; });
+  const auto never_sent = [](const RequestRecord& record) {
+    return std::all_of(record.attempts.begin(), record.attempts.end(),
+                       [](auto& attempt) { return attempt.never; });
   };
 
-  const auto obey = [&] {
+  const auto check_actions = [&] {
     for (const auto& action : gateway.out.take()) {
       if (action.kind == Act::kWake) timers.emplace(gateway.now + std::max(action.value, 1.0), action.id);
       if (action.kind != Act::kSend && action.kind != Act::kRefuse && action.kind != Act::kFail) continue;
       auto& record = all.at(action.id);
       ASSERT_FALSE(record.ended) << "an action after the final answer";
       bool may = false, out = false;
-      for (auto& attempt : record.tries) may |= attempt.out || attempt.may, out |= attempt.out;
+      for (auto& attempt : record.attempts) may |= attempt.out || attempt.may, out |= attempt.out;
       if (action.kind == Act::kSend) {
         ASSERT_EQ(state[action.host], HostState::kReady) << "sent to a draining or removed host";
-        ASSERT_LT(record.tries.size(), settings.max_attempts);
+        ASSERT_LT(record.attempts.size(), settings.max_attempts);
         if (!settings.hedging_allowed) {
           ASSERT_FALSE(out);
         }
@@ -234,7 +235,7 @@
           ASSERT_FALSE(may) << "a non-idempotent request could be executed twice";
         }
         if (record.cls == 1) {
-          for (auto& attempt : record.tries) {
+          for (auto& attempt : record.attempts) {
             if (!attempt.out && !attempt.may) continue;
             ASSERT_EQ(attempt.host % 2, action.host % 2);
             ASSERT_LE(gateway.now, attempt.sent + 1500);
@@ -245,7 +246,7 @@
           ceiling -= record.units;
           ASSERT_GE(ceiling, -1e-6) << "the ceiling's slice was exceeded";
         }
-        record.tries.push_back({action.host, gateway.now});
+        record.attempts.push_back({action.host, gateway.now});
       } else {
         ASSERT_LE(gateway.now, record.expires + 16);
         if (action.kind == Act::kRefuse && record.cls != 0) {
@@ -262,7 +263,7 @@
       const auto token = timers.begin()->second;
       timers.erase(timers.begin());
       gateway.control.on_timer(gateway.now, token, gateway.out);
-      ASSERT_NO_FATAL_FAILURE(obey());
+      ASSERT_NO_FATAL_FAILURE(check_actions());
     }
     const auto what = draw(10);
     if (what < 4) {
@@ -276,9 +277,9 @@
     } else if (what < 9) {
       for (auto& [id, record] : all) {
         std::size_t i = 0;
-        while (i < record.tries.size() && !record.tries[i].out) ++i;
-        if (i == record.tries.size() || draw(3) != 0) continue;
-        auto& attempt = record.tries[i];
+        while (i < record.attempts.size() && !record.attempts[i].out) ++i;
+        if (i == record.attempts.size() || draw(3) != 0) continue;
+        auto& attempt = record.attempts[i];
         const auto outcome = static_cast<Outcome>(draw(8));
         attempt.out = false;
         attempt.may = outcome != Outcome::kOverloaded && outcome != Outcome::kConnectFailed &&
@@ -304,7 +305,7 @@
       gateway.list(HostListUpdate::kDelta,
                    {host(host_id, state[host_id], draw(4) == 0 ? gateway.now : 0, host_id % 2)});
     }
-    ASSERT_NO_FATAL_FAILURE(obey());
+    ASSERT_NO_FATAL_FAILURE(check_actions());
   }
   for (auto& [id, record] : all) {
     if (record.expires + 16 < gateway.now) {
@@ -314,7 +315,7 @@
   EXPECT_GT(next, 5000u);
 }
 
-INSTANTIATE_TEST_SUITE_P(Seeds, RandomDay, ::testing::Values(1, 2, 3, 4, 5, 6));
+INSTANTIATE_TEST_SUITE_P(Seeds, RandomEvents, ::testing::Values(1, 2, 3, 4, 5, 6));
 
 // Hosts that a request with an idempotency key may be retried at. It is in flight at host 1 in zone 1 when
 // the host list changes; then its connection is lost.
@@ -328,12 +329,12 @@
     return settings;
   }
   // The host that the retry is sent to, if any.
-  std::optional<HostId> repeat() {
+  std::optional<HostId> retry_host() {
     gateway.end(1, 0, 1, Outcome::kConnectionLost);
     const Act* again = gateway.out.of(Act::kSend, 1);
     return again ? std::optional(again->host) : std::nullopt;
   }
-  void take() {
+  void send_request() {
     ASSERT_TRUE(gateway.ask(1));
     gateway.out.take();
   }
@@ -341,42 +342,42 @@
 };
 
 TEST_P(KeyedRetry, StaysInTheScopeOfARemovedHost) {
-  take();
+  send_request();
   gateway.list(HostListUpdate::kSnapshot, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
-  EXPECT_EQ(repeat(), std::nullopt);
+  EXPECT_EQ(retry_host(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, GoesToAHostOfTheSameScope) {
-  take();
+  send_request();
   gateway.list(HostListUpdate::kSnapshot,
                {host(2, HostState::kReady, 0, 0), host(3, HostState::kReady, 0, 1), HostEntry::removed(1)});
-  EXPECT_EQ(repeat(), HostId{3});
+  EXPECT_EQ(retry_host(), HostId{3});
 }
 
 TEST_P(KeyedRetry, IsBoundToTheHostsLocationAtTheTimeOfTheSend) {
-  take();
+  send_request();
   gateway.list(HostListUpdate::kDelta, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0)});
-  EXPECT_EQ(repeat(), std::nullopt);
+  EXPECT_EQ(retry_host(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, IsNotSentWhereLocationsAreNotKnown) {
-  HostEntry nowhere = host(2);
-  nowhere.zone = nowhere.cell = std::nullopt;
-  HostEntry first = nowhere;
+  HostEntry unlocated = host(2);
+  unlocated.zone = unlocated.cell = std::nullopt;
+  HostEntry first = unlocated;
   first.id = 1;
   gateway.list(HostListUpdate::kSnapshot, {first});
-  take();
-  gateway.list(HostListUpdate::kSnapshot, {nowhere, HostEntry::removed(1)});
-  EXPECT_EQ(repeat(), std::nullopt);
+  send_request();
+  gateway.list(HostListUpdate::kSnapshot, {unlocated, HostEntry::removed(1)});
+  EXPECT_EQ(retry_host(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, KeepsTheSettingsThatItsRequestArrivedWith) {
-  take();
+  send_request();
   gateway.list(HostListUpdate::kDelta, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
   AdmissionSettings later = settings();
   later.classes[0].idempotency_scope = IdempotencyScope::kAll;
   gateway.control.update_settings(gateway.now, later);
-  EXPECT_EQ(repeat(), std::nullopt);
+  EXPECT_EQ(retry_host(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, LeavesTimeForAPauseOfTheProcess) {
--- a/tests/admission/large_fleet.h
+++ b/tests/admission/large_fleet.h
@@ -7,7 +7,7 @@
 
 namespace cometfold::testing {
 
-inline AdmissionSettings large(double gateways = 400) {
+inline AdmissionSettings large_fleet_settings(double gateways = 400) {
   auto settings = plain_settings();
   settings.gateway_count = gateways;
   settings.plans[0].quota_rate = 1e6;
--- a/tests/admission/large_fleet_test.cpp
+++ b/tests/admission/large_fleet_test.cpp
@@ -15,7 +15,7 @@
 TEST(LargeFleet, FewRequestsInFlightAreNoOverload) {
   int refused = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    Gateway gateway(large(), host_list(100), 0, seed);
+    Gateway gateway(large_fleet_settings(), host_list(100), 0, seed);
     for (RequestId id = 1; id <= 60; ++id) {
       gateway.wait(300);
       refused += !gateway.ask(id, 1, 2, id);
@@ -29,7 +29,7 @@
 // A slice of a fiftieth of a request per second. The first request is admitted. A customer that sends many
 // requests through one gateway of two hundred is probably far beyond its quota.
 TEST(LargeFleet, ASliceBelowOneRequestIsAdmittedByItsExpectedValue) {
-  auto settings = large();
+  auto settings = large_fleet_settings();
   settings.plans[0].quota_rate = 4;
   settings.plans[0].quota_burst = 8;
   settings.plans[0].over_quota_cost = 0.8;
@@ -61,7 +61,7 @@
 // A retry marked by the client was rejected by another gateway before. So a customer's second request is
 // admitted if it is new and rejected if it is a retry.
 TEST(LargeFleet, AMarkedClientRetryCountsItsRejectionElsewhere) {
-  auto settings = large();
+  auto settings = large_fleet_settings();
   settings.plans[0].quota_rate = 4;
   settings.plans[0].quota_burst = 8;
   settings.plans[0].over_quota_cost = 1;
@@ -81,7 +81,7 @@
 
 // Any request uses up most of a ceiling slice of two requests. That alone is no reason to reject.
 TEST(LargeFleet, ACeilingSliceOfTwoRequestsRejectsFew) {
-  auto settings = large();
+  auto settings = large_fleet_settings();
   settings.plans[0].quota_rate = 10;
   settings.plans[0].quota_burst = 20;
   settings.plans[0].over_quota_cost = 0.5;
@@ -104,7 +104,7 @@
 TEST(LargeFleet, QueuesAtHostsWithFewAnswersCountAsLoad) {
   int asked = 0, sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
-    Gateway gateway(large(), host_list(100), 0, seed);
+    Gateway gateway(large_fleet_settings(), host_list(100), 0, seed);
     std::vector<std::pair<Ms, Act>> answers;
     for (RequestId id = 1; id <= 150; ++id) {
       const bool on = gateway.ask(id, 1, 2, id);
@@ -128,7 +128,7 @@
 
 // A high mean latency sheds load before all answers are late, however few attempts one gateway has in flight.
 TEST(LargeFleet, SlowAnswersOfAllHostsShedLoad) {
-  Gateway gateway(large(), host_list(100));
+  Gateway gateway(large_fleet_settings(), host_list(100));
   int sent = 0;
   for (RequestId id = 1; id <= 200; ++id) {
     gateway.wait(300);
@@ -145,7 +145,7 @@
 // times its quota receives about its quota.
 TEST(LargeFleet, AQuotaIsUsedWhereEachSliceIsBelowOneRequest) {
   constexpr double kQuota = 4, kAsked = 12, kGateways = 48;
-  auto settings = large(kGateways);
+  auto settings = large_fleet_settings(kGateways);
   settings.plans[0].quota_rate = kQuota;
   settings.plans[0].quota_burst = 12;
   settings.plans[0].over_quota_cost = 1;
@@ -170,7 +170,7 @@
 // queues at the hosts that is no overload of the fleet: nothing is shed, and requests are retried elsewhere.
 TEST(LargeFleet, RejectionsOfHostsWithoutAQueueAreNoOverload) {
   for (const double queue : {0.0, 20.0}) {
-    auto settings = large(48);
+    auto settings = large_fleet_settings(48);
     settings.load_report_fields = {LoadField::kQueueLength};
     settings.plans[0].quota_rate = 4;
     settings.plans[0].quota_burst = 8;
@@ -204,7 +204,7 @@
 
 // The estimate of an overrun does not depend on the size of the request.
 TEST(LargeFleet, LargeRequestsAreAdmittedNoMoreThanSmallOnes) {
-  auto settings = large(100);
+  auto settings = large_fleet_settings(100);
   settings.plans[0].quota_rate = 4;
   settings.plans[0].quota_burst = 8;
   settings.plans[0].over_quota_cost = 1;
@@ -226,7 +226,7 @@
 // a customer far beyond its quota.
 TEST(LargeFleet, ACustomerWithinItsQuotaThatPrefersSomeGatewaysIsAdmitted) {
   constexpr double kQuota = 4, kGateways = 100;
-  auto settings = large(kGateways);
+  auto settings = large_fleet_settings(kGateways);
   settings.plans[0].quota_rate = kQuota;
   settings.plans[0].quota_burst = 12;
   settings.plans[0].over_quota_cost = 1;
--- a/tests/admission/model_fleet_test.cpp
+++ b/tests/admission/model_fleet_test.cpp
@@ -13,7 +13,7 @@
 // Six of ten hosts are 10 s into a slow start of 16 s and receive their share of the requests.
 TEST(ModelFleet, HostsThatWarmUpGetTheirPartFromAHundredGateways) {
   constexpr int kGateways = 100;
-  auto settings = large(kGateways);
+  auto settings = large_fleet_settings(kGateways);
   settings.slow_start_initial_weight = 0.16;
   settings.slow_start_duration_ms = 16'000;
   int cold = 0, all = 0;
@@ -32,8 +32,8 @@
 }
 
 // Runs a hundred gateways with sixty healthy hosts for `span` milliseconds.
-std::unique_ptr<ModelFleet> healthy(Ms span) {
-  auto settings = large(100);
+std::unique_ptr<ModelFleet> run_healthy_fleet(Ms span) {
+  auto settings = large_fleet_settings(100);
   settings.classes[0].latency_objective_ms = 1700;
   auto fleet = std::make_unique<ModelFleet>(settings, 100, host_list(60), [](ModelFleet& model, HostId) {
     return AttemptFate{Outcome::kOk, model.exponential(350)};
@@ -46,7 +46,7 @@
 
 // Fast answers arrive first, so the first latencies underestimate their class. That must not cause hedging.
 TEST(ModelFleet, FewRequestsAreHedgedInTheFirstSeconds) {
-  const auto fleet = healthy(4000);
+  const auto fleet = run_healthy_fleet(4000);
   EXPECT_LE(fleet->counts().attempts - fleet->counts().sent_requests,
             fleet->counts().sent_requests * 3 / 100);
 }
@@ -54,7 +54,7 @@
 // Each of the six thousand pairs of gateway and host is used every seven seconds. At nearly equal cost hosts
 // with an open connection are preferred, but each host still receives between a third of and twice its share.
 TEST(ModelFleet, ConnectedHostsArePreferredAndAllHostsGetTheirPart) {
-  const auto fleet = healthy(15'000);
+  const auto fleet = run_healthy_fleet(15'000);
   EXPECT_LE(fleet->counts().handshakes, fleet->counts().requests * 24 / 100);
   const int even = fleet->counts().attempts / 60;
   for (HostId host_id = 1; host_id <= 60; ++host_id) {
@@ -66,7 +66,7 @@
 // 5 s after its last answer a host is preferred to a new one if the idle timeout of connections is 15 s, but
 // not if it is 6 s.
 TEST(ModelFleet, AHostIsConnectedUntilTheIdleTimeout) {
-  const auto strangers_asked = [](Ms conn_idle) {
+  const auto sends_to_new_host = [](Ms conn_idle) {
     int asked = 0;
     for (std::uint64_t seed = 1; seed <= 40; ++seed) {
       auto settings = plain_settings();
@@ -83,8 +83,8 @@
     }
     return asked;
   };
-  EXPECT_EQ(strangers_asked(15'000), 0);
-  EXPECT_GT(strangers_asked(6'000), 5);
+  EXPECT_EQ(sends_to_new_host(15'000), 0);
+  EXPECT_GT(sends_to_new_host(6'000), 5);
 }
 
 // Three hundred gateways and two hundred hosts in three zones. Most customers use a part of their quota, a
@@ -96,18 +96,18 @@
   static constexpr HostId kHosts = 200;
 
   ManyGateways()
-      : settings_(shop()),
+      : settings_(fleet_settings()),
         fleet_(settings_, kGateways, hosts(), answers),
         customers_(fleet_, settings_, 0.5) {
     for (std::uint32_t i = 0; i < 450; ++i) {
-      const double use = i % 10 == 0  ? 1.8 + 3 * fleet_.draw()
-                         : i % 10 < 3 ? 0.9
-                                      : 0.15 + 0.35 * fleet_.draw();
-      customers_.add(i / 10 % 3, use, 90 + static_cast<std::size_t>(210 * fleet_.draw()),
+      const double relative_demand = i % 10 == 0  ? 1.8 + 3 * fleet_.draw()
+                                     : i % 10 < 3 ? 0.9
+                                                  : 0.15 + 0.35 * fleet_.draw();
+      customers_.add(i / 10 % 3, relative_demand, 90 + static_cast<std::size_t>(210 * fleet_.draw()),
                      static_cast<std::size_t>(kGateways * fleet_.draw()), 0.3 + 1.2 * fleet_.draw());
     }
   }
-  static AdmissionSettings shop() {
+  static AdmissionSettings fleet_settings() {
     auto settings = plain_settings();
     settings.gateway_count = kGateways;
     settings.classes[0].latency_objective_ms = 1700;
@@ -181,7 +181,7 @@
 // any others. With a tenth in use, nothing is shed.
 TEST(ModelFleet, RequestsOfLowValueAreShedBeforeHalfOfTheLimitsIsInUse) {
   for (const Ms took : {30.0, 100.0}) {
-    auto settings = large(100);
+    auto settings = large_fleet_settings(100);
     settings.plans.push_back(settings.plans[0]);
     settings.plans[1].plan_weight = 0.5;
     Ms latency = 50;  // unloaded: the target latency becomes 300 ms
--- a/tests/admission/regression_test.cpp
+++ b/tests/admission/regression_test.cpp
@@ -9,7 +9,7 @@
 namespace cometfold::testing {
 namespace {
 
-AdmissionSettings roomy() {
+AdmissionSettings large_quota_settings() {
   auto settings = plain_settings();
   settings.plans[0].quota_rate = 1000;
   settings.plans[0].quota_burst = 1000;
@@ -18,7 +18,7 @@
 
 // ic5cc20: a host that rejects within a millisecond looked fast and attracted requests.
 TEST(HostSelection, AHostThatRejectsAtOnceDrawsNoTraffic) {
-  Gateway gateway(roomy());
+  Gateway gateway(large_quota_settings());
   std::map<HostId, int> sends;
   for (RequestId id = 1; id <= 300; ++id) {
     gateway.ask(id);
@@ -41,7 +41,7 @@
 
 // i5f6c38: attempts in flight must be limited while no answers arrive.
 TEST(HostSelection, WithoutAnswersNoMoreIsSent) {
-  Gateway gateway(roomy());
+  Gateway gateway(large_quota_settings());
   RequestId id = gateway.fill(1, 50);
   int sent = 0;
   for (int i = 0; i < 200; ++i, gateway.now += 10) sent += gateway.ask(id++, 1, 2, 7);
@@ -51,7 +51,7 @@
 }
 
 TEST(HostSelection, ASilentHostIsAvoidedBeforeATimeOut) {
-  Gateway gateway(roomy());
+  Gateway gateway(large_quota_settings());
   RequestId id = gateway.fill(1, 50);
   std::map<HostId, int> sends;
   for (int i = 0; i < 60; ++i) {
@@ -68,7 +68,7 @@
 
 // A quota of 10 units per second with burst 10: a slice of 5 per second with capacity 5 at each of 2
 // gateways.
-AdmissionSettings sold() {
+AdmissionSettings quota_settings() {
   auto settings = plain_settings();
   settings.plans[0].quota_rate = 10;
   settings.plans[0].quota_burst = 10;
@@ -88,7 +88,7 @@
 
 // A customer within its quota sends most of its requests to this gateway: 6.25 per second, with a slice of 5.
 TEST(QuotaOverrun, AnUnevenlySpreadCustomerIsAdmittedBeyondItsSlice) {
-  Gateway gateway(sold());
+  Gateway gateway(quota_settings());
   passed_in(gateway, 1, 200, 160);
   EXPECT_GE(passed_in(gateway, 1000, 100, 160), 90) << "the slice alone would admit 80";
 }
@@ -97,7 +97,7 @@
 // has two, it is beyond its quota.
 TEST(QuotaOverrun, MoreGatewaysMayBeUsedMoreUnevenly) {
   for (const double spread : {2.0, 4.0}) {
-    auto settings = sold();
+    auto settings = quota_settings();
     settings.gateway_count = 4;
     Gateway gateway(settings);
     const double slice = settings.plans[0].quota_rate / spread;
@@ -119,7 +119,7 @@
 
 // i7805d0, i5af206: a customer that requests three times its quota at one gateway is not unevenly spread.
 TEST(QuotaOverrun, AHeavyCustomerIsNotTakenForAnUnevenlySpreadOne) {
-  Gateway gateway(sold());
+  Gateway gateway(quota_settings());
   passed_in(gateway, 1, 300, 33);
   const int passed = passed_in(gateway, 1000, 300, 33);  // 10 s at 30 per second
   EXPECT_LE(passed, 55) << "the slice admits 50";
@@ -127,7 +127,7 @@
 }
 
 TEST(QuotaOverrun, ANewCustomerIsNotAdmittedBeyondItsSlice) {
-  Gateway gateway(sold());
+  Gateway gateway(quota_settings());
   int passed = 0;
   for (RequestId id = 1; id <= 20; ++id) {
     passed += gateway.ask(id);
@@ -138,7 +138,7 @@
 
 // Hedging requests that are long-running but not stuck wastes work.
 TEST(Retries, WaitForALongRequest) {
-  Gateway gateway(roomy());
+  Gateway gateway(large_quota_settings());
   gateway.fill(1, 50);
   ASSERT_TRUE(gateway.ask(500));
   gateway.out.take();
@@ -151,7 +151,7 @@
 }
 
 TEST(Retries, HaveABudget) {
-  Gateway gateway(roomy());
+  Gateway gateway(large_quota_settings());
   RequestId id = gateway.fill(1, 300);
   int again = 0;
   for (int i = 0; i < 200; ++i, ++id, gateway.now += 20) {
@@ -177,7 +177,7 @@
 TEST(Retries, TheLastAttemptIsNotCancelledWithoutAnAlternative) {
   for (const bool alone : {true, false}) {
     for (const double attempts : {1.0, 4.0}) {
-      auto settings = roomy();
+      auto settings = large_quota_settings();
       settings.hedging_allowed = false;
       settings.max_attempts = attempts;
       Gateway gateway(settings, alone ? std::vector{host(1)} : std::vector{host(1), host(2)});
@@ -200,7 +200,7 @@
 
 // If every host fails, the cause is elsewhere. Ejecting them all would leave no host for any request.
 TEST(OutlierEjection, NeverEjectsMoreThanHalfOfTheHosts) {
-  Gateway gateway(roomy(), {host(1), host(2), host(3), host(4)});
+  Gateway gateway(large_quota_settings(), {host(1), host(2), host(3), host(4)});
   int first_sends = 0;
   for (RequestId id = 1; id <= 400; ++id) {
     gateway.wait(100);
@@ -220,7 +220,7 @@
 
 // i6112a8: attempts that are never answered must not use up the limits of healthy hosts.
 TEST(HostSelection, LostAnswersDoNotFillTheLimits) {
-  auto settings = roomy();
+  auto settings = large_quota_settings();
   settings.max_attempts = 1;  // a lost attempt stays in flight until its deadline
   Gateway gateway(settings);
   RequestId id = gateway.fill(1, 50);
--- a/tests/admission/warm_up_test.cpp
+++ b/tests/admission/warm_up_test.cpp
@@ -16,7 +16,7 @@
 // hosts and all gateways have just restarted.
 TEST_P(SlowStartOfManyGateways, StaysBelowTheCapacityOfTheHosts) {
   const int gateways = GetParam();
-  const auto settings = large(gateways);
+  const auto settings = large_fleet_settings(gateways);
   const int each = 1200 / gateways;
   std::map<HostId, int> sends;
   for (int i = 0; i < gateways; ++i) {
@@ -44,7 +44,7 @@
 TEST(LargeFleet, HostsThatWarmUpGetTheirPartWhileOthersQueue) {
   int cold = 0, all = 0;
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
-    auto settings = large(48);
+    auto settings = large_fleet_settings(48);
     settings.slow_start_initial_weight = 0.16;
     settings.slow_start_duration_ms = 16'000;
     Gateway gateway(settings, host_list(24, 16, 1e6), 1e6 + 6000, seed);
@@ -79,7 +79,7 @@
 // Idle hosts accept a burst at the start and after an idle period. Hosts that then do not answer receive
 // hardly anything more after the target latency.
 TEST(IdleHosts, ABurstFindsCapacityOnIdleHostsAndNotOnStuckOnes) {
-  Gateway gateway(large(1), {host(1), host(2), host(3), host(4)}, 1000);
+  Gateway gateway(large_fleet_settings(1), {host(1), host(2), host(3), host(4)}, 1000);
   RequestId id = 1;
   const auto burst = [&] {
     int sent = 0;
@@ -107,7 +107,8 @@
 
 // Hosts during slow start get only the minimum limit.
 TEST(IdleHosts, HostsThatWarmUpGetTheLeastLimitAtFirst) {
-  Gateway gateway(large(1), {host(1, HostState::kReady, 1e6), host(2, HostState::kReady, 1e6)}, 1e6 + 5000);
+  Gateway gateway(large_fleet_settings(1), {host(1, HostState::kReady, 1e6), host(2, HostState::kReady, 1e6)},
+                  1e6 + 5000);
   int sent = 0;
   for (RequestId id = 1; id <= 200; ++id) sent += gateway.ask(id, 1, 1, id);
   EXPECT_LE(sent, 10);
--- a/tests/simulator_wire_test.cpp
+++ b/tests/simulator_wire_test.cpp
@@ -43,9 +43,9 @@
   return raw;
 }
 
-const Raw kSwitch = hex("08 03000000", 48);
+const Raw kSelectInstance = hex("08 03000000", 48);
 
-Raw attach(std::uint32_t offset, std::uint32_t length) {
+Raw start_instance(std::uint32_t offset, std::uint32_t length) {
   Raw r = hex("0a 0700000000000000");
   append(r, offset);
   append(r, length);
@@ -55,7 +55,7 @@
 
 Raw bytes_of(const std::string& s) { return {s.begin(), s.end()}; }
 
-const std::string kConf =
+const std::string kSettings =
     "lanes.count=1\nlanes.0.semantics=safe\nlanes.0.slo_ms=1500.0\nlanes.0.deadline_ms=4000.0\nnew.key=x_y\n"
     "packages.count=1\npackages.0.quota_rate=0.0\nsiblings=3\n";
 
@@ -70,20 +70,21 @@
   const Raw list =
       hex("0000000000000000 074a1203 0000 0000 01 0000803f 0000"
           "0000000000d4b740 f211902c 0000 0100 01 0000c03f 0000");
-  Raw tail = bytes_of(kConf);
+  Raw tail = bytes_of(kSettings);
   Raw list_record = hex("0c 0000");
   append(list_record, static_cast<std::uint32_t>(tail.size()));
   append(list_record, std::uint32_t{2});
   list_record.resize(48);
-  const auto conf_size = static_cast<std::uint32_t>(tail.size());
+  const auto settings_size = static_cast<std::uint32_t>(tail.size());
   tail.insert(tail.end(), list.begin(), list.end());
-  instances.handle_batch(
-      frame({kSwitch, attach(0, conf_size), list_record, hex("02 00 2900000000000000 0000", 48)}, tail));
+  instances.handle_batch(frame({kSelectInstance, start_instance(0, settings_size), list_record,
+                                hex("02 00 2900000000000000 0000", 48)},
+                               tail));
 
-  const Raw job =
+  const Raw request =
       hex("01 c4913a5d02cb0100 0000 00000000 640ad2557c3bf091 0000000020e6c040 00000040 00004040 0000803f 01",
           48);
-  const auto reply = instances.handle_batch(frame({kSwitch, job}, {}, 8412));
+  const auto reply = instances.handle_batch(frame({kSelectInstance, request}, {}, 8412));
   ASSERT_GE(reply.size(), 8u + 2 * 24);
   const Raw got(reply.begin(), reply.end());
   EXPECT_EQ(Raw(got.begin() + 8, got.begin() + 32), hex("4d 03000000", 24));
@@ -125,20 +126,23 @@
 
 TEST(SimulatorWire, UnknownEventCodesAreSkipped) {
   GatewayInstances instances;
-  EXPECT_EQ(instances.handle_batch(frame({kSwitch, hex("f7", 48)})).size(), 8u);
+  EXPECT_EQ(instances.handle_batch(frame({kSelectInstance, hex("f7", 48)})).size(), 8u);
 }
 
 TEST(SimulatorWire, InstancesShareNothing) {
-  const auto conf = static_cast<std::uint32_t>(kConf.size());
+  const auto settings_size = static_cast<std::uint32_t>(kSettings.size());
   GatewayInstances both;
   GatewayInstances one;
   const Raw other = hex("08 09000000", 48);
-  const Raw job =
+  const Raw request =
       hex("01 0100000000000000 0000 00000000 0100000000000000 0000000020e6c040 0000803f 00004040", 48);
-  both.handle_batch(frame({kSwitch, attach(0, conf), other, attach(0, conf)}, bytes_of(kConf)));
-  one.handle_batch(frame({kSwitch, attach(0, conf)}, bytes_of(kConf)));
-  both.handle_batch(frame({other, job}));
-  EXPECT_EQ(both.handle_batch(frame({kSwitch, job})), one.handle_batch(frame({kSwitch, job})));
+  both.handle_batch(
+      frame({kSelectInstance, start_instance(0, settings_size), other, start_instance(0, settings_size)},
+            bytes_of(kSettings)));
+  one.handle_batch(frame({kSelectInstance, start_instance(0, settings_size)}, bytes_of(kSettings)));
+  both.handle_batch(frame({other, request}));
+  EXPECT_EQ(both.handle_batch(frame({kSelectInstance, request})),
+            one.handle_batch(frame({kSelectInstance, request})));
 }
 
 std::string error_of(const Raw& raw) {
@@ -153,16 +157,16 @@
 
 TEST(SimulatorWireErrors, NameTheFault) {
   EXPECT_NE(error_of(hex("10000000 00000000")).find("batch header"), std::string::npos);
-  Raw cut = frame({kSwitch});
+  Raw cut = frame({kSelectInstance});
   cut.pop_back();
   EXPECT_NE(error_of(cut).find("wrong length"), std::string::npos);
   EXPECT_NE(error_of(hex("10000000 05000000 00000000206ec040")).find("more records"), std::string::npos);
-  EXPECT_NE(error_of(frame({kSwitch, attach(0, 9)}, bytes_of("a=1"))).find("settings: tail"),
+  EXPECT_NE(error_of(frame({kSelectInstance, start_instance(0, 9)}, bytes_of("a=1"))).find("settings: tail"),
             std::string::npos);
   EXPECT_NE(error_of(frame({hex("0c 0000 00000000 ffffffff", 48)})).find("list: tail"), std::string::npos);
-  EXPECT_NE(
-      error_of(frame({kSwitch, attach(0, 12)}, bytes_of("siblings=two"))).find("siblings is not a number"),
-      std::string::npos);
+  EXPECT_NE(error_of(frame({kSelectInstance, start_instance(0, 12)}, bytes_of("siblings=two")))
+                .find("siblings is not a number"),
+            std::string::npos);
 }
 
 }  // namespace
