--- a/emulators/program.h
+++ b/emulators/program.h
@@ -107,7 +107,7 @@
       : path_(file_for(conf)),
         ready_("ready: " + name_in(environment)),
         child_(command_of(program, std::move(arguments)), environment_of(conf, std::move(environment))),
-        admin_port_(conf.contains("admin") ? child_.port_after("operators call at") : 0),
+        admin_port_(conf.contains("admin") ? child_.port_after("admin server is listening") : 0),
         port_(child_.port_after(ready_)) {}
   ~Program() { std::filesystem::remove(path_); }
   int port() const { return port_; }
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -134,7 +134,7 @@
   // Its own count, by name.
   std::map<std::string, std::uint64_t> stop() {
     child_->signal(SIGTERM);
-    const auto line = child_->log_until("external processor: asked");
+    const auto line = child_->log_until("external processor totals: asked");
     std::map<std::string, std::uint64_t> totals;
     std::istringstream words(line.substr(line.find("asked")));
     for (std::string word; words >> word;) {
@@ -153,7 +153,7 @@
         std::vector<std::string>{program_, "--settings", (folder_ / "own.toml").string()},
         std::vector<std::string>{"EDGE_NAME=n0", "EDGE_LISTEN=127.0.0.1:0", "EDGE_DISCOVERY=127.0.0.1:9",
                                  "EDGE_CONFIG=" + (folder_ / "config.json").string()});
-    port_ = child_->port_after("external processor");
+    port_ = child_->port_after("external processor is listening");
   }
   std::filesystem::path folder_;
   std::string program_;
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -80,7 +80,8 @@
   sockaddr_storage address{};
   socklen_t size = sizeof address;
   if (::getsockname(listening_socket, reinterpret_cast<sockaddr*>(&address), &size) != 0) {
-    throw boost::system::system_error(errno, boost::system::system_category(), "the socket taken over");
+    throw boost::system::system_error(errno, boost::system::system_category(),
+                                      "getsockname of the inherited listening socket");
   }
   acceptor_.assign(address.ss_family == AF_INET6 ? tcp::v6() : tcp::v4(), listening_socket);
 }
@@ -143,7 +144,7 @@
   }
   if (is_queue_empty(error)) queue_delayed_since_.reset();
   if (is_queue_empty(error) || has_left_queue(error)) return accept();
-  log_line("accept failed", error.message());
+  log_line("accepting a client connection failed, retrying", error.message());
   if (is_out_of_descriptors(error)) evict_one();
   accept_later();
 }
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -40,7 +40,7 @@
   const double limit = value ? value->to_number<double>(error) : 0;
   if (!value || error || !(limit >= 1) || limit > kMaxLimit) {
     const auto full_key = std::string("limits.") + key;
-    throw ConfigError(kDocument, full_key, full_key + " is missing or not a number in range");
+    throw ConfigError(kDocument, full_key, full_key + " is missing or not a number from 1 to 1000000000");
   }
   return static_cast<std::size_t>(limit);
 }
--- a/src/net/discovery_error.h
+++ b/src/net/discovery_error.h
@@ -19,7 +19,7 @@
 class DiscoveryRejected : public DiscoveryError {
  public:
   DiscoveryRejected(std::string address, unsigned http_status)
-      : DiscoveryError(std::move(address), "discovery answered another status than 200"),
+      : DiscoveryError(std::move(address), "discovery answered with a status other than 200"),
         http_status_(http_status) {}
 
   unsigned http_status() const { return http_status_; }
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -93,7 +93,7 @@
   while (!closed_) {
     const Failure failure = co_await connect_once();
     if (closed_ || !reconnecting_) break;
-    log_line("the watch of discovery broke", failure.reason);
+    log_line("discovery watch ended, reconnecting after a delay", failure.reason);
     const auto result = received_data_     ? WatchResult::kReceivedData
                         : failure.rejected ? WatchResult::kRejected
                                            : WatchResult::kFailed;
@@ -110,7 +110,7 @@
   try {
     if (!version_) co_await poll();
     if (!closed_) co_await follow();
-    co_return Failure{"ended"};
+    co_return Failure{"end of response"};
   } catch (const DiscoveryRejected& error) {
     co_return Failure{error.what(), true};
   } catch (const boost::system::system_error& error) {
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -82,7 +82,7 @@
   });
   if (admin_) {
     admin_->listen(*config_.get().admin);
-    log_line("operators call at", to_text(admin_->address()));
+    log_line("admin server is listening", to_text(admin_->address()));
   }
   if (peers_) peers_->start();
   discovery_.start(config_.get().cached_hosts);
@@ -171,7 +171,7 @@
   if (config.discovery != config_.get().discovery) {
     config_.set_discovery(config);
     discovery_.set_address(config.discovery);
-    log_line("discovery is now at", config.discovery.address().to_string());
+    log_line("discovery address changed", config.discovery.address().to_string());
   }
   log_ignored_changes(config);
   ++reloads_;
@@ -184,8 +184,8 @@
   engine_.update_settings(config_.get().settings);
   apply_limits();
   command_handler_.set_names(config_.command_names());
-  log_line("new settings are in use", std::to_string(config.class_names.size()) + " classes, " +
-                                          std::to_string(config.plan_names.size()) + " plans");
+  log_line("reloaded settings are in use", std::to_string(config.class_names.size()) + " classes, " +
+                                               std::to_string(config.plan_names.size()) + " plans");
 }
 
 void Gateway::apply_limits() {
@@ -198,14 +198,14 @@
 void Gateway::log_ignored_changes(const Config& fresh) const {
   const Config& in_use = config_.get();
   if (fresh.gateway_settings.processor_address.has_value() != (processor_ != nullptr)) {
-    log_line("switching the external processor on or off needs a restart");
+    log_line("extproc.listen was added or removed in the settings: ignored until a restart");
   }
   if (!(fresh.gateway_settings.peers == in_use.gateway_settings.peers)) {
-    log_line("other peers' settings need a restart: kept as they were");
+    log_line("[peers] changed in the settings: ignored until a restart");
   }
   if (fresh.max_descriptors != in_use.max_descriptors || fresh.memory_limit_mb != in_use.memory_limit_mb ||
       fresh.listen != in_use.listen || fresh.admin != in_use.admin) {
-    log_line("the new configuration changes what needs a restart: kept as it was");
+    log_line("listen, admin or limits changed in the configuration: ignored until a restart");
   }
 }
 
@@ -227,7 +227,7 @@
                                std::to_string(snapshot.hosts.size()) + " hosts");
   } catch (const ops::HandoverError& error) {
     policy_.assume_unknown_predecessor(clock_.now());
-    log_line("taken over without state", error.what());
+    log_line("taken over without the predecessor's state", error.what());
   }
 }
 
@@ -254,7 +254,7 @@
   clients_.release_listener();
   clients_.set_draining(true);
   if (processor_) processor_->listener().drain();
-  log_line("handed over");
+  log_line("handed over to the successor process");
 }
 
 // ---- operators ----
@@ -288,7 +288,7 @@
 void Gateway::set_draining(bool on) {
   if (on == draining_) return;
   draining_ = on;
-  log_line(on ? "draining, as asked" : "taking clients again, as asked");
+  log_line(on ? "drain started by an operator" : "drain ended by an operator: clients are accepted again");
   command_handler_.set_draining(on);
   clients_.set_draining(on);
   drain_timer_.cancel();
--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -28,7 +28,8 @@
   const auto& membership = peers.membership;
   if (advertised.address().is_unspecified() || advertised.port() == 0) {
     fail("advertise",
-         "'advertise' must say at which address and port others reach this gateway, as 'listen' does not");
+         "'advertise', or 'listen' without it, must be the address and port at which others reach this "
+         "gateway");
   }
   if (membership.suspicion_quorum > membership.observers_per_member) {
     fail("quorum", "'quorum' must be at most 'watchers'");
@@ -67,7 +68,7 @@
                                                          const std::string& expected) {
   const bool is_top_level = key.find('.') == std::string::npos;
   const std::string shown_key = is_top_level ? "'" + key + "'" : key;
-  const ErrorDetails details{location.to_text(), shown_key + " has another value", expected};
+  const ErrorDetails details{location.to_text(), shown_key + " has an invalid value", expected};
   const std::string text = details.location + ": " + shown_key + " must be " + expected;
   return {location, std::move(key), details, text};
 }
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -207,7 +207,7 @@
         error == asio::error::connection_aborted || error == asio::error::interrupted) {
       return accept();
     }
-    log_line("accept failed", error.message());
+    log_line("accepting a gRPC connection failed, retrying", error.message());
   }
   accept_later();
 }
--- a/src/net/host_list.cpp
+++ b/src/net/host_list.cpp
@@ -33,7 +33,7 @@
 
 const json::value& require(const json::object& object, const char* key) {
   const auto* value = object.if_contains(key);
-  if (!value) throw HostListError(key, std::string("no '") + key + "'");
+  if (!value) throw HostListError(key, std::string("'") + key + "' is missing");
   return *value;
 }
 
@@ -59,11 +59,11 @@
   for (const auto& [word, state] : kStates) {
     if (word == text) return state;
   }
-  throw HostListError(kStateKey, "unknown state");
+  throw HostListError(kStateKey, "'state' is not active, leaving or left");
 }
 
 DiscoveredHost parse_host(const json::value& value) {
-  if (!value.is_object()) throw HostListError(kHostsKey, "a target is not an object");
+  if (!value.is_object()) throw HostListError(kHostsKey, "an element of 'targets' is not an object");
   const auto& object = value.get_object();
   DiscoveredHost host;
   host.uid = to_string(require(object, kUidKey), kUidKey);
@@ -100,14 +100,14 @@
 }
 
 HostList parse_host_list(const json::value& value) {
-  if (!value.is_object()) throw HostListError({}, "not an object");
+  if (!value.is_object()) throw HostListError({}, "not a JSON object");
   const auto& object = value.get_object();
   HostList list;
   list.version = to_integer<std::uint64_t>(require(object, kVersionKey), kVersionKey);
   const auto& is_snapshot = require(object, kSnapshotKey);
   const auto& hosts = require(object, kHostsKey);
   if (!is_snapshot.is_bool() || !hosts.is_array()) {
-    throw HostListError({}, "'all' or 'targets' has the wrong type");
+    throw HostListError({}, "'all' is not a boolean or 'targets' is not an array");
   }
   list.is_snapshot = is_snapshot.get_bool();
   for (const auto& host : hosts.get_array()) list.hosts.push_back(parse_host(host));
--- a/src/net/host_list_stream.cpp
+++ b/src/net/host_list_stream.cpp
@@ -27,7 +27,7 @@
   }
   incomplete_line_.erase(0, begin);
   if (incomplete_line_.size() + incomplete_list_bytes_ > kMaxHostListBytes) {
-    throw HostListError({}, "a line has no end");
+    throw HostListError({}, "a host list is longer than 4 MiB");
   }
 }
 
@@ -37,7 +37,7 @@
   const bool is_empty = line.find_first_not_of(" \t\r\n") == std::string_view::npos;
   if (is_empty && incomplete_list_bytes_ == 0) return callbacks_.on_heartbeat();
   if (incomplete_list_bytes_ > 0 && (is_empty || (line.front() == '{' && is_complete_list(line)))) {
-    throw HostListError({}, "malformed line: a list is cut off");
+    throw HostListError({}, "malformed line: a list is truncated");
   }
   if (incomplete_list_bytes_ == 0) parser_.reset();
   incomplete_list_bytes_ += line.size();
--- a/src/net/host_registry.cpp
+++ b/src/net/host_registry.cpp
@@ -61,7 +61,7 @@
   Host& host = it->second;
   if (!inserted && host.uid != listed.uid) {
     // Two hosts under one number would mix up the statistics of both.
-    log_line("two hosts have the same number: one is left out", listed.uid);
+    log_line("another host has the same host id (CRC-32 of the uid), host ignored", listed.uid);
     return {};
   }
   if (inserted || (listed.boot_unix_ms && host.boot_unix_ms != listed.boot_unix_ms)) {
--- a/src/net/limits_table.cpp
+++ b/src/net/limits_table.cpp
@@ -20,7 +20,7 @@
 ValueParser delay_interval(limits::LimitsFile& limits) {
   return [&limits](const toml::node& node) -> Rejection {
     constexpr const char* kExpected =
-        "two numbers of milliseconds: the shortest and the longest way to a host";
+        "two numbers of milliseconds: the shortest and the longest network delay to a host";
     if (!node.is_array() || node.as_array()->size() != 2) return kExpected;
     const auto& bounds = *node.as_array();
     if (!bounds[0].is_number() || !bounds[1].is_number()) return kExpected;
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -41,9 +41,9 @@
       clock.new_batch();
       if (io.run_one() == 0) return;
     } catch (const std::exception& error) {
-      log_line("a handler threw", error.what());
+      log_line("unhandled exception in an event handler", error.what());
     } catch (...) {
-      log_line("a handler threw");
+      log_line("unhandled exception in an event handler");
     }
   }
 }
@@ -71,10 +71,10 @@
     await_reload(hangups, gateway, options);
     try {
       gateway.reload(with_gateway_settings(reload_config(get_variable), options));
-      log_line("configuration read again");
+      log_line("configuration reloaded");
     } catch (const std::exception& error) {
       gateway.on_reload_failed();
-      log_line("the new configuration is bad, the old one is kept", error.what());
+      log_line("configuration reload failed, the previous configuration is kept", error.what());
     }
   });
 }
@@ -154,13 +154,14 @@
   Options options;
   if (argc > 1) {
     CLI::App app{
-        "An api gateway between RESP2 clients and hosts. Without arguments it serves as EDGE_NAME, "
-        "EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONFIG say."};
+        "API gateway between RESP2 clients and hosts. It takes its configuration from "
+        "EDGE_NAME, EDGE_LISTEN, EDGE_DISCOVERY and EDGE_CONFIG."};
     app.set_version_flag("--version", "cometfold " COMETFOLD_VERSION);
     app.add_option("--settings", options.settings_path,
-                   "the gateway's own settings, as deploy/cometfold.toml");
-    app.add_option("--check-config", options.config_path, "say whether a configuration is good, and end");
-    app.add_flag("--outcomes", options.print_outcomes, "print how a proxy's reports are read, and end");
+                   "file with the gateway's own settings, such as deploy/cometfold.toml");
+    app.add_option("--check-config", options.config_path, "check a configuration file and exit");
+    app.add_flag("--outcomes", options.print_outcomes,
+                 "print which outcome each report of a proxy maps to, and exit");
     CLI11_PARSE(app, argc, argv);
   }
   if (options.print_outcomes) return print_outcomes(options);
--- a/src/net/peers_table.cpp
+++ b/src/net/peers_table.cpp
@@ -19,7 +19,7 @@
   return [&target](const toml::node& node) -> Rejection {
     std::optional<boost::asio::ip::tcp::endpoint> address;
     if (endpoint(address)(node) || address->port() == 0 || address->address().is_unspecified()) {
-      return "an address";
+      return "an address and port";
     }
     target = *node.value<std::string>();
     return {};
@@ -30,7 +30,7 @@
   return [&target](const toml::node& node) -> Rejection {
     const auto name = node.value<std::string>().value_or("");
     if (!node.is_string() || name.empty() || name.size() > kMaxClusterNameBytes) {
-      return "a text of 1 to 32 bytes";
+      return "a string of 1 to 32 bytes";
     }
     target = name;
     return {};
@@ -60,7 +60,7 @@
                            "a number of milliseconds from 10000 to 86400000")},
       {"members", number(membership.max_members, 2, 100'000, "a whole number from 2 to 100000")},
       {"datagrams",
-       number(membership.max_datagrams_per_second, 10, 100'000, "a number a second from 10 to 100000")}};
+       number(membership.max_datagrams_per_second, 10, 100'000, "a number per second from 10 to 100000")}};
 }
 
 }  // namespace cometfold::net
--- a/src/net/platform_settings.cpp
+++ b/src/net/platform_settings.cpp
@@ -112,7 +112,7 @@
 
 std::size_t require_count(const Pairs& pairs, const std::string& key) {
   const double count = require_number(pairs, key, 1);
-  if (count > kMaxListLength) throw ConfigError(kDocument, key, key + " is not a number in range");
+  if (count > kMaxListLength) throw ConfigError(kDocument, key, key + " is above 65536");
   return static_cast<std::size_t>(count);
 }
 
--- a/src/net/predecessor.cpp
+++ b/src/net/predecessor.cpp
@@ -26,7 +26,8 @@
   if (error) return nullptr;  // no such file, or one that a dead process has left
   const int socket = stream.native_handle();
   if (!is_same_user(socket)) {
-    throw HandoverError(path, "another user's process", "another user's process is at " + path);
+    throw HandoverError(path, "another user's process listens there",
+                        "another user's process listens at " + path);
   }
   // An unresponsive process still holds the address, so it has to be waited for.
   const bool is_unresponsive = !is_readable_within(socket, kGreetingTimeoutMs);
--- a/src/net/processor_server.cpp
+++ b/src/net/processor_server.cpp
@@ -38,12 +38,13 @@
     return;
   }
   const auto address = listener_.address();
-  log_line("external processor", address.address().to_string() + ":" + std::to_string(address.port()));
+  log_line("external processor is listening",
+           address.address().to_string() + ":" + std::to_string(address.port()));
 }
 
 void ProcessorServer::reload(const Config& config, extproc::NamedSettings names) {
   if (config.gateway_settings.processor_address != address_) {
-    log_line("another address for the external processor needs a restart");
+    log_line("extproc.listen changed in the settings: ignored until a restart");
   }
   processor_.reload(config.gateway_settings.processor, std::move(names));
 }
--- a/src/net/processor_table.cpp
+++ b/src/net/processor_table.cpp
@@ -40,8 +40,8 @@
       target = repeats;
       return {};
     }
-    return "\"never\" (the proxy calls once for a request) or \"marked\" (it calls for each try, with an "
-           "attempt count)";
+    return "\"never\" (the proxy makes one call per request) or \"marked\" (it makes one call per attempt, "
+           "with an attempt count)";
   };
 }
 
@@ -92,7 +92,7 @@
   return [&target](const toml::node& node) -> Rejection {
     const auto value = node.value<std::string>();
     if (!value || !is_path_pattern(*value)) {
-      return "a path that begins with / and has no query; a * may stand at its end";
+      return "a path that begins with / and has no query; only its last character may be *";
     }
     target = *value;
     return {};
@@ -160,18 +160,18 @@
       {"id_header", header_name(mapping.id_header)},
       {"attempt_header", header_name(mapping.attempt_header)},
       {"deadline_headers",
-       list<std::string>(mapping.deadline_headers, header_name, "a list of headers' names in lower case")},
+       list<std::string>(mapping.deadline_headers, header_name, "a list of lower-case header names")},
       {"default_class", text(mapping.default_class)},
       {"default_plan", text(mapping.default_plan)},
       {"default_customer", text(mapping.default_customer)},
       {"default_units", number(mapping.default_units, kMinUnits, kMaxUnits, "a number above 0")},
-      {"default_gateways", number(mapping.default_gateway_count, 0, 1e6, "a number from 0 (all) upward")}};
+      {"default_gateways", number(mapping.default_gateway_count, 0, 1e6, "a number of at least 0 (0: all)")}};
 }
 
 ValueParser metric_names(std::vector<std::string>& target) {
   return list<std::string>(
       target, [](std::string& name) { return text(name, 1); },
-      "a list of figures' names, such as [\"named_metrics.queue\", \"cpu_utilization\"]");
+      "a list of metric names, such as [\"named_metrics.queue\", \"cpu_utilization\"]");
 }
 
 // [extproc.load]
@@ -196,18 +196,18 @@
 Table grpc_table(GrpcLimits& grpc) {
   auto& calls = grpc.calls;
   auto& http2 = calls.http2;
-  return {
-      {"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
-      {"streams", number(http2.max_concurrent_streams, 1, 100'000, "a whole number from 1 to 100000")},
-      {"header_bytes", bytes(http2.max_header_bytes)},
-      {"message_bytes", bytes(calls.max_message_bytes)},
-      {"unread_bytes", bytes(calls.max_incomplete_bytes)},
-      {"unsent_bytes", bytes(http2.max_unsent_bytes)},
-      {"cheap_frames", number(http2.cheap_frames_per_second, 1, 1e6, "a number a second from 1 to 1000000")},
-      {"cheap_frames_at_once", number(http2.cheap_frame_burst, 10, 1e6, "a number from 10 to 1000000")},
-      {"first_message_ms", timeout(calls.first_message_timeout_ms)},
-      {"silent_ms", timeout(grpc.silence_timeout_ms)},
-      {"answer_ms", timeout(grpc.response_timeout_ms)}};
+  return {{"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
+          {"streams", number(http2.max_concurrent_streams, 1, 100'000, "a whole number from 1 to 100000")},
+          {"header_bytes", bytes(http2.max_header_bytes)},
+          {"message_bytes", bytes(calls.max_message_bytes)},
+          {"unread_bytes", bytes(calls.max_incomplete_bytes)},
+          {"unsent_bytes", bytes(http2.max_unsent_bytes)},
+          {"cheap_frames",
+           number(http2.cheap_frames_per_second, 1, 1e6, "a number per second from 1 to 1000000")},
+          {"cheap_frames_at_once", number(http2.cheap_frame_burst, 10, 1e6, "a number from 10 to 1000000")},
+          {"first_message_ms", timeout(calls.first_message_timeout_ms)},
+          {"silent_ms", timeout(grpc.silence_timeout_ms)},
+          {"answer_ms", timeout(grpc.response_timeout_ms)}};
 }
 
 }  // namespace
--- a/src/net/shutdown_sequence.cpp
+++ b/src/net/shutdown_sequence.cpp
@@ -54,7 +54,8 @@
   if (engine_.unanswered_count() > 0 && now >= deadline) engine_.fail_all(now);
   const std::size_t proxies = processor_ ? processor_->listener().connection_count() : 0;
   if (clients_.connection_count() + proxies == 0 || now >= deadline + kLastReplyTime) {
-    if (processor_) log_line("external processor", extproc::to_text(processor_->processor().metrics()));
+    if (processor_)
+      log_line("external processor totals", extproc::to_text(processor_->processor().metrics()));
     return on_finished_();
   }
   timer_.expires_after(kPollInterval);
--- a/src/net/successor_listener.cpp
+++ b/src/net/successor_listener.cpp
@@ -39,7 +39,8 @@
     acceptor_.listen(kBacklog);
     accept();
   } catch (const boost::system::system_error& error) {
-    log_line("no upgrade beside this process", path_ + ": " + error.code().message());
+    log_line("can't listen for a successor process, no hand-over is possible",
+             path_ + ": " + error.code().message());
   }
 }
 
@@ -64,7 +65,7 @@
   if (successor_ || handed_over_ || !is_same_user(peer.native_handle())) return;
   if (!send_descriptor(peer.native_handle(), callbacks_.listening_socket())) return;
   successor_ = std::make_unique<Stream>(std::move(peer));
-  log_line("a second process is there to take over");
+  log_line("a successor process has connected and waits for the hand-over");
   callbacks_.on_successor_started();
   await_exit();
 }
@@ -74,7 +75,7 @@
     if (error == asio::error::operation_aborted || handed_over_) return;
     if (!error) return await_exit();
     successor_.reset();
-    log_line("the second process has ended before it took over");
+    log_line("the successor process exited before the hand-over: this process keeps serving");
     callbacks_.on_successor_exited();
   });
 }
@@ -93,7 +94,7 @@
   acceptor_.close(ignored);
   state_ = std::move(state) + "\n";
   asio::async_write(*successor_, asio::buffer(state_), [](error_code error, std::size_t) {
-    if (error) log_line("the second process did not take the state", error.message());
+    if (error) log_line("sending the hand-over state to the successor process failed", error.message());
   });
 }
 
--- a/src/net/toml_table.cpp
+++ b/src/net/toml_table.cpp
@@ -88,7 +88,7 @@
   return [&target, min_bytes](const toml::node& node) -> Rejection {
     const auto value = node.value<std::string>();
     if (!node.is_string() || value->size() < min_bytes || value->size() > kMaxTextBytes) {
-      return min_bytes > 0 ? "a text of 1 to 256 bytes" : "a text of at most 256 bytes";
+      return min_bytes > 0 ? "a string of 1 to 256 bytes" : "a string of at most 256 bytes";
     }
     target = *value;
     return {};
@@ -100,7 +100,7 @@
     const auto value = node.value<std::string>();
     if (!node.is_string() || value->size() > kMaxHeaderNameBytes ||
         !std::all_of(value->begin(), value->end(), is_header_character)) {
-      return "a header's name in lower case of at most 63 letters, digits and hyphens, or empty for none";
+      return "a lower-case header name of at most 63 letters, digits and hyphens, or empty for none";
     }
     target = *value;
     return {};
--- a/src/net/upgrade_coordinator.cpp
+++ b/src/net/upgrade_coordinator.cpp
@@ -48,8 +48,8 @@
                        .on_state = [this](const std::string& state) { on_state(state); },
                        .on_exit = [this] { on_predecessor_exited(); }});
   log_line(is_unresponsive
-               ? "another process holds this address and does not answer: this one waits for its end"
-               : "another process serves here: this one takes over when that ends");
+               ? "the predecessor process does not answer: waiting for its listening socket or its exit"
+               : "the predecessor process is serving: waiting for its hand-over or its exit");
 }
 
 // From here on this process is the one that a later one finds.
@@ -72,7 +72,8 @@
   // This is a call of the predecessor's own, so it is destroyed later.
   asio::post(io_, [predecessor = std::move(predecessor_)] {});
   if (is_stopping_ && !is_serving_) return callbacks_.on_stopped_before_serving();
-  if (!is_serving_) log_line("the process before has ended without a word");
+  if (!is_serving_)
+    log_line("the predecessor process exited without a hand-over: starting without its state");
   callbacks_.on_predecessor_exited(is_serving_);
   if (!is_serving_) {
     if (clients_.has_listener()) {
@@ -89,7 +90,7 @@
 void UpgradeCoordinator::listen_after_exit() {
   try {
     clients_.listen(address_);
-    log_line("this process listens now", to_text(clients_.address()));
+    log_line("listening after the predecessor's exit", to_text(clients_.address()));
     serve();
   } catch (const boost::system::system_error& error) {
     if (error.code() != asio::error::address_in_use) throw;
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -127,28 +127,26 @@
     EXPECT_TRUE(extproc_error(std::string("listen = ") + bad).starts_with(":2: extproc.listen must be"))
         << bad;
   }
-  EXPECT_EQ(
-      extproc_error("repeats = \"always\""),
-      ":2: extproc.repeats must be \"never\" (the proxy calls once for a request) or \"marked\" (it calls "
-      "for each try, with an attempt count)");
+  EXPECT_EQ(extproc_error("repeats = \"always\""),
+            ":2: extproc.repeats must be \"never\" (the proxy makes one call per request) or \"marked\" (it "
+            "makes one call per attempt, with an attempt count)");
   EXPECT_EQ(extproc_error("destination = []"),
             ":2: extproc.destination must be a list of at least one of \"header\", \"metadata\" and "
             "\"original-dst\"");
   EXPECT_EQ(extproc_error("not_run = [200]"),
             ":2: extproc.not_run must be a list of statuses from 400 to 599");
   EXPECT_EQ(extproc_error("mode_override = 1"), ":2: extproc.mode_override must be true or false");
-  EXPECT_EQ(
-      extproc_error("[extproc.request]\nclass_header = \"X-Class\""),
-      ":3: extproc.request.class_header must be a header's name in lower case of at most 63 letters, digits "
-      "and hyphens, or empty for none");
-  EXPECT_EQ(
-      extproc_error("[[extproc.rule]]\npath = \"shop\""),
-      ":3: [extproc.rule].path must be a path that begins with / and has no query; a * may stand at its end");
+  EXPECT_EQ(extproc_error("[extproc.request]\nclass_header = \"X-Class\""),
+            ":3: extproc.request.class_header must be a lower-case header name of at most 63 letters, digits "
+            "and hyphens, or empty for none");
+  EXPECT_EQ(extproc_error("[[extproc.rule]]\npath = \"shop\""),
+            ":3: [extproc.rule].path must be a path that begins with / and has no query; only its last "
+            "character may be *");
   EXPECT_TRUE(extproc_error("[[extproc.rule]]\npaht = \"/shop\"")
                   .starts_with(":3: [[extproc.rule]] has no 'paht'; it has "));
   EXPECT_EQ(extproc_error("rule = 3"), ":2: extproc.rule must be at most 1000 tables: [[extproc.rule]]");
   EXPECT_EQ(extproc_error("[extproc.load]\nbusy = \"cpu\""),
-            ":3: extproc.load.busy must be a list of figures' names, such as [\"named_metrics.queue\", "
+            ":3: extproc.load.busy must be a list of metric names, such as [\"named_metrics.queue\", "
             "\"cpu_utilization\"]");
 }
 
--- a/tests/host_list_test.cpp
+++ b/tests/host_list_test.cpp
@@ -70,7 +70,7 @@
     FAIL() << "a list without a version";
   } catch (const HostListError& error) {
     EXPECT_EQ(error.location(), "rev");
-    EXPECT_STREQ(error.what(), "no 'rev'");
+    EXPECT_STREQ(error.what(), "'rev' is missing");
   }
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -193,7 +193,7 @@
   lanes.erase(lanes.begin());  // without lookup all numbers in the file change
   lanes.push_back(added);
   s.program.reload(boost::json::serialize(conf));
-  s.program.log_until("configuration read again");
+  s.program.log_until("configuration reloaded");
   other.send(query(2));
   EXPECT_EQ(other.reply(), "-ERR unknown class");
   other.send(submit("audit", 3));
@@ -216,7 +216,7 @@
   auto conf = s.conf;
   settings_of(conf)["ceilings"].as_object()["max_attempts"] = 1;
   s.program.reload(boost::json::serialize(conf));
-  s.program.log_until("configuration read again");
+  s.program.log_until("configuration reloaded");
   auto client = s.program.client();
   client.send(query(1));
   auto at = s.host.accept();
@@ -242,7 +242,7 @@
   with([](auto& o) { o.erase("packages"); });
   for (const auto& text : broken) {
     s.program.reload(text);
-    s.program.log_until("the old one is kept");
+    s.program.log_until("the previous configuration is kept");
   }
   EXPECT_EQ(figure(s.program, "load_errors"), static_cast<long>(broken.size()));
   EXPECT_EQ(figure(s.program, "loads"), 0);
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -49,7 +49,7 @@
   explicit Processor(const OwnFile& file, boost::json::object conf = two_hosts())
       : child(std::make_unique<Child>(std::vector<std::string>{COMETFOLD_PROGRAM, "--settings", file.path()},
                                       environment(conf))),
-        port(child->port_after("external processor")) {
+        port(child->port_after("external processor is listening")) {
     child->log_until("ready: n0");
   }
   ~Processor() { std::filesystem::remove(path_); }
@@ -168,7 +168,7 @@
     two.report(b, 200);
   }
   program.child->signal(SIGTERM);
-  EXPECT_NE(program.child->log_until("external processor: asked")
+  EXPECT_NE(program.child->log_until("external processor totals: asked")
                 .find("asked=100 again=0 named=100 refused=0 failed=0 rejected=0 left=0 ended=100"),
             std::string::npos);
   EXPECT_EQ(program.child->exit_code(), 0);
@@ -208,16 +208,17 @@
   for (const char* bad : {"[extproc\n", "[extproc]\nnope = 1\n"}) {
     file.write(bad);
     program.child->signal(SIGHUP);
-    program.child->log_until("the old one is kept");
+    program.child->log_until("the previous configuration is kept");
   }
   file.write(own("[extproc.request]\ndefault_class = \"nope\"\n"));  // a class that there is not
   program.child->signal(SIGHUP);
-  EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'nope'"), std::string::npos);
+  EXPECT_NE(program.child->log_until("the previous configuration is kept").find("no class 'nope'"),
+            std::string::npos);
   EXPECT_TRUE(Proxy::named(proxy.ask("lookup", "b")));
   auto open = proxy.ask("lookup", "c");
   file.write(own("[extproc.request]\nclass_header = \"\"\ndefault_class = \"pay\"\n"));
   program.child->signal(SIGHUP);
-  program.child->log_until("configuration read again");
+  program.child->log_until("configuration reloaded");
   auto after = proxy.ask("nope", "d");  // nobody looks at that header any more
   ASSERT_TRUE(Proxy::named(after));
   proxy.report(open, 200);  // and what was open goes on
@@ -232,12 +233,13 @@
   auto& lanes = conf["settings"].as_object()["lanes"].as_array();
   lanes.erase(lanes.begin());
   program.reload(conf);  // the default class would be gone
-  EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'lookup'"), std::string::npos);
+  EXPECT_NE(program.child->log_until("the previous configuration is kept").find("no class 'lookup'"),
+            std::string::npos);
   EXPECT_TRUE(Proxy::named(proxy.ask("lookup", "a")));
   file.write(own());
   lanes[1].as_object()["name"] = "audit";  // pay goes too
   program.reload(conf);
-  program.child->log_until("configuration read again");
+  program.child->log_until("configuration reloaded");
   EXPECT_EQ(Proxy::answered(proxy.ask("lookup", "b")), 400);
   EXPECT_EQ(Proxy::answered(proxy.ask("pay", "c")), 400);
   EXPECT_TRUE(Proxy::named(proxy.ask("audit", "d")));
@@ -355,7 +357,7 @@
   serve("after a reset");
   program.child->signal(SIGTERM);
   good.peer.reset();
-  EXPECT_NE(program.child->log_until("external processor: asked").find("asked=5 "), std::string::npos);
+  EXPECT_NE(program.child->log_until("external processor totals: asked").find("asked=5 "), std::string::npos);
 }
 
 TEST(ProcessorProgram, WithoutAnAddressThereIsNoListener) {
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -201,7 +201,7 @@
     EXPECT_NE(watch_head(watch).find("since=7 "), std::string::npos);
     chunk(watch, "{\"rev\":8,\"all\":false,\"targets\":[\n");
     chunk(watch, behind);
-    program.log_until("malformed line: a list is cut off");
+    program.log_until("malformed line: a list is truncated");
   }
 }
 
@@ -470,7 +470,7 @@
   auto at = host.accept();
   at.command();
   program.reload(boost::json::serialize(changed));
-  program.log_until("configuration read again");
+  program.log_until("configuration reloaded");
   const auto told = Steady::now();
   program.terminate();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
@@ -491,7 +491,7 @@
   auto changed = conf;
   changed["settings"].as_object()["lanes"].as_array().resize(1);
   program.reload(boost::json::serialize(changed));
-  program.log_until("configuration read again");
+  program.log_until("configuration reloaded");
   program.terminate();
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -26,10 +26,10 @@
   at.command();
   for (const std::string bad : {"", "{", "{}", R"({"name":"n0"})"}) {
     program.reload(bad);
-    program.log_until("the old one is kept");
+    program.log_until("the previous configuration is kept");
   }
   program.reload(boost::json::serialize(conf));
-  program.log_until("configuration read again");
+  program.log_until("configuration reloaded");
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
 }
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -258,7 +258,7 @@
         await asyncio.gather(*(g.stop() for g in self.gateways.values()))
         for gateway in self.gateways.values():
             text = gateway.log()
-            if "Sanitizer" in text or "runtime error" in text or "a handler threw" in text:
+            if "Sanitizer" in text or "runtime error" in text or "unhandled exception in an event handler" in text:
                 self.oracle.breach("crash", f"{gateway.name}: {text[-1500:]}")
         for task in tasks:
             task.cancel()
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -98,7 +98,7 @@
   auto connected = first->client();
   setup.serve(connected, 1);
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   EXPECT_EQ(second->port(), first->port());
   setup.serve(connected, 2);  // still the first
   std::vector<Peer> queued;
@@ -116,7 +116,7 @@
   EXPECT_EQ(first->exit_code(), 0);
   EXPECT_EQ(ping(*second), "+PONG");
   auto third = setup.start();  // finds the second
-  second->log_until("a second process is there");
+  second->log_until("a successor process has connected");
   second->terminate();
   third->log_until("taken over");
   auto client = third->client();
@@ -128,7 +128,7 @@
   auto first = setup.start();
   auto second = setup.start();
   first.reset();  // SIGKILL
-  second->log_until("ended without a word");
+  second->log_until("exited without a hand-over");
   auto client = second->client();
   setup.serve(client, 1);
 }
@@ -148,7 +148,7 @@
   auto second = setup.start();
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
   first.reset();  // SIGKILL
-  second->log_until("ended without a word");
+  second->log_until("exited without a hand-over");
   auto client = second->client();
   std::string burst;
   for (unsigned n = 1; n <= 10; ++n) {
@@ -172,12 +172,12 @@
     const auto second = setup.start();
     int at = port;
     if (killed) {
-      first.reset();                                       // SIGKILL
-      const auto line = second->log_until("listens now");  // any port will do here
+      first.reset();                                                                  // SIGKILL
+      const auto line = second->log_until("listening after the predecessor's exit");  // any port will do here
       at = std::stoi(line.substr(line.rfind(':') + 1));
     } else {
       ASSERT_EQ(::kill(first->pid(), SIGCONT), 0);
-      first->log_until("a second process is there");
+      first->log_until("a successor process has connected");
       first->terminate();
       second->log_until("taken over");
     }
@@ -204,13 +204,13 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   second.reset();  // SIGKILL
-  first->log_until("ended before it took over");
+  first->log_until("exited before the hand-over");
   auto client = first->client();
   setup.serve(client, 1);
   auto third = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   first->terminate();
   third->log_until("taken over");
   auto late = third->client();
@@ -223,7 +223,7 @@
     UpgradeSetup setup;
     auto first = setup.start();
     auto second = setup.start();
-    first->log_until("a second process is there");
+    first->log_until("a successor process has connected");
     second->terminate();
     first->terminate();
     std::vector<Peer> clients;
@@ -260,7 +260,7 @@
     chunk(watch, list(8, false, {target("s-1", one.port(), state)}) + "\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     auto second = setup.start();
-    first->log_until("a second process is there");
+    first->log_until("a successor process has connected");
     first->terminate();
     second->log_until("taken over");
     const auto before = one.received();
@@ -279,10 +279,10 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   second->terminate();
   EXPECT_EQ(second->exit_code(), 0);
-  first->log_until("ended before it took over");
+  first->log_until("exited before the hand-over");
   EXPECT_EQ(ping(*first), "+PONG");
 }
 
@@ -290,7 +290,7 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   auto conf = setup.conf;  // its own address is in use, and no process passes the socket on
   EXPECT_EQ(ping(*first), "+PONG");
   const int port = first->port();
--- a/tests/wire/check.js
+++ b/tests/wire/check.js
@@ -66,7 +66,7 @@
     let log = '', port = 0;
     running.stderr.on('data', (text) => {
       log += text;
-      const at = /external processor: 127\.0\.0\.1:(\d+)/.exec(log);
+      const at = /external processor is listening: 127\.0\.0\.1:(\d+)/.exec(log);
       if (at) port = Number(at[1]);
       if (port && log.includes('ready: n0')) resolve({ running, port, log: () => log });
     });
@@ -232,7 +232,7 @@
     assert.strictEqual((await call.ended).code, grpc.status.OK);
     client.close();
     assert.strictEqual(await exit, 0);
-    assert.match(gateway.log(), /external processor: asked=\d+ again=3 /);
+    assert.match(gateway.log(), /external processor totals: asked=\d+ again=3 /);
     checked('a stop lets open calls end');
   }
   assert.strictEqual(checks, 7);
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -328,7 +328,7 @@
         peer.connect(path)
         hello, descriptors, _, _ = socket.recv_fds(peer, 1, 1)
         forms["handover_hello"] = [f"{hello!r} with {len(descriptors)} descriptor"]
-        gateway.wait_for("a second process")
+        gateway.wait_for("a successor process has connected")
         gateway.process.send_signal(signal.SIGTERM)
         text = b""
         while not text.endswith(b"\n"):
@@ -373,7 +373,7 @@
         peer, _ = server.accept()
     with peer:
         peer.sendmsg([b"L"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [listener.fileno()]))])
-        gateway.wait_for("another process serves here")
+        gateway.wait_for("the predecessor process is serving")
         # Discovery has been heard by then, so that what is handed over of hosts finds its host.
         wait_for_metric(int(config["admin"].rsplit(":")[-1]), "edge_edge.known_hosts", "1|g")
         peer.sendall(HANDOVER_STATE.read_bytes())
