--- a/src/net/active_config.cpp
+++ b/src/net/active_config.cpp
@@ -35,7 +35,7 @@
   config_.max_open_requests = fresh.max_open_requests;
   config_.connection_idle_timeout_ms = fresh.connection_idle_timeout_ms;
   config_.connect_timeout_ms = fresh.connect_timeout_ms;
-  // Listed hosts refer to kinds and zones by number too.
+  // The host registry refers to kinds and zones by index, so existing indices must not change.
   settings::extend_names(config_.host_kinds, fresh.host_kinds);
   settings::extend_names(config_.zones, fresh.zones);
   if (fresh.settings.local_zone < fresh.zones.size()) {
--- a/src/net/active_config.h
+++ b/src/net/active_config.h
@@ -1,5 +1,5 @@
-// The configuration in use, and how a new one is merged into it without renumbering what is in flight.
-// Without I/O.
+// The configuration in use, and how a reload is merged into it without renumbering the classes and plans of
+// requests in flight. Without I/O.
 #pragma once
 
 #include <string>
@@ -17,17 +17,18 @@
 
   // The object stays in place for the lifetime of this one; its contents change with a reload.
   const Config& get() const { return config_; }
-  // By class number, of withdrawn classes too.
+  // Names by class number, including classes that a reload has removed.
   const std::vector<std::string>& class_labels() const { return class_labels_; }
   resp::CommandNames command_names() const;
 
   bool has_other_settings(const Config& fresh) const { return fresh.settings_text != config_.settings_text; }
-  // The settings of `fresh` in the numbers of this configuration. Throws settings::TooManyNamesError.
+  // The settings of `fresh`, with its classes and plans renumbered to match this configuration. Throws
+  // settings::TooManyNamesError.
   settings::NumberedSettings renumber(const Config& fresh) const;
 
   void set_attempt_bounds(const Config& fresh) { config_.attempt_bounds = fresh.attempt_bounds; }
   void set_discovery(const Config& fresh) { config_.discovery = fresh.discovery; }
-  // `numbered`: from `renumber` of the same configuration.
+  // `numbered` must be the result of `renumber(fresh)`.
   void set_settings(const Config& fresh, const settings::NumberedSettings& numbered);
 
  private:
--- a/src/net/admin_server.cpp
+++ b/src/net/admin_server.cpp
@@ -24,13 +24,13 @@
 constexpr std::size_t kReadAheadBytes = 1024;
 constexpr int kBacklog = 128;
 constexpr int kHttp11 = 11;
-constexpr auto kCallTimeout = std::chrono::seconds(5);  // to read a call, and to write its response
+constexpr auto kCallTimeout = std::chrono::seconds(5);  // for a call, and again for its response
 constexpr auto kLingerTimeout = std::chrono::milliseconds(500);
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(20);
 
 }  // namespace
 
-// Reads one call, answers it and closes.
+// Reads one call, writes its response and closes the connection.
 class AdminServer::Connection : public std::enable_shared_from_this<Connection> {
  public:
   Connection(AdminServer& owner, tcp::socket socket) : owner_(owner), stream_(std::move(socket)) {
@@ -74,7 +74,8 @@
     });
   }
 
-  // Closing a socket with bytes unread sends a reset, which may overtake the response.
+  // Closing a socket with unread bytes sends a reset, which may discard the response at the client. So the
+  // remaining input is read first.
   void linger() {
     error_code ignored;
     stream_.socket().shutdown(tcp::socket::shutdown_send, ignored);
@@ -115,8 +116,9 @@
   accept();
 }
 
-// Connections that send nothing must not keep an operator out. The oldest of those that are still read from
-// is closed; a complete call is answered in the same turn of the loop, so it is never among them.
+// Connections that send nothing must not lock an operator out, so at the limit the oldest one that is still
+// being read is closed. A complete call is answered in the same iteration of the event loop, so it is never
+// among them.
 void AdminServer::evict_one_at_limit() {
   if (connections_.size() < kMaxConnections) return;
   auto it = std::find_if(connections_.begin(), connections_.end(),
@@ -130,7 +132,7 @@
 void AdminServer::accept() {
   acceptor_.async_accept([this](error_code error, tcp::socket socket) {
     if (error == asio::error::operation_aborted) return;
-    if (error) {  // out of descriptors: the connection waits in the queue
+    if (error) {  // such as no free descriptor: the connection stays in the accept queue
       evict_one_at_limit();
       accept_timer_.expires_after(kAcceptRetryDelay);
       accept_timer_.async_wait([this](error_code cancelled) {
--- a/src/net/admin_server.h
+++ b/src/net/admin_server.h
@@ -1,4 +1,4 @@
-// The operators' HTTP/1.1 server: one call on each connection, in the gateway's event loop.
+// The HTTP/1.1 admin server for operators: one call per connection, in the gateway's event loop.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/src/net/backoff.h
+++ b/src/net/backoff.h
@@ -1,4 +1,4 @@
-// How long a caller of discovery waits before it calls again. Without I/O.
+// Backoff between connections to discovery. Without I/O.
 #pragma once
 
 #include <algorithm>
@@ -10,36 +10,38 @@
 // How a connection to discovery ended.
 enum class WatchResult : std::uint8_t {
   kReceivedData,
-  kFailed,    // nothing was received: discovery is down, silent or not to be understood
-  kRejected,  // discovery is up and does not answer now
+  kFailed,    // nothing valid was received: discovery is down, silent or sends malformed data
+  kRejected,  // discovery is up, but answered with a status other than 200 or closed without a response
 };
 
 // Exponential backoff that depends on how the last call ended and on how many gateways call the same
 // discovery.
 //
-// A fleet that is rejected together must spread out, or its calls exceed what discovery takes each time: the
-// first calls of a large fleet and the delays after a rejection grow with the fleet. Where discovery is down
-// nobody is overloaded, so those delays stay short. All are bounded, as a change must reach each gateway
-// within 6 s.
+// Gateways that are rejected at the same time must spread their retries, or these exceed discovery's capacity
+// again each time. So the delay before the first call and the delays after a rejection grow with the fleet.
+// When discovery is down nothing is overloaded, so those delays stay short. All are bounded, as a change must
+// reach each gateway within 6 s.
 class Backoff {
  public:
-  // `gateway_count`: that call the same discovery, from 1.
+  // `gateway_count`: how many gateways call the same discovery, this one included; limited to 1 to
+  // `kMaxGateways`.
   explicit Backoff(double gateway_count = 1) : gateway_count_(std::clamp(gateway_count, 1.0, kMaxGateways)) {}
 
-  // For an agent on this machine, which no other gateway calls: all delays are short.
+  // For a discovery agent on this machine that no other gateway calls: all delays are short.
   static Backoff for_local_agent() {
     Backoff backoff;
     backoff.local_agent_ = true;
     return backoff;
   }
 
-  // The first call of a gateway that has a list already is made after a time drawn evenly from 0 to this.
+  // Upper bound of the delay before the first call of a gateway that already has a list; the caller draws it
+  // uniformly, from 0.
   std::chrono::milliseconds max_initial_delay() const {
     const double delay_ms = kInitialDelayPerGatewayMs * std::max(gateway_count_ - kSmallFleet, 0.0);
     return std::min(std::chrono::milliseconds(static_cast<long>(delay_ms)), kMaxInitialDelay);
   }
 
-  // The mean of the next delay, which is drawn evenly between half and one and a half of it.
+  // The mean of the next delay; the caller draws uniformly from half to one and a half of it.
   std::chrono::milliseconds next_delay(WatchResult result) {
     if (local_agent_) {
       delay_ = result == WatchResult::kReceivedData ? kMinDelay : kMaxLocalAgentDelay;
@@ -53,7 +55,8 @@
     return delay_;
   }
 
-  static constexpr double kSmallFleet = 16;  // gateways; up to so many need not spread their first calls
+  // Up to this number of gateways the first calls are not spread.
+  static constexpr double kSmallFleet = 16;
   static constexpr double kMaxGateways = 1000;
   static constexpr std::chrono::milliseconds kMinDelay{50};
   static constexpr std::chrono::milliseconds kMaxDelay{1000};
--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -21,13 +21,14 @@
 namespace {
 
 constexpr int kBacklog = 1024;
-// If one connection in so many is silent, they are not clients that have only just connected.
+// More silent connections than the connection limit divided by this can't all be clients that have only just
+// connected.
 constexpr std::size_t kManySilentDivisor = 4;
 constexpr auto kSweepInterval = std::chrono::milliseconds(100);  // finds a disconnected client within 0.3 s
 constexpr auto kAcceptRetryDelay = std::chrono::milliseconds(5);
 constexpr auto kDisconnectCheckInterval = std::chrono::milliseconds(20);
 
-// Milliseconds since the last bytes were received on a connection, or since it was made.
+// Milliseconds since the last bytes were received on a connection, or since it was opened.
 std::optional<Ms> time_since_last_receive(int socket) {
   tcp_info info{};
   socklen_t size = sizeof info;
@@ -43,7 +44,7 @@
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-// The next one in the queue may still be there.
+// The call was interrupted or its connection was aborted; others may still wait in the accept queue.
 bool has_left_queue(const error_code& error) {
   return error == asio::error::connection_aborted || error == asio::error::interrupted;
 }
@@ -64,7 +65,7 @@
       sweep_timer_(io) {}
 ClientServer::~ClientServer() = default;
 
-// ---- the listener ----
+// ---- listener ----
 
 void ClientServer::listen(const tcp::endpoint& address) {
   error_code ignored;
@@ -98,7 +99,7 @@
 void ClientServer::release_listener() {
   is_shut_down_ = true;
   error_code ignored;
-  acceptor_.close(ignored);  // the other process's descriptor keeps the socket and its queue
+  acceptor_.close(ignored);  // the successor's descriptor keeps the socket and its accept queue open
   accept_timer_.cancel();
 }
 
@@ -131,8 +132,8 @@
 
 bool ClientServer::has_space() { return connections_.size() < max_connections_ || evict_one(); }
 
-// At the limit a connection is evicted, but not before somebody waits in the queue; where none can be evicted
-// the new one stays in the queue.
+// At the connection limit another connection is evicted, but only once a new one waits in the accept queue.
+// If none may be evicted, the new one stays in the queue.
 void ClientServer::accept_one() {
   if (!has_space()) return accept_later();
   error_code error;
@@ -163,7 +164,8 @@
   evict_excess_unused();
 }
 
-// The deadline of a request runs while its connection waits in the queue.
+// Time in the accept queue counts towards the deadline of a request, so the connection gets an estimate of
+// when its first bytes arrived.
 void ClientServer::account_for_wait(tcp::socket& socket, resp::ClientConnection& connection) {
   error_code error;
   if (socket.available(error) == 0 || error) return;
@@ -219,8 +221,8 @@
   return may_close(resp::CloseReason::kEvicted, connection.state(clock_.now()));
 }
 
-// Clients that keep a connection after one request would use up the descriptors of their own machine, where
-// this gateway does not see the failures. So few are kept, those used last.
+// Clients that keep their connections open after a request can run out of descriptors on their own machine,
+// where this gateway does not see the failures. So only the most recently used idle connections are kept.
 void ClientServer::evict_excess_unused() {
   ConnectionPtr oldest;
   std::size_t unused_count = 0;
@@ -234,8 +236,9 @@
   }
 }
 
-// If only idle connections were evicted, those that send nothing or half a command would keep others out.
-// Where they are many the oldest of them goes first: a usual client sends at once, so it is never the oldest.
+// If only idle connections were evicted, silent ones, which have sent nothing or an incomplete command, could
+// lock new clients out. When there are many of them, the oldest is evicted first: a normal client sends right
+// after connecting, so it is never the oldest.
 bool ClientServer::evict_one() {
   ConnectionPtr best;
   ConnectionPtr oldest_silent;
@@ -263,21 +266,21 @@
 
 // ---- checks ----
 
-// Nothing is read from a connection whose reads are paused, so its end has to be looked for: attempts that
-// begin later than 0.1 s after it are wasted.
+// A connection whose reads are paused does not notice that the client has disconnected, so that is polled:
+// attempts that begin more than 0.1 s after the disconnect are wasted.
 void ClientServer::on_reads_paused() {
   if (std::exchange(disconnect_check_scheduled_, true)) return;
   disconnect_check_timer_.expires_after(kDisconnectCheckInterval);
   disconnect_check_timer_.async_wait([this](error_code cancelled) {
     if (cancelled) return;
     disconnect_check_scheduled_ = false;
-    const auto connections = connections_;  // a check may close some
+    const auto connections = connections_;  // a copy, as a check may close some
     for (const auto& [id, connection] : connections) connection->check_disconnected(clock_.now());
   });
 }
 
 void ClientServer::sweep() {
-  const auto connections = connections_;  // may close some
+  const auto connections = connections_;  // a copy, as the calls may close some
   for (const auto& [id, connection] : connections) connection->close_if_timed_out(clock_.now());
   sweep_timer_.expires_after(kSweepInterval);
   sweep_timer_.async_wait([this](error_code cancelled) {
@@ -295,8 +298,8 @@
   accept_queue();
 }
 
-// Closing the listener would reset connections that the kernel has accepted already, so those are served
-// first. At the limit they wait for others to close, and the listener with them.
+// Closing the listener would reset connections that the kernel has already accepted, so those are accepted
+// first. At the connection limit they wait for others to close, and the listener stays open until then.
 void ClientServer::accept_queue() {
   error_code error;
   while (has_started_ && acceptor_.is_open() && !error) {
@@ -327,7 +330,7 @@
 }
 
 void ClientServer::close_idle() {
-  const auto connections = connections_;  // may close some
+  const auto connections = connections_;  // a copy, as the calls may close some
   for (const auto& [id, connection] : connections) connection->start_draining(clock_.now());
 }
 
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -21,7 +21,7 @@
 class ClientServerCallbacks {
  public:
   virtual ~ClientServerCallbacks() = default;
-  // A well-framed command, which arrived up to `waited` milliseconds ago.
+  // A command that was parsed; it arrived up to `waited` milliseconds ago.
   virtual resp::CommandResult on_command(ResponseHandle handle, std::span<const resp::Item> words,
                                          Ms waited) = 0;
   virtual void on_client_disconnected(std::uint64_t name) = 0;
@@ -33,11 +33,11 @@
 
 struct ClientLimits {
   std::size_t max_connections = 512;
-  std::size_t max_unused_connections = 256;  // without a request after a reply
-  // Over all connections.
+  std::size_t max_unused_connections = 256;  // idle after at least one reply
+  // Totals over all connections.
   std::size_t max_unsent_bytes = std::size_t{24} * 1024 * 1024;  // of replies
   std::size_t max_buffered_bytes =
-      std::size_t{24} * 1024 * 1024;  // of commands; beyond that large ones are rejected
+      std::size_t{24} * 1024 * 1024;  // of commands; above it large ones are rejected
 };
 
 class ClientServer : public resp::ReplySink, public resp::ClientConnectionCallbacks {
@@ -48,13 +48,13 @@
 
   // Both throw boost::system::system_error.
   void listen(const boost::asio::ip::tcp::endpoint& address);
-  // Takes ownership of a socket that listens already. Nobody is accepted before `start_accepting`.
+  // Takes ownership of a socket that is already listening. Accepts no connection before `start_accepting`.
   void adopt(int listening_socket);
   void start_accepting();
   bool has_listener() const { return acceptor_.is_open(); }
   int listening_socket() { return acceptor_.native_handle(); }
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
-  // Accepts nobody any more and leaves the queue to another process that has the same socket.
+  // Stops accepting and leaves the accept queue to another process that has the same socket.
   void release_listener();
   void set_limits(const ClientLimits& limits);
   const resp::ClientTotals& totals() const { return totals_; }
@@ -66,9 +66,10 @@
   void finish_value(Ms now, ResponseHandle handle) override;
   bool client_disconnected(ResponseHandle handle) override;
 
-  // Accepts nobody any more but those in the queue; connections close once all their requests are answered.
+  // Stops accepting, except for connections that are already in the accept queue; connections close once all
+  // their requests are answered.
   void shut_down();
-  // Those that are open, and one more while the queue of an ended listener is not empty yet.
+  // Open connections, plus one while `shut_down` has not emptied the accept queue yet.
   std::size_t connection_count() const;
 
   // While draining, connections close after their next reply, new ones too.
@@ -76,7 +77,7 @@
   // Closes connections without an unanswered request; the others close after their replies.
   void close_idle();
 
-  // Frees a descriptor: closes the connection with the least to lose. False if none may be closed.
+  // Frees a descriptor by closing the least valuable connection. False if none may be closed.
   bool evict_one();
 
  private:
@@ -115,7 +116,7 @@
   boost::asio::steady_timer sweep_timer_;
   std::unordered_map<std::uint64_t, ConnectionPtr> connections_;
   std::uint64_t last_id_ = 0;
-  // New connections may have been in the queue since then; none: they were accepted at once.
+  // Since when new connections may have waited in the accept queue; none: they are accepted at once.
   std::optional<Ms> queue_delayed_since_;
   bool has_started_ = false;
   bool is_shut_down_ = false;
--- a/src/net/clock.h
+++ b/src/net/clock.h
@@ -8,7 +8,8 @@
 
 namespace cometfold::net {
 
-// Read once for a batch of events, so that all of a batch happen at one time, as the module expects.
+// The clock is read once per batch of events, so that all events of a batch have the same time, as the
+// admission module expects.
 class Clock {
  public:
   void new_batch() { is_read_ = false; }
@@ -21,14 +22,14 @@
     return now_;
   }
 
-  // A Unix time on this clock, at most now; 0 if it is 0 or long ago. The wall clock is read only once, when
-  // this object is made, so that a step of it does not change the age of hosts.
+  // Converts a Unix time to this clock: at most now, and 0 if it is 0 or long ago. The wall clock is read
+  // only in the constructor, so that a later step of it does not change the age of hosts.
   Ms from_unix(double unix_ms) {
     if (unix_ms <= 0) return 0;
     return std::clamp(kStart + (unix_ms - start_unix_ms_), 0.0, now());
   }
 
-  // A moment of the monotonic clock on this one, and the reverse.
+  // Conversions from and to the monotonic clock.
   Ms from(std::chrono::steady_clock::time_point moment) const {
     return kStart + Milliseconds(moment - start_).count();
   }
@@ -40,8 +41,9 @@
   using Steady = std::chrono::steady_clock;
   using Milliseconds = std::chrono::duration<double, std::milli>;
 
-  // The module takes 0 for "long ago", and hosts may have started before this process: with this start, four
-  // hours, any start of a host that still matters is above 0.
+  // The time of this clock when it is constructed. The admission module treats 0 as "long ago", and hosts may
+  // have started before this process: with an offset of four hours, every start time that still matters is
+  // above 0.
   static constexpr Ms kStart = 4 * 3'600'000.0;
 
   Steady::time_point start_ = Steady::now();
--- a/src/net/config.cpp
+++ b/src/net/config.cpp
@@ -55,7 +55,7 @@
   return seed;
 }
 
-// `location`: of the text, for the error.
+// `location`: where the text comes from, for the error.
 boost::asio::ip::tcp::endpoint parse_endpoint_of(const std::string& location, const char* key,
                                                  const std::string& text) {
   try {
@@ -102,7 +102,8 @@
   config.max_open_requests = settings.max_open_requests;
 }
 
-// The same for both processes of an upgrade, which have the same name, address and directory.
+// The path of the hand-over socket. Both processes of an upgrade get the same one, as they have the same
+// name, listen address and TMPDIR.
 std::string handover_path(const GetVariable& get_variable, const Config& config) {
   const char* directory = get_variable("TMPDIR");
   if (!directory || !*directory) return {};
--- a/src/net/config.h
+++ b/src/net/config.h
@@ -22,13 +22,13 @@
   std::string name;
   boost::asio::ip::tcp::endpoint listen;
   boost::asio::ip::tcp::endpoint discovery;
-  std::optional<boost::asio::ip::tcp::endpoint> admin;  // where operators call; none: nowhere
+  std::optional<boost::asio::ip::tcp::endpoint> admin;  // of the admin server; none: it is off
   std::uint64_t seed = 0;
   std::size_t max_descriptors = 1024;
   std::size_t memory_limit_mb = 192;
   HostList cached_hosts;
 
-  std::string settings_text;  // as it was read; equal texts are equal settings
+  std::string settings_text;  // serialized "settings"; equal texts mean equal settings
   AdmissionSettings settings;
   // By number, as in `settings`.
   std::vector<std::string> class_names;
@@ -40,9 +40,9 @@
   std::size_t max_open_requests = 0;
 
   GatewaySettings gateway_settings;
-  std::map<std::string, RequestBounds> attempt_bounds;  // by name, of classes that have limits of their own
-  std::string
-      handover_path;  // of the socket where a second process of this gateway finds the first; or empty
+  std::map<std::string, RequestBounds> attempt_bounds;  // by class name
+  // Path of the Unix socket where a successor process finds this one; empty: no hand-over.
+  std::string handover_path;
 };
 
 // The text of an environment variable, or null.
@@ -52,14 +52,14 @@
 Config parse_config(const boost::json::value& json);
 Config load_config_file(const std::string& path);
 Config load_config(const GetVariable& get_variable);
-// For a running process: its environment is as old as itself, so the address of discovery comes from the
+// For a running process. Its environment dates from its start, so the address of discovery comes from the
 // file.
 Config reload_config(const GetVariable& get_variable);
 
-// Proves the limits in the gateway's own settings against this configuration and applies them to it. Throws
-// ConfigError, with a line for each problem and nothing changed.
+// Checks the limits in the gateway's own settings against this configuration and sets the attempt bounds that
+// follow from them. Throws ConfigError, with a line for each problem and nothing changed.
 void apply_attempt_limits(Config& config);
-// In the order of `class_names`.
+// The attempt bounds of each class, in the order of `class_names`; the defaults for a class without bounds.
 std::vector<RequestBounds> bounds_of(const Config& config, const std::vector<std::string>& class_names);
 
 }  // namespace cometfold::net
--- a/src/net/config_error.h
+++ b/src/net/config_error.h
@@ -1,4 +1,4 @@
-// What is wrong with the platform's configuration or with the environment.
+// Errors in the platform's configuration or in the environment.
 #pragma once
 
 #include <string>
@@ -10,7 +10,7 @@
 
 class ConfigError : public Error {
  public:
-  // `document`: "configuration", its part "settings", or an environment variable; empty if the problem says
+  // `document`: "configuration", its part "settings", or an environment variable; empty if `problem` names
   // it. `key`: the key at fault; empty if it is not a single one.
   ConfigError(std::string document, std::string key, std::string problem)
       : Error({std::move(document), std::move(problem), {}}), key_(std::move(key)) {}
--- a/src/net/decision_log.cpp
+++ b/src/net/decision_log.cpp
@@ -6,7 +6,7 @@
 
 namespace {
 
-// Forwards all actions and remembers what was decided on one request.
+// Forwards all actions and records the decision on one request.
 class DecisionObserver : public ActionSink {
  public:
   DecisionObserver(ActionSink& out, RequestId request) : out_(out), request_(request) {}
--- a/src/net/decision_log.h
+++ b/src/net/decision_log.h
@@ -9,11 +9,12 @@
 
 namespace cometfold::net {
 
-// A decorator of an admission policy, which changes nothing of what goes in or comes out. `policy` and
-// `settings` must outlive it. `write` gets, at the start, what a plan and a class are: "plan=P rate=R burst=B
-// pays=W cost=C earns=E ceiling=H ceilingburst=I open=O" and "class=K worth=W aim=MS deadline=MS"; then of
-// each request "customer=C plan=P class=K units=U spread=S sent" or, in place of the last word,
-// "refused=CAUSE".
+// A decorator of an admission policy, which passes all inputs and actions on unchanged. `policy` and
+// `settings` must outlive it. `write` receives, at the start, one line for each plan, "plan=P rate=R burst=B
+// pays=W cost=C earns=E ceiling=H ceilingburst=I open=O", and one for each class, "class=K worth=W aim=MS
+// deadline=MS". Then it receives a line for each request, "customer=C plan=P class=K units=U spread=S sent",
+// which ends in "refused=CAUSE" if the request was rejected and in "held" if neither was decided on its
+// arrival.
 class DecisionLog : public engine::AdmissionPolicy {
  public:
   using Write = std::function<void(const std::string& line)>;
--- a/src/net/departed_hosts.h
+++ b/src/net/departed_hosts.h
@@ -1,5 +1,5 @@
-// Hosts that discovery reported to this gateway as draining or removed, kept for a process that takes its
-// place, as that one's list may be older. Without I/O.
+// Hosts that discovery reported to this gateway as draining or removed. They are handed over to a successor
+// process, whose host list may be older. Without I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,10 +14,10 @@
 
 class DepartedHosts {
  public:
-  // The most recent ones are kept; no list in use is old enough to miss more departures.
+  // Only the most recent ones are kept: no list in use is old enough to miss more departures than that.
   static constexpr std::size_t kMaxHosts = 8192;
 
-  // `boot_unix_ms`: of the process that departs, as discovery has it.
+  // `boot_unix_ms`: boot time of the departing host process, as listed by discovery.
   void insert(HostId host, std::optional<double> boot_unix_ms) {
     if (boot_times_.insert_or_assign(host, boot_unix_ms).second) order_.push_back(host);
     while (order_.size() > kMaxHosts) {
@@ -25,7 +25,7 @@
       order_.pop_front();
     }
   }
-  // Whether this process of the host is among them.
+  // Whether the host process with this boot time has departed.
   bool contains(HostId host, std::optional<double> boot_unix_ms) const {
     const auto it = boot_times_.find(host);
     return it != boot_times_.end() && it->second == boot_unix_ms;
@@ -42,7 +42,7 @@
 
  private:
   std::unordered_map<HostId, std::optional<double>> boot_times_;
-  std::deque<HostId> order_;  // by when each was inserted first
+  std::deque<HostId> order_;  // in the order of their first insertion
 };
 
 }  // namespace cometfold::net
--- a/src/net/descriptor_passing.cpp
+++ b/src/net/descriptor_passing.cpp
@@ -11,9 +11,10 @@
 
 namespace {
 
-constexpr char kGreeting = 'L';  // the byte that goes with a descriptor
+constexpr char kGreeting = 'L';  // the data byte sent along with a descriptor
 
-// One byte with space for one descriptor beside it, for sendmsg and recvmsg, which take pointers into it.
+// Buffers for a message of one byte and one descriptor, for sendmsg and recvmsg. `header` points into the
+// object itself, so it is not copyable.
 struct DescriptorMessage {
   DescriptorMessage() {
     header.msg_iov = &data;
--- a/src/net/descriptor_passing.h
+++ b/src/net/descriptor_passing.h
@@ -6,7 +6,7 @@
 
 namespace cometfold::net {
 
-// A descriptor that is closed with its owner; -1: none.
+// Owns a file descriptor and closes it when destroyed; -1: none.
 class OwnedFd {
  public:
   explicit OwnedFd(int fd = -1) : fd_(fd) {}
@@ -14,7 +14,7 @@
   OwnedFd& operator=(OwnedFd&& other) noexcept;
   ~OwnedFd();
   int get() const { return fd_; }
-  // The caller owns it from now on.
+  // Passes ownership to the caller.
   int release();
 
  private:
@@ -31,13 +31,13 @@
   return result;
 }
 
-// Whether the process at the other end of a Unix socket runs as this process's user. Where others can write
-// to the directory of a socket, any of them could offer one or connect to it.
+// Whether the process at the other end of a Unix socket runs as this process's user. If other users can write
+// to the socket's directory, any of them could create the socket or connect to it.
 bool is_same_user(int socket);
 
 // Sends a copy of `fd`. False if it can't be sent at once.
 bool send_descriptor(int socket, int fd);
-// Receives what can be read now; owns nothing if that is not a descriptor.
+// Receives a message; the result owns nothing if that has no descriptor.
 OwnedFd receive_descriptor(int socket);
 bool is_readable_within(int socket, int timeout_ms);
 
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// What the retired address had sent has been read by then.
+// Long enough to read what the retired address had sent before the switch.
 constexpr auto kRetiredWatchLinger = std::chrono::milliseconds(500);
 
 }  // namespace
@@ -59,7 +59,7 @@
   publish(list);
 }
 
-// The new address may lag behind and know nothing of some departures that this one has reported.
+// The new address may lag behind and not know of some departures that the retired one reports.
 void Discovery::on_retired_watch_list(HostList list) {
   departures_.keep_departures_of_listed(list);
   if (list.hosts.empty()) return;
@@ -67,8 +67,8 @@
   publish(list);
 }
 
-// The new address may lag behind and list hosts as ready whose drain has been reported. The drain stands
-// until agents agree; then the snapshot is fetched again.
+// The new address may lag behind and list hosts as ready whose drain has been reported. The drain is kept
+// until the agents agree; then the snapshot is fetched again.
 void Discovery::on_first_list_of_next(HostList& list) {
   activate_next_watch();
   if (!departures_.restore(list)) return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,4 +1,4 @@
-// The list of hosts, kept up to date over one watch of discovery, or two while its address changes.
+// Keeps the list of hosts up to date with one watch of discovery, or two while its address changes.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -20,7 +20,7 @@
 };
 
 // After `set_address` the current watch stays in use until the new one has received its snapshot, so that no
-// departure reported meanwhile is lost. For a moment after that the retired watch's departures still count,
+// departure reported meanwhile is lost. For 0.5 s after that the departures of the retired watch still count,
 // as some may not have been read yet; then it is closed.
 class Discovery : private DiscoveryWatchCallbacks {
  public:
@@ -30,7 +30,7 @@
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // `cached`: the list that an earlier process had, which the first watch continues from.
+  // `cached`: the list of an earlier process; the first watch follows changes from its version.
   void start(const HostList& cached);
   void set_address(const boost::asio::ip::tcp::endpoint& address);
 
--- a/src/net/discovery_error.h
+++ b/src/net/discovery_error.h
@@ -1,4 +1,4 @@
-// What ends a connection to discovery, other than a fault of the network.
+// Errors that end a connection to discovery, other than network errors.
 #pragma once
 
 #include <string>
@@ -8,14 +8,14 @@
 
 namespace cometfold::net {
 
-// `location` is discovery's address; the text leaves it out, as the log names the watch.
+// `location` is discovery's address. The text omits it, as the log line says that it is about discovery.
 class DiscoveryError : public Error {
  public:
   DiscoveryError(std::string address, const std::string& problem)
       : Error({std::move(address), problem, {}}, problem) {}
 };
 
-// Discovery is up, and does not give the list now.
+// Discovery is up, but does not return the list now.
 class DiscoveryRejected : public DiscoveryError {
  public:
   DiscoveryRejected(std::string address, unsigned http_status)
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -27,19 +27,19 @@
   std::chrono::milliseconds connect;
   std::chrono::milliseconds response;
 };
-// An agent on this machine answers at once, so one that does not is called again soon; a service may queue
-// calls.
+// A local agent answers at once, so one that does not is called again soon. A remote service may queue calls.
 constexpr CallTimeouts kAgentTimeouts{300ms, 1000ms};
 constexpr CallTimeouts kServiceTimeouts{1000ms, 4200ms};
 
-// A change must be received within 6 s of discovery having it. A call that began while discovery was down
-// times out after it is up again, and is followed by a backoff and another call: all must fit in that time.
+// A gateway must receive a change within 6 s of discovery having it. A call that began while discovery was
+// down may time out only after it is up again, and is followed by a backoff and another call: all of that
+// must fit into the limit.
 constexpr auto kPropagationLimit = 6s;
 constexpr auto kTypicalResponseTime = 250ms;
 static_assert(kServiceTimeouts.response + Backoff::kMaxDelay * 3 / 2 + kTypicalResponseTime <=
               kPropagationLimit);
 
-// Makes a coroutine's stream reachable for `close` while it exists.
+// Makes the stream of a coroutine accessible to `close` for as long as it exists.
 class StreamRegistration {
  public:
   StreamRegistration(beast::tcp_stream*& slot, beast::tcp_stream& stream) : slot_(slot) { slot_ = &stream; }
@@ -97,13 +97,13 @@
     const auto result = received_data_     ? WatchResult::kReceivedData
                         : failure.rejected ? WatchResult::kRejected
                                            : WatchResult::kFailed;
-    // Random, so that gateways that lost discovery together do not come back together.
+    // Random, so that gateways that lost discovery at the same time do not reconnect at the same time.
     const auto delay = backoff.next_delay(result);
     co_await wait(delay / 2, delay);
   }
 }
 
-// One connection after the other until one of them ends or fails.
+// Polls the snapshot if there is no version yet, then follows changes until the connection ends or fails.
 asio::awaitable<DiscoveryWatch::Failure> DiscoveryWatch::connect_once() {
   received_data_ = false;
   request_sent_ = false;
@@ -114,7 +114,7 @@
   } catch (const DiscoveryRejected& error) {
     co_return Failure{error.what(), true};
   } catch (const boost::system::system_error& error) {
-    // A server that accepts a call and ends it without an answer is up, and overloaded.
+    // A server that accepts a request and closes without a response is up but overloaded.
     const bool ended_by_server =
         error.code() == asio::error::connection_reset || error.code() == http::error::end_of_stream;
     co_return Failure{error.code().message(), request_sent_ && ended_by_server};
@@ -123,7 +123,7 @@
   }
 }
 
-// Waits for a time drawn evenly from `min` to `min + span`, or until `close`.
+// Waits for a time drawn uniformly from `min` to `min + span`, or until `close`.
 asio::awaitable<void> DiscoveryWatch::wait(std::chrono::milliseconds min, std::chrono::milliseconds span) {
   if (span.count() <= 0) co_return;
   backoff_timer_.expires_after(min +
@@ -143,7 +143,7 @@
   request_sent_ = true;
 }
 
-// Gets the snapshot, where there is no version to follow this address from.
+// Fetches the snapshot.
 asio::awaitable<void> DiscoveryWatch::poll() {
   Stream stream(io_);
   const StreamRegistration registration(stream_, stream);
@@ -163,7 +163,7 @@
   on_list(value);
 }
 
-// Reads changes since the version that this gateway has, for as long as the connection lives.
+// Reads changes since the version that this gateway has, until the connection ends.
 asio::awaitable<void> DiscoveryWatch::follow() {
   Stream stream(io_);
   const StreamRegistration registration(stream_, stream);
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -1,4 +1,4 @@
-// A watch of one address of discovery: poll, follow, and reconnect with backoff.
+// Watches one address of discovery: polls a snapshot, follows changes and reconnects with backoff.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -20,8 +20,8 @@
 
 // How this gateway calls discovery.
 struct DiscoveryLoad {
-  double gateway_count = 1;  // that call the same discovery, this one included
-  bool local_agent = false;  // discovery has an agent on this machine, which answers at once and at no cost
+  double gateway_count = 1;  // gateways that call the same discovery, this one included
+  bool local_agent = false;  // discovery is an agent on this machine, which answers at once
 };
 
 class DiscoveryWatchCallbacks {
@@ -31,22 +31,21 @@
   virtual void on_watch_list(DiscoveryWatch& watch, HostList list) = 0;
 };
 
-// Runs until it is closed. A connection that breaks, is silent or sends what can't be read is opened again
-// after a backoff, from the version received last. The callbacks and the random numbers must live until
-// `close`.
+// Runs until it is closed. After a connection that breaks, is silent or sends malformed data, it reconnects
+// after a backoff, from the version received last. `callbacks` and `random` must live until `close`.
 class DiscoveryWatch : public std::enable_shared_from_this<DiscoveryWatch> {
  public:
-  // `version`: of the list that this address is followed from; none if its snapshot must be polled first.
+  // `version`: of the list from which changes are followed; none if the snapshot must be polled first.
   DiscoveryWatch(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
                  std::optional<std::uint64_t> version, const DiscoveryLoad& load, std::mt19937_64& random,
                  DiscoveryWatchCallbacks& callbacks);
 
   void start();
-  // No callback comes after this, and no connection is opened again.
+  // No callback is called after this, and no connection is opened again.
   void close();
-  // The connection is used until it ends, but not opened again.
+  // Uses the current connection until it ends, but does not reconnect.
   void stop_reconnecting() { reconnecting_ = false; }
-  // Ends the connection and polls the snapshot with the next one.
+  // Closes the connection and polls the snapshot on the next one.
   void refetch_snapshot();
   const boost::asio::ip::tcp::endpoint& address() const { return address_; }
 
@@ -73,10 +72,10 @@
   std::mt19937_64& random_;
   DiscoveryWatchCallbacks& callbacks_;
   boost::asio::steady_timer backoff_timer_;
-  Stream* stream_ = nullptr;                                            // of the call under way
+  Stream* stream_ = nullptr;                                            // of the current call
   std::optional<std::chrono::steady_clock::time_point> last_received_;  // on any of its connections
-  bool received_data_ = false;  // something that could be read, in this attempt
-  bool request_sent_ = false;   // in this attempt
+  bool received_data_ = false;  // a heartbeat or a valid list, since `connect_once` was called
+  bool request_sent_ = false;   // since `connect_once` was called
   bool closed_ = false;
   bool reconnecting_ = true;
 };
--- a/src/net/endpoint_text.h
+++ b/src/net/endpoint_text.h
@@ -5,7 +5,7 @@
 
 namespace cometfold::net {
 
-// "ADDRESS:PORT", with brackets round an IPv6 address. `Endpoint` is one of Boost.Asio's for TCP or UDP.
+// "ADDRESS:PORT", with brackets around an IPv6 address. `Endpoint` is one of Boost.Asio's for TCP or UDP.
 template <class Endpoint>
 std::string to_text(const Endpoint& endpoint) {
   const auto ip = endpoint.address().to_string();
--- a/src/net/error.h
+++ b/src/net/error.h
@@ -7,14 +7,14 @@
 
 namespace cometfold {
 
-// What failed, where, and what would be right. Each is plain text without a line break at its end.
+// What failed, where, and what would be valid. Each is plain text without a trailing newline.
 struct ErrorDetails {
   std::string location;  // a file and line, a document and key, or an address; empty if there is none
   std::string problem;
-  std::string remedy;  // empty if the problem leaves only one
+  std::string remedy;  // empty if it follows from the problem
 };
 
-// Base of the program's errors. The text that `what` returns is composed once, by the constructor.
+// Base class of the program's errors. The constructor composes the text that `what` returns.
 class Error : public std::exception {
  public:
   explicit Error(ErrorDetails details) : details_(std::move(details)), text_(compose(details_)) {}
@@ -25,7 +25,7 @@
   const char* what() const noexcept override { return text_.c_str(); }
 
  protected:
-  // For an error whose text has another form than "location: problem; remedy".
+  // For an error whose text is not of the form "location: problem; remedy".
   Error(ErrorDetails details, std::string text) : details_(std::move(details)), text_(std::move(text)) {}
 
  private:
--- a/src/net/event_log.cpp
+++ b/src/net/event_log.cpp
@@ -18,7 +18,7 @@
 constexpr double kBurstLines = 500;
 constexpr double kLinesPerSecond = 5;
 
-// Writes without blocking, unlike the library's own sinks.
+// Writes without blocking, unlike the sinks of spdlog.
 class LogSink : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
--- a/src/net/event_log.h
+++ b/src/net/event_log.h
@@ -1,4 +1,4 @@
-// The structured log of events: one JSON object a line on standard error, limited by rate.
+// The structured log of events: one JSON object per line on standard error, rate limited.
 #pragma once
 
 #include <boost/json.hpp>
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-// A process that waits for its predecessor is ready after this time, even if discovery has not answered.
+// A process that waits for its predecessor reports that it is ready after this time, even if discovery has
+// not answered.
 constexpr auto kDiscoveryTimeout = std::chrono::milliseconds(1000);
 
 using NamedCounts = std::vector<std::pair<std::string_view, std::uint64_t>>;
@@ -155,7 +156,7 @@
 
 // ---- configuration ----
 
-// Whatever can throw comes first, so that a configuration is used as a whole or not at all.
+// Everything that can throw comes first, so that a configuration is used as a whole or not at all.
 void Gateway::reload(const Config& config) {
   const auto numbered = config_.renumber(config);
   if (processor_) {
@@ -177,7 +178,7 @@
   ++reloads_;
 }
 
-// Requests in flight keep their class, by its number; commands from now on are read with the new names.
+// Requests in flight keep their class number; later commands are parsed with the new names.
 void Gateway::apply_settings(const Config& config, const settings::NumberedSettings& numbered) {
   config_.set_settings(config, numbered);
   policy_.update_settings(clock_.now(), config_.get().settings);
@@ -220,7 +221,7 @@
   try {
     const auto snapshot = ops::decode_handover(state, {config.class_names, config.plan_names});
     policy_.import_handover(clock_.now(), snapshot);
-    // The predecessor's list may be newer than this process's.
+    // The predecessor's host list may be newer than this process's.
     const auto removals = host_registry_.remove(snapshot.departed_hosts);
     engine_.on_host_list(clock_.now(), HostListUpdate::kDelta, removals);
     log_line("taken over", std::to_string(snapshot.customers.size()) + " customers, " +
@@ -236,14 +237,14 @@
   if (!with_state) policy_.assume_unknown_predecessor(clock_.now());
 }
 
-// Each of two processes may use half of the gateway's limits.
+// While two processes run, each may use half of the gateway's limits.
 void Gateway::on_second_process(bool is_running) {
   shares_limits_ = is_running;
   apply_limits();
 }
 
-// Connections end after their next reply, so that no request crosses a close on the network; idle ones are
-// closed by their usual timeout.
+// Connections close after their next reply, so that a request and the close can't cross on the network; idle
+// ones are closed by their usual timeout.
 void Gateway::hand_over() {
   handed_over_ = true;
   const Config& config = config_.get();
@@ -284,7 +285,7 @@
 }
 
 // Clients learn of the drain by their next PING and may still connect until then. Idle connections are closed
-// after the grace period: earlier, requests on their way would cross the close.
+// only after the grace period, as a request already on its way would cross an earlier close.
 void Gateway::set_draining(bool on) {
   if (on == draining_) return;
   draining_ = on;
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -1,5 +1,5 @@
-// One gateway on sockets. The engine keeps the requests, the admission module decides; here they are wired to
-// clients, hosts, discovery, operators, peers and the event loop.
+// One gateway on sockets. The engine tracks requests and the admission module decides on them; this class
+// connects both to clients, hosts, discovery, operators, peers and the event loop.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -37,14 +37,15 @@
                 private UpgradeCallbacks,
                 private ops::GatewayOperations {
  public:
-  // `on_stopped` is called once, when all is settled after `stop`. `io` and `clock` must outlive the gateway.
+  // `on_stopped` is called once, when the shutdown that `stop` began has finished. `io` and `clock` must
+  // outlive the gateway.
   Gateway(boost::asio::io_context& io, Clock& clock, Config config, std::function<void()> on_stopped);
   ~Gateway() override;
 
   void start();
-  // A planned stop: serves on for as long as clients may still come, then settles all that it has accepted.
+  // Graceful shutdown: keeps serving while clients may still connect, then finishes all accepted requests.
   void stop();
-  // Uses a new configuration from now on; requests in flight go on. Throws, with nothing changed, if the
+  // Uses a new configuration from now on; requests in flight continue. Throws, with nothing changed, if the
   // configuration can't be used.
   void reload(const Config& config);
   // Counts a new configuration that could not be read.
@@ -53,7 +54,7 @@
   boost::asio::ip::tcp::endpoint address() const {
     return clients_.has_listener() ? clients_.address() : config_.get().listen;
   }
-  // Null if there is none.
+  // Null if the external processor is off.
   const extproc::Processor* processor() const { return processor_ ? &processor_->processor() : nullptr; }
 
  private:
@@ -114,7 +115,7 @@
   UpstreamHosts hosts_;
   engine::Engine engine_;
   resp::RespHandler command_handler_;
-  std::unique_ptr<ProcessorServer> processor_;  // null: there is none
+  std::unique_ptr<ProcessorServer> processor_;  // null: off
   Discovery discovery_;
   HostRegistry host_registry_;
   std::function<void()> on_stopped_;
@@ -125,13 +126,13 @@
 
   boost::asio::steady_timer drain_timer_;
   boost::asio::steady_timer ready_timer_;
-  std::unique_ptr<AdminServer> admin_;  // null: there is none
+  std::unique_ptr<AdminServer> admin_;  // null: off
   std::unique_ptr<UpgradeCoordinator> upgrade_;
-  std::unique_ptr<Peers> peers_;      // null: there are none
-  bool discovery_contacted_ = false;  // discovery has sent a list, or had its time to
+  std::unique_ptr<Peers> peers_;      // null: off
+  bool discovery_contacted_ = false;  // discovery has sent a list, or its timeout has passed
   bool handed_over_ = false;
   bool shares_limits_ = false;  // with another process of this gateway
-  bool draining_ = false;       // as an operator asked
+  bool draining_ = false;       // on request of an operator
   std::uint64_t reloads_ = 0;
   std::uint64_t reload_errors_ = 0;
 };
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -7,24 +7,25 @@
 
 namespace {
 
-// A client's deadline runs from its send: the time on the network both ways and a busy moment come off it.
+// Subtracted from a client's deadline, which runs from when the client sends: for the network delay both ways
+// and a briefly busy event loop.
 constexpr Ms kDeadlineMargin = 20;
 
-// Standard streams, listeners, discovery, epoll, operators and what is open for a moment only.
+// For standard streams, listeners, discovery, epoll, operators and short-lived descriptors.
 constexpr std::size_t kReservedDescriptors = 48;
 constexpr std::size_t kMinDescriptors = 2;
 
-// One descriptor in so many may be a client's connection without a request.
+// One in this many descriptors may be a client's idle connection.
 constexpr std::size_t kDescriptorsPerUnusedConnection = 5;
 
-// SIGKILL comes 0.7 s and the longest deadline after connections have ceased to come, or 3.7 s after that if
-// the deadline is longer.
+// The platform sends SIGKILL once 0.7 s plus the longest deadline, of which at most 3 s count, have passed
+// since new connections ceased to arrive.
 constexpr Ms kMaxDrainDeadline = 3000;
 constexpr Ms kDrainMargin = 450;
 
 constexpr std::size_t kBytesPerMegabyte = std::size_t{1024} * 1024;
-// Of the memory, one part each for request bodies, for replies not sent yet, and for command buffers.
-// Attempts hold copies of bodies, so the sum stays well below the limit.
+// The memory limit is divided into this many parts; request bodies, unsent replies and command buffers get
+// one each. Attempts hold copies of bodies, so the sum stays well below the limit.
 constexpr std::size_t kMemoryParts = 8;
 
 std::size_t usable_descriptors(const Config& config) {
@@ -36,7 +37,7 @@
   return config.memory_limit_mb * kBytesPerMegabyte / kMemoryParts;
 }
 
-// Of the classes that requests can name now; a withdrawn class has no name.
+// Over the classes that requests can name now; a class that a reload has removed has an empty name.
 Ms longest_deadline(const Config& config) {
   Ms longest = 0;
   for (std::size_t i = 0; i < config.settings.classes.size(); ++i) {
@@ -77,7 +78,7 @@
           .shutdown_timeout_ms = std::min(longest_deadline(config), kMaxDrainDeadline) + kDrainMargin};
 }
 
-// Where discovery pushes its list, an agent on this machine answers at once.
+// If discovery pushes its list, it is an agent on this machine that answers at once.
 DiscoveryLoad discovery_load(const Config& config) {
   if (!config.settings.host_watch_required) return {.gateway_count = 1, .local_agent = true};
   return {.gateway_count = config.settings.gateway_count, .local_agent = false};
--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-// A member is unreachable only after several pings, and forgotten only after it has failed.
+// A member becomes unreachable only after several pings, and is forgotten only after it has failed.
 constexpr double kMinPingsBeforeUnreachable = 4;
 constexpr double kMinRetentionPerUnreachableTimeout = 2;
 
-// Conditions between several keys of [peers].
+// Conditions that involve several keys of [peers].
 void check_peers(const SettingsLocation& location, const PeerSettings& peers) {
   const auto fail = [&](const char* key, const std::string& problem) {
     throw GatewaySettingsError(location, std::string("peers.") + key, "[peers]: " + problem);
--- a/src/net/gateway_settings.h
+++ b/src/net/gateway_settings.h
@@ -1,5 +1,5 @@
 // The gateway's own settings, in TOML: what the platform's configuration does not contain. Each has a
-// default, which is the value in service.
+// default, which is the value used in production.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -24,14 +24,14 @@
   std::string to_text() const { return file + ":" + std::to_string(line); }
 };
 
-// A file that can't be used, as one line.
+// An error in a settings file, as one line.
 class GatewaySettingsError : public Error {
  public:
   // `key`: with its tables, such as hosts.rest_ms; empty if the error is not about a single one. `remedy`:
-  // what would be right, if the problem does not say it.
+  // what would be valid, if `problem` does not say it.
   GatewaySettingsError(const SettingsLocation& location, std::string key, std::string problem,
                        std::string remedy = {});
-  // `expected`: in words that go behind "must be".
+  // `expected`: worded to follow "must be".
   static GatewaySettingsError invalid_value(const SettingsLocation& location, std::string key,
                                             const std::string& expected);
 
@@ -48,14 +48,14 @@
 
 struct GatewaySettings {
   // [hosts]
-  Ms connection_reuse_delay_ms = 25;   // after a reply: whatever else a host sends comes in that time
-  std::size_t max_idle_per_host = 16;  // connections without a request; more are closed
+  Ms connection_reuse_delay_ms = 25;   // after a reply; surplus bytes that a host sends arrive in that time
+  std::size_t max_idle_per_host = 16;  // idle connections; further ones are closed
   std::size_t max_connections_per_host = 96;
-  double host_descriptor_share = 0.4;  // of the descriptors, for connections to hosts
+  double host_descriptor_share = 0.4;  // share of the descriptors for connections to hosts
 
   // [log]
-  bool log_requests = false;   // a line for each step of each request
-  bool log_decisions = false;  // a line for each request: what was decided on its arrival
+  bool log_requests = false;   // logs a line for each step of each request
+  bool log_decisions = false;  // logs a line for each request, with the decision on its arrival
 
   // [extproc]: the external processor; without an address there is none.
   std::optional<boost::asio::ip::tcp::endpoint> processor_address;
@@ -65,12 +65,12 @@
   // [peers]: the other gateways; without an address there are none.
   PeerSettings peers;
 
-  // [limits], and what rules of the external processor say of attempts; not proved yet (see
+  // [limits], and the attempt limits in rules of the external processor; not checked yet (see
   // apply_attempt_limits).
   limits::LimitsFile limits;
 };
 
-// Throws GatewaySettingsError. Unknown keys are errors, so that a misspelt one does not go unnoticed.
+// Throws GatewaySettingsError, also for unknown keys, so that a misspelt key does not go unnoticed.
 GatewaySettings load_gateway_settings(const std::string& path);
 
 }  // namespace cometfold::net
--- a/src/net/grpc_listener.cpp
+++ b/src/net/grpc_listener.cpp
@@ -70,7 +70,7 @@
     calls_->sweep(now);
     const auto& limits = owner_.limits_;
     const Ms silence = now - last_received_at_;
-    // A client that does not read would keep its replies in memory.
+    // The replies of a client that does not read would stay in memory.
     if (blocked_ && now - last_written_at_ > limits.response_timeout_ms) return close();
     if (!calls_->session().preface_received() && silence > limits.response_timeout_ms) return close();
     if (silence <= limits.silence_timeout_ms) return;
@@ -90,8 +90,8 @@
   void close() {
     if (closed_) return;
     closed_ = true;
-    stream_->close();  // not destroyed: its last callbacks may still come
-    // Not left to the destructor, which runs after those: the services may have been destroyed by then.
+    stream_->close();  // not destroyed: its last callbacks may still be called
+    // Not left to the destructor, which runs after those callbacks, when the services may be destroyed.
     calls_.reset();
     owner_.connections_.erase(id_);
   }
@@ -112,7 +112,7 @@
     stream_->read(buffer_);
   }
 
-  // Writing may end calls, and so produce more output.
+  // Writing output may complete calls, which may produce more output.
   void flush() {
     if (closed_ || blocked_ || in_session_) return;
     in_session_ = true;
@@ -143,7 +143,7 @@
   Ms last_received_at_;
   Ms last_written_at_ = 0;
   bool reading_ = false;
-  bool blocked_ = false;     // the socket takes no more output now
+  bool blocked_ = false;     // the socket accepts no more output now
   bool in_session_ = false;  // the session's output is flushed at the end of the call
   bool flush_posted_ = false;
   bool session_failed_ = false;
@@ -220,7 +220,7 @@
 }
 
 void GrpcListener::sweep() {
-  const auto connections = connections_;  // a sweep may close some
+  const auto connections = connections_;  // a copy, as a sweep may close some
   for (const auto& [id, connection] : connections) connection->sweep(clock_.now());
   on_activity_();
   sweep_timer_.expires_after(kSweepInterval);
@@ -241,12 +241,12 @@
   error_code ignored;
   acceptor_.close(ignored);
   accept_timer_.cancel();
-  const auto connections = connections_;  // may close some
+  const auto connections = connections_;  // a copy, as the calls may close some
   for (const auto& [id, connection] : connections) connection->drain();
 }
 
 void GrpcListener::close_all() {
-  const auto connections = connections_;  // may close some
+  const auto connections = connections_;  // a copy, as the calls may close some
   for (const auto& [id, connection] : connections) connection->close();
 }
 
--- a/src/net/grpc_listener.h
+++ b/src/net/grpc_listener.h
@@ -14,17 +14,17 @@
 namespace cometfold::net {
 
 struct GrpcLimits {
-  std::size_t max_connections = 64;  // more wait in the kernel's queue
-  // A connection from which nothing is received for so long is pinged.
+  std::size_t max_connections = 64;  // further ones wait in the accept queue
+  // A connection on which nothing has been received for this time is pinged.
   Ms silence_timeout_ms = 15'000;
-  // For the answer to a ping, the start of HTTP/2, and for the client to read what is sent.
+  // For the response to a ping, the HTTP/2 connection preface, and for the client to read pending output.
   Ms response_timeout_ms = 10'000;
   http2::grpc::ServerLimits calls;
 };
 
 class GrpcListener {
  public:
-  // `on_activity` is called when a connection's events have been handled.
+  // `on_activity` is called after events of a connection have been handled.
   GrpcListener(boost::asio::io_context& io, Clock& clock, http2::grpc::Methods& methods,
                const GrpcLimits& limits, std::function<void()> on_activity);
   ~GrpcListener();
@@ -33,9 +33,9 @@
   void listen(const boost::asio::ip::tcp::endpoint& address);
   boost::asio::ip::tcp::endpoint address() const { return acceptor_.local_endpoint(); }
 
-  // Sends a first GOAWAY to all clients; calls that they still begin are served.
+  // Sends a first GOAWAY to all clients; calls that they still start are served.
   void announce_drain();
-  // No new calls; connections close when their calls have ended.
+  // Accepts no new calls; connections close when their calls have ended.
   void drain();
   void close_all();
   std::size_t connection_count() const { return connections_.size(); }
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -1,5 +1,5 @@
-// An upgrade without interruption: a second process of the same gateway takes the listening socket, and later
-// the customers' state, from the first, over a Unix socket in the directory that both have.
+// Hand-over during an upgrade without downtime. A successor process of the same gateway receives the
+// listening socket, and later the state, from its predecessor, over a Unix socket in a shared directory.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -13,32 +13,32 @@
 
 namespace cometfold::net {
 
-// The socket at `path` can't be used for a handover.
+// The socket at `path` can't be used for a hand-over.
 class HandoverError : public Error {
  public:
   HandoverError(const std::string& path, std::string problem, const std::string& text)
       : Error({path, std::move(problem), {}}, text) {}
 };
 
-// In the first process: waits for a second one.
+// In the predecessor: waits for a successor.
 class SuccessorListener {
  public:
   struct Callbacks {
-    std::function<int()> listening_socket;  // to be passed on; stays the caller's
+    std::function<int()> listening_socket;  // passed to the successor; the caller keeps its descriptor
     std::function<void()> on_successor_started;
-    std::function<void()> on_successor_exited;  // before it was handed over to
+    std::function<void()> on_successor_exited;  // before the hand-over
   };
   SuccessorListener(boost::asio::io_context& io, std::string path, Callbacks callbacks);
   ~SuccessorListener();
   SuccessorListener(const SuccessorListener&) = delete;
   SuccessorListener& operator=(const SuccessorListener&) = delete;
 
-  // From now on a second process finds this one, and no longer an earlier one. Logs it if that fails.
+  // From now on a new process finds this one, and no longer an earlier one. A failure is logged.
   void listen();
-  // Whether there is a successor that has neither exited nor declined, even if that has not been read yet: if
-  // it were handed over to, the listening socket and its queue would be lost with it.
+  // Whether there is a successor that has neither exited nor declined. Checks the socket, as the event loop
+  // may not have noticed yet: after a hand-over to such a process, the accept queue would be lost with it.
   bool has_successor();
-  // Sends `state`, one line. `on_successor_exited` does not come any more.
+  // Sends `state`, one line. `on_successor_exited` is not called after this.
   void hand_over(std::string state);
 
  private:
@@ -59,7 +59,7 @@
   bool is_bound_ = false;
 };
 
-// In the second process: the first one.
+// In the successor: the connection to its predecessor.
 class Predecessor {
  public:
   struct Callbacks {
@@ -67,16 +67,16 @@
     std::function<void(std::string state)> on_state;  // at most once
     std::function<void()> on_exit;                    // once, with or without `on_state` before
   };
-  // Null if there is none at this path, or one that can't have a successor now. Waits up to a second; a
-  // process that does not answer in that time is there without a listening socket. Throws HandoverError if it
-  // is another user's.
+  // Null if there is none at this path, or one that can't have a successor now. Waits for up to a second; if
+  // the process does not answer in that time, the result has no listening socket yet. Throws HandoverError if
+  // the process runs as another user.
   static std::unique_ptr<Predecessor> find(boost::asio::io_context& io, const std::string& path);
 
-  // Owns nothing if the process does not answer: `on_socket` or `on_exit` follows.
+  // Owns nothing if the process has not answered: `on_socket` or `on_exit` follows.
   OwnedFd take_listening_socket();
   void start(Callbacks callbacks);
-  // This process is to end. Either callback still follows: `on_exit`, as the first process keeps the clients,
-  // or `on_state`, if it had handed over already.
+  // Tells the predecessor that this process is about to exit. One callback still follows: `on_exit` if the
+  // predecessor keeps the clients, or `on_state` if it had already handed over.
   void decline();
 
  private:
--- a/src/net/host_list.cpp
+++ b/src/net/host_list.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-// Discovery's words for what `HostList` and `DiscoveredHost` hold.
+// Discovery's JSON keys for the fields of `HostList` and `DiscoveredHost`.
 constexpr const char* kVersionKey = "rev";
 constexpr const char* kSnapshotKey = "all";
 constexpr const char* kHostsKey = "targets";
@@ -29,7 +29,7 @@
     {"left", HostState::kRemoved},
 };
 
-constexpr std::size_t kMaxQuotedBytes = 64;  // of a value that an error repeats
+constexpr std::size_t kMaxQuotedBytes = 64;  // of a value that is quoted in an error
 
 const json::value& require(const json::object& object, const char* key) {
   const auto* value = object.if_contains(key);
--- a/src/net/host_list.h
+++ b/src/net/host_list.h
@@ -1,4 +1,4 @@
-// The list of hosts in discovery's JSON form, and its parser. Without I/O.
+// The list of hosts and the parser of its JSON form. Without I/O.
 #pragma once
 
 #include <boost/asio/ip/tcp.hpp>
@@ -29,14 +29,14 @@
 // One watch event, or the result of one poll.
 struct HostList {
   std::uint64_t version = 0;
-  bool is_snapshot = false;  // hosts that are not named have been removed; else: a delta
+  bool is_snapshot = false;  // hosts that it omits have been removed; otherwise it is a delta
   std::vector<DiscoveredHost> hosts;
-  // When discovery last confirmed that all its changes had been sent: what is new here happened after that.
-  // None: not known.
+  // When discovery last confirmed that it had sent all changes: those in this list happened after that. None:
+  // not known.
   std::optional<std::chrono::steady_clock::time_point> changed_since;
 };
 
-// A list that does not have the form of one. `location` is the key at fault, if it is a single one.
+// A malformed list. `location` is the key at fault, if it is a single one.
 class HostListError : public Error {
  public:
   HostListError(std::string key, const std::string& problem)
@@ -46,7 +46,7 @@
 // Throws HostListError.
 HostList parse_host_list(const boost::json::value& json);
 
-// Whether this is a list, well-formed or not, and not a part of one.
+// Whether this is a whole list, valid or not, rather than a part of one.
 bool is_host_list(const boost::json::value& json);
 
 // "ADDRESS:PORT". Throws HostListError.
--- a/src/net/host_list_stream.cpp
+++ b/src/net/host_list_stream.cpp
@@ -32,7 +32,7 @@
 }
 
 // A list may be spread over several lines, but heartbeats are only sent between lists. An empty line or the
-// start of another list within one means that its end is missing: reading on would discard all that follow.
+// start of another list within one means that its end is missing: reading on would discard all later lists.
 bool HostListStream::handle_line(std::string_view line) {
   const bool is_empty = line.find_first_not_of(" \t\r\n") == std::string_view::npos;
   if (is_empty && incomplete_list_bytes_ == 0) return callbacks_.on_heartbeat();
--- a/src/net/host_list_stream.h
+++ b/src/net/host_list_stream.h
@@ -1,4 +1,4 @@
-// Splits the body of a watch into heartbeats and lists of hosts. Without I/O.
+// Splits the response body of a watch into heartbeats and lists of hosts. Without I/O.
 #pragma once
 
 #include <boost/json.hpp>
@@ -20,8 +20,9 @@
   };
   explicit HostListStream(Callbacks callbacks) : callbacks_(std::move(callbacks)) {}
 
-  // Handles the complete lines so far and keeps the rest. Throws HostListError if a line can't be read: what
-  // it may have changed is unknown, so the stream ends there. Exceptions of the callbacks pass through.
+  // Handles all complete lines received so far and buffers the rest. Throws HostListError if a line is
+  // malformed: what it may have changed is unknown, so the stream must not be used further. Exceptions of the
+  // callbacks propagate.
   void feed(std::string_view bytes);
 
  private:
--- a/src/net/host_registry.cpp
+++ b/src/net/host_registry.cpp
@@ -11,10 +11,10 @@
 
 namespace {
 
-constexpr Ms kMaxDeltaAge = 30'000;     // a delta reports what happened less than this ago
-constexpr Ms kMaxDiscoveryLag = 1'000;  // from the start of a host until discovery has it
+constexpr Ms kMaxDeltaAge = 30'000;     // a delta reports changes more recent than this
+constexpr Ms kMaxDiscoveryLag = 1'000;  // from the start of a host until discovery lists it
 
-// None for a name that the settings do not have: hosts in such zones do not share a zone.
+// None for a name that is not in the settings: hosts in unknown zones do not count as sharing a zone.
 std::optional<std::uint32_t> find_index(const std::vector<std::string>& names, const std::string& name) {
   const std::uint32_t index = index_of(names, name);
   if (index == names.size()) return {};
@@ -36,12 +36,12 @@
 HostRegistry::HostRegistry(Clock& clock, Names names, ReadyCallback on_ready)
     : clock_(clock), names_(names), on_ready_(std::move(on_ready)) {}
 
-// When a host that is new here started, on this clock. A cold host that is taken for a warm one is
-// overloaded, so doubt is resolved towards a recent start:
+// When a host that is new here started, on this clock. A cold host that is treated as warm is overloaded, so
+// in doubt the start counts as recent:
 // - a delta reports recent changes: if the start that it gives is long ago, or missing, either the clocks of
-//   discovery and this machine disagree, or the delta was long under way;
-// - this machine's wall clock may have been stepped before this process started: a start before the moment at
-//   which discovery still did not have the host can't be right.
+//   discovery and this machine disagree, or the delta was delayed;
+// - this machine's wall clock may have been stepped before this process started: a start before a time at
+//   which discovery did not list the host yet can't be right.
 Ms HostRegistry::start_time(HostId id, const DiscoveredHost& host, const HostList& list) {
   const Ms now = clock_.now();
   const bool is_delta = !list.is_snapshot;
@@ -60,7 +60,7 @@
   auto [it, inserted] = hosts_.try_emplace(id);
   Host& host = it->second;
   if (!inserted && host.uid != listed.uid) {
-    // Two hosts under one number would mix up the statistics of both.
+    // Two hosts under one id would mix up the statistics of both.
     log_line("another host has the same host id (CRC-32 of the uid), host ignored", listed.uid);
     return {};
   }
--- a/src/net/host_registry.h
+++ b/src/net/host_registry.h
@@ -17,15 +17,15 @@
 
 namespace cometfold::net {
 
-// A host's number, from its uid alone: the same at every gateway and after every restart.
+// The id of a host, a hash of its uid: the same at every gateway and after every restart.
 HostId host_number(std::string_view uid);
 
-// The index of `name`, or the count of names if it is not among them.
+// The index of `name`, or the size of `names` if it is not found.
 std::uint32_t index_of(const std::vector<std::string>& names, const std::string& name);
 
 class HostRegistry {
  public:
-  // The configuration's names, whose indices the module uses. Both must outlive the registry.
+  // The configuration's names, whose indices the admission module uses. Both must outlive the registry.
   struct Names {
     const std::vector<std::string>& kinds;
     const std::vector<std::string>& zones;
@@ -36,11 +36,11 @@
   // `on_ready` is called by `update` for each host that is listed as ready.
   HostRegistry(Clock& clock, Names names, ReadyCallback on_ready);
 
-  // The entries for the module. A snapshot includes a removal for each host that it omits. Call `commit` with
-  // them once the module has received them.
+  // Returns the entries for the admission module; those of a snapshot include a removal for each host that it
+  // omits. Call `commit` with them once the module has received them.
   std::vector<HostEntry> update(const HostList& list, HostListUpdate kind);
   void commit(const std::vector<HostEntry>& entries);
-  // Removes the hosts that a predecessor reported as departed, and returns the module's entries for that.
+  // Removes the hosts that a predecessor reported as departed, and returns their removals for the module.
   std::vector<HostEntry> remove(const std::vector<DepartedHost>& departed);
 
   std::size_t size() const { return hosts_.size(); }
--- a/src/net/limits_table.cpp
+++ b/src/net/limits_table.cpp
@@ -1,4 +1,4 @@
-// [limits] of the gateway's own settings.
+// The table [limits] of the gateway's own settings.
 #include <cstddef>
 #include <utility>
 
@@ -30,7 +30,7 @@
   };
 }
 
-// [limits.class.NAME], one for each class that has limits of its own.
+// The tables [limits.class.NAME], one for each class that has limits of its own.
 ValueParser class_tables(const std::string& file, std::vector<limits::LimitEntry>& entries) {
   return [file, &entries](const toml::node& node) -> Rejection {
     constexpr const char* kExpected = "at most 1024 tables: [limits.class.NAME]";
--- a/src/net/log.cpp
+++ b/src/net/log.cpp
@@ -14,14 +14,14 @@
 
 namespace {
 
-// A pipe takes so many bytes as a whole, or none of them.
+// Writes of up to this size to a pipe are atomic.
 constexpr std::size_t kMaxLineBytes = PIPE_BUF;
 constexpr double kBurstLines = 2000;
 constexpr double kLinesPerSecond = 10;
 
 }  // namespace
 
-// A write to a pipe that nobody reads would block the event loop, and all requests with it.
+// A write to a full pipe that nobody reads would block the event loop and thus all requests.
 bool write_log(std::string_view line) {
   pollfd request{STDERR_FILENO, POLLOUT, 0};
   if (::poll(&request, 1, 0) <= 0 || (request.revents & POLLOUT) == 0) return false;
--- a/src/net/log_rate_limiter.h
+++ b/src/net/log_rate_limiter.h
@@ -1,5 +1,5 @@
-// Limits the lines of a log by a token bucket, so that a fault that repeats cannot flood it and one that
-// comes much later is still logged. Without I/O.
+// Limits the lines of a log with a token bucket, so that a repeated fault cannot flood it and one that occurs
+// much later is still logged. Without I/O.
 #pragma once
 
 #include <algorithm>
@@ -11,12 +11,12 @@
 
 class LogRateLimiter {
  public:
-  // `lines_per_second` once the burst is used up.
+  // `lines_per_second`: the rate once the burst is used up.
   LogRateLimiter(double burst_lines, double lines_per_second)
       : burst_lines_(burst_lines), lines_per_second_(lines_per_second), tokens_(burst_lines) {}
 
-  // Whether a line may be written now (milliseconds on any monotonic clock): the count of lines that were
-  // dropped since the last one, or nothing if this one is dropped too.
+  // Whether a line may be written at `now_ms`, on any monotonic clock: returns the count of lines dropped
+  // since the last one that was written, or nothing if this line must be dropped too.
   std::optional<std::uint64_t> admit(double now_ms) {
     const double elapsed_ms = std::max(0.0, now_ms - last_ms_);
     tokens_ = std::min(burst_lines_, tokens_ + elapsed_ms * lines_per_second_ / 1000);
--- a/src/net/main.cpp
+++ b/src/net/main.cpp
@@ -1,4 +1,4 @@
-// The gateway's program: command line, environment, signals, the event loop and the exit code.
+// The main program of the gateway: command line, environment, signals, event loop and exit code.
 #include <sys/resource.h>
 
 #include <CLI/CLI.hpp>
@@ -30,10 +30,10 @@
   setrlimit(RLIMIT_NOFILE, &limit);
 }
 
-// A batch is what one handler processes: all commands of one read, or all timers that have expired. Batches
-// of several handlers would cost a system call after each to look for more.
+// A batch is what one handler processes: all commands of one read, or all timers that have expired. Batching
+// several handlers would cost a system call after each one to check for more.
 //
-// An exception of one handler must not lose the requests of all others: the tables stay consistent, and each
+// An exception in one handler must not lose all other requests: the data structures stay consistent, and each
 // request keeps the timer of its deadline.
 void run(boost::asio::io_context& io, Clock& clock) {
   while (!io.stopped()) {
@@ -50,21 +50,21 @@
 
 const char* get_variable(const char* name) { return std::getenv(name); }
 
-// The command line. Without options the program serves.
+// The options of the command line. Without --check-config or --outcomes the program serves.
 struct Options {
   std::string settings_path;
-  std::string config_path;  // to be checked
+  std::string config_path;  // of --check-config
   bool print_outcomes = false;
 };
 
-// Adds the gateway's own settings, if there are some, and proves their limits.
+// Adds the gateway's own settings, if there is a file of them, and checks and applies their attempt limits.
 Config with_gateway_settings(Config config, const Options& options) {
   if (!options.settings_path.empty()) config.gateway_settings = load_gateway_settings(options.settings_path);
   apply_attempt_limits(config);
   return config;
 }
 
-// SIGHUP: the files have changed. A file that can't be used must not end a process that serves.
+// SIGHUP reloads the files. A file that can't be used must not end a serving process.
 void await_reload(boost::asio::signal_set& hangups, Gateway& gateway, const Options& options) {
   hangups.async_wait([&](boost::system::error_code cancelled, int) {
     if (cancelled) return;
@@ -106,8 +106,8 @@
   }
 }
 
-// Signals that arrive during its lifetime stay pending until its end, so that none is lost before handlers
-// are installed: the configuration may be rewritten while this process starts.
+// Signals that arrive during the lifetime of this object stay pending until its end, so that none is lost
+// before handlers are installed: the configuration may be rewritten while this process starts.
 class BlockedSignals {
  public:
   BlockedSignals() {
@@ -149,7 +149,7 @@
   return 0;
 }
 
-// The exit code.
+// Returns the exit code.
 int run_command(int argc, char** argv) {
   Options options;
   if (argc > 1) {
@@ -169,11 +169,11 @@
   return serve(options);
 }
 
-// The top of the program: each error that nobody has handled becomes one line of the log.
+// Logs an exception that ends the program, as one line.
 void log_start_failure(const std::exception& error) noexcept {
   try {
     log_line("cometfold can't start", error.what());
-  } catch (const std::exception&) {  // no memory for the line: the exit code alone tells
+  } catch (const std::exception&) {  // out of memory for the line: only the exit code reports the failure
   }
 }
 
--- a/src/net/peer_change_log.h
+++ b/src/net/peer_change_log.h
@@ -1,4 +1,5 @@
-// Logs changes in the cluster: other events at once, changes of members gathered into one line.
+// Logs membership events. Changes of members are combined into one line per half second, other events are
+// logged at once.
 #pragma once
 
 #include <array>
@@ -30,7 +31,7 @@
   bool is_scheduled_ = false;
   // Since the last line, by the new state.
   std::array<std::uint64_t, kStates> change_counts_{};
-  std::array<std::vector<std::string>, kStates> member_names_;  // of the first few
+  std::array<std::vector<std::string>, kStates> member_names_;  // only the first few per state
 };
 
 }  // namespace cometfold::net
--- a/src/net/peer_report.cpp
+++ b/src/net/peer_report.cpp
@@ -15,7 +15,7 @@
 namespace {
 
 constexpr std::size_t kMemberStates = 4;
-constexpr double kRoundTripResolution = 100;  // parts of a millisecond
+constexpr double kRoundTripResolution = 100;  // steps per millisecond
 constexpr double kLossResolution = 1000;
 
 std::int64_t whole_ms(double ms) { return std::llround(std::max(0.0, ms)); }
--- a/src/net/peer_report.h
+++ b/src/net/peer_report.h
@@ -1,4 +1,4 @@
-// The cluster as operators see it: members as JSON, and metrics. Without I/O.
+// The view of the cluster for operators: members as JSON, and metrics. Without I/O.
 #pragma once
 
 #include <cstdint>
@@ -10,7 +10,7 @@
 
 namespace cometfold::net {
 
-// Counts since the start of the process.
+// Counters since the start of the process.
 struct PeerTraffic {
   std::uint64_t datagrams_in = 0;
   std::uint64_t datagrams_out = 0;
@@ -23,11 +23,11 @@
   std::uint64_t checksum_mismatch = 0;
   std::uint64_t malformed = 0;
 
-  // Counts a datagram that was dropped for this reason, if any.
+  // Counts a dropped datagram by reason; no error counts nothing.
   void count(membership::DecodeError error);
 };
 
-// One line with its end. `name`: of this gateway.
+// One line, with its newline. `name`: of this gateway.
 std::string members_json(membership::Membership& membership, const std::string& name, Ms now);
 ops::PeerMetrics peer_metrics(membership::Membership& membership, const PeerTraffic& traffic, Ms now);
 
--- a/src/net/peers.cpp
+++ b/src/net/peers.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-// Requests go first: one turn of the event loop reads no more datagrams.
+// Limit per iteration of the event loop, so that datagrams do not delay requests.
 constexpr int kMaxDatagramsPerTurn = 32;
 constexpr auto kBindRetryDelay = std::chrono::milliseconds(100);
 constexpr unsigned kMaxPort = 65535;
@@ -38,7 +38,7 @@
 }
 
 // The incarnation is taken from the wall clock, which need not be right: if it has gone back, other members
-// report a higher incarnation of this one.
+// report a higher incarnation of this member.
 membership::MemberRecord self_record(const PeerSettings& settings, const std::string& name) {
   using namespace std::chrono;
   constexpr unsigned kRandomBits = 20;
@@ -123,12 +123,12 @@
   process_output();
 }
 
-// False if there is none.
+// False if there is no datagram.
 bool Peers::read_datagram() {
   error_code error;
   udp::endpoint sender;
   const std::size_t size = socket_.receive_from(asio::buffer(buffer_), sender, 0, error);
-  if (error == asio::error::connection_refused) return true;  // an earlier datagram did not arrive
+  if (error == asio::error::connection_refused) return true;  // an earlier datagram was not delivered
   if (error) return false;
   ++traffic_.datagrams_in;
   traffic_.bytes_in += size;
@@ -152,7 +152,7 @@
   if (error) ++traffic_.unsent;
 }
 
-// To be called after each input to the membership.
+// Must be called after each input to the membership module.
 void Peers::process_output() {
   for (const auto& outgoing : membership_.take_messages()) send(outgoing);
   for (const auto& event : membership_.take_events()) change_log_.record(event, membership_.connectivity());
--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -16,11 +16,12 @@
 
 namespace cometfold::net {
 
-// [peers] in the gateway's own settings; without an address to listen on there are none.
+// [peers] in the gateway's own settings; without `listen` the gateway takes no part in a cluster.
 struct PeerSettings {
   std::optional<boost::asio::ip::udp::endpoint> listen;
-  std::optional<boost::asio::ip::udp::endpoint> advertise;  // where others reach it; none: at `listen`
-  std::vector<std::string> seeds;                           // addresses and ports
+  std::optional<boost::asio::ip::udp::endpoint>
+      advertise;                   // where others reach this gateway; none: at `listen`
+  std::vector<std::string> seeds;  // addresses and ports
   std::string cluster = "cometfold";
   membership::MembershipSettings membership;
   bool operator==(const PeerSettings& other) const {
@@ -33,12 +34,12 @@
  public:
   Peers(boost::asio::io_context& io, Clock& clock, const PeerSettings& settings, const std::string& name);
 
-  // Waits for an address that another process still holds, as during an upgrade. Throws
+  // Waits while another process still uses the address, as during an upgrade. Throws
   // boost::system::system_error if the address can't be used for another reason.
   void start();
   void leave();
 
-  // The members, as one JSON object.
+  // The members, as a line with a JSON object.
   std::string members();
   ops::PeerMetrics metrics();
 
--- a/src/net/peers_table.cpp
+++ b/src/net/peers_table.cpp
@@ -1,4 +1,4 @@
-// [peers] of the gateway's own settings.
+// The table [peers] of the gateway's own settings.
 #include "net/settings_tables.h"
 
 namespace cometfold::net {
--- a/src/net/platform_settings.cpp
+++ b/src/net/platform_settings.cpp
@@ -66,7 +66,8 @@
   pairs[path] = joined;
 }
 
-// Nested JSON as the pairs that the simulator's settings are read from: the same names, joined by dots.
+// Flattens nested JSON into the key-value pairs from which the simulator's settings are read: the same names,
+// joined by dots.
 void flatten(const std::string& path, const json::value& value, Pairs& pairs) {
   const std::string prefix = path.empty() ? "" : path + ".";
   if (const auto* object = value.if_object()) {
@@ -89,7 +90,7 @@
   double number = 0;
   const auto* last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, number);
-  // Written so that it is false for NaN.
+  // False for NaN.
   const bool in_range = number >= min && number <= kMaxNumber;
   if (error != std::errc{} || end != last || !in_range) {
     throw ConfigError(kDocument, key, key + " is not a number in range: '" + text + "'");
@@ -146,7 +147,7 @@
   return names;
 }
 
-// The elements of a joined list; none if it is not there.
+// The elements of a joined list; none if the key is missing.
 std::vector<std::string> split(const Pairs& pairs, const std::string& key) {
   std::vector<std::string> parts;
   const auto it = pairs.find(key);
--- a/src/net/platform_settings.h
+++ b/src/net/platform_settings.h
@@ -23,7 +23,7 @@
 };
 
 // Throws ConfigError, with the key's dotted path, if a key is missing or not in range: unlike the simulator's
-// settings these have no defaults, as a gateway would serve with limits that nobody has set.
+// settings these have no defaults, as a gateway would otherwise serve with limits that nobody has set.
 PlatformSettings parse_platform_settings(const boost::json::value& json);
 
 }  // namespace cometfold::net
--- a/src/net/predecessor.cpp
+++ b/src/net/predecessor.cpp
@@ -1,4 +1,4 @@
-// The second process's side of a handover.
+// The successor's side of a hand-over.
 #include <sys/un.h>
 
 #include <utility>
@@ -18,21 +18,21 @@
 }  // namespace
 
 std::unique_ptr<Predecessor> Predecessor::find(asio::io_context& io, const std::string& path) {
-  // A socket can't have so long a name; SuccessorListener::listen logs it.
+  // Too long for the name of a socket; SuccessorListener::listen logs it.
   if (path.size() >= sizeof(sockaddr_un::sun_path)) return nullptr;
   Stream stream(io);
   error_code error;
   stream.connect(stream_protocol::endpoint(path), error);
-  if (error) return nullptr;  // no such file, or one that a dead process has left
+  if (error) return nullptr;  // no such file, or one left behind by a dead process
   const int socket = stream.native_handle();
   if (!is_same_user(socket)) {
     throw HandoverError(path, "another user's process listens there",
                         "another user's process listens at " + path);
   }
-  // An unresponsive process still holds the address, so it has to be waited for.
+  // An unresponsive process still uses the address, so it has to be waited for.
   const bool is_unresponsive = !is_readable_within(socket, kGreetingTimeoutMs);
   OwnedFd listener = is_unresponsive ? OwnedFd() : receive_descriptor(socket);
-  if (!is_unresponsive && listener.get() < 0) return nullptr;  // it exits, or has another successor
+  if (!is_unresponsive && listener.get() < 0) return nullptr;  // it exits or has another successor
   return std::unique_ptr<Predecessor>(new Predecessor(std::move(stream), std::move(listener)));
 }
 
--- a/src/net/processor_server.h
+++ b/src/net/processor_server.h
@@ -1,4 +1,4 @@
-// The external processor on sockets: its listener, and its settings from the gateway's configuration.
+// The external processor on sockets: its gRPC listener, and its settings from the gateway's configuration.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -17,12 +17,12 @@
 
 class ProcessorServer : private http2::grpc::Methods {
  public:
-  // `on_activity` is called when the engine may have something new to do. Throws
+  // `on_activity` is called when the engine may have new work. Throws
   // extproc::ProcessorSettingsError.
   ProcessorServer(boost::asio::io_context& io, Clock& clock, engine::Engine& engine, const Config& config,
                   std::function<void()> on_activity);
 
-  // `retry_while_in_use`: an earlier process may hold the address for a moment yet; proxies reconnect. Throws
+  // `retry_while_in_use`: a predecessor may still use the address; proxies reconnect meanwhile. Throws
   // boost::system::system_error if the address can't be used.
   void listen(bool retry_while_in_use);
   GrpcListener& listener() { return listener_; }
--- a/src/net/processor_table.cpp
+++ b/src/net/processor_table.cpp
@@ -1,4 +1,4 @@
-// [extproc] of the gateway's own settings: the external processor.
+// The table [extproc] of the gateway's own settings: the external processor.
 #include <cstddef>
 #include <optional>
 #include <string_view>
@@ -84,7 +84,7 @@
 
 bool is_path_pattern(std::string_view value) {
   if (value.empty() || value.front() != '/' || value.size() > kMaxPathBytes) return false;
-  const auto prefix = value.substr(0, value.size() - 1);  // a * may be the last character only
+  const auto prefix = value.substr(0, value.size() - 1);  // only the last character may be *
   return prefix.find('*') == std::string_view::npos && value.find('?') == std::string_view::npos;
 }
 
@@ -99,7 +99,7 @@
   };
 }
 
-// The limits of a rule become an entry of their own, which names the rule's class and route.
+// Adds the attempt limits of a rule as an entry of their own, which names the rule's class and route.
 void add_limits(const SettingsLocation& location, const extproc::RouteRule& rule, std::size_t rule_index,
                 limits::LimitEntry limit, std::vector<limits::LimitEntry>& entries) {
   if (!limit.has_limits()) return;
--- a/src/net/recent_departures.h
+++ b/src/net/recent_departures.h
@@ -15,17 +15,17 @@
  public:
   using Time = std::chrono::steady_clock::time_point;
 
-  // Within this time two agents that report on the same fleet agree.
+  // Two agents that report on the same fleet agree within this time.
   static constexpr std::chrono::seconds kRetention{10};
 
-  // Notes which hosts are listed now. Hosts that a snapshot omits have been removed.
+  // Records which hosts are listed now. Hosts that a snapshot omits have been removed.
   void update_listed(const HostList& list, Time now);
-  // Notes the hosts of `list` that drain or have been removed, and forgets those that are ready again.
+  // Records the hosts of `list` that are draining or removed, and forgets those that are ready again.
   void record(const HostList& list, Time now);
-  // Gives hosts that are listed as more available than was reported lately their reported state. A restarted
-  // host keeps the listed one. Returns whether any was changed.
+  // Sets hosts that are listed as more available than was recently reported back to the reported state. A
+  // restarted host keeps its listed state. Returns whether any state was changed.
   bool restore(HostList& list) const;
-  // Leaves in `list` only departures, and only of processes that are listed now.
+  // Reduces `list` to departures of host processes that are listed now.
   void keep_departures_of_listed(HostList& list) const;
 
  private:
--- a/src/net/request_log.h
+++ b/src/net/request_log.h
@@ -1,4 +1,4 @@
-// A line for each step of each request: accepted, sent, written, ended, answered, and why. Off without
+// The request log: a line for each step of each request, from its arrival to its answer. Off without
 // `[log] requests` in the gateway's own settings.
 #pragma once
 
--- a/src/net/shutdown_sequence.cpp
+++ b/src/net/shutdown_sequence.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// After a handover: idle connections have been closed by then, so one that is still quiet holds half a
+// After a hand-over. Idle connections have timed out by then, so one that is still idle holds an incomplete
 // command.
 constexpr auto kHandedOverGracePeriod = std::chrono::milliseconds(2600);
 constexpr Ms kLastReplyTime = 150;  // for clients to read their last replies
--- a/src/net/shutdown_sequence.h
+++ b/src/net/shutdown_sequence.h
@@ -1,4 +1,4 @@
-// A planned stop: serves on for as long as clients may still come, settles what was accepted, and ends.
+// Graceful shutdown: keeps serving while clients may still connect, finishes all accepted requests, and ends.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -11,19 +11,20 @@
 
 namespace cometfold::net {
 
-// Connections still come for 0.4 s after this gateway is known to drain, and are served.
+// New connections still arrive for 0.4 s after clients learn of the drain, and are served.
 constexpr auto kDrainGracePeriod = std::chrono::milliseconds(550);
 
 class ShutdownSequence {
  public:
-  // `on_finished` is called once, when everything is settled. All references must outlive this.
+  // `on_finished` is called once, when all connections are closed or the time is up. All references must
+  // outlive this object.
   ShutdownSequence(boost::asio::io_context& io, Clock& clock, engine::Engine& engine, ClientServer& clients,
                    std::function<void()> on_finished);
 
   bool has_begun() const { return engine_.shutdown_deadline().has_value(); }
-  // The first step; has to be followed by `start`.
+  // The first step; must be followed by `start`.
   void begin() { engine_.begin_shutdown(clock_.now()); }
-  // `handed_over`: a successor has the listening socket. `processor`: null if there is none.
+  // `handed_over`: a successor has the listening socket. `processor`: null if it is off.
   void start(bool handed_over, ProcessorServer* processor);
 
  private:
--- a/src/net/successor_listener.cpp
+++ b/src/net/successor_listener.cpp
@@ -1,4 +1,4 @@
-// The first process's side of a handover.
+// The predecessor's side of a hand-over.
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -30,7 +30,7 @@
 
 void SuccessorListener::listen() {
   try {
-    // An earlier process has exited or handed over: its file is only a name.
+    // An earlier process has exited or handed over, so its socket file is stale.
     ::unlink(path_.c_str());
     acceptor_.open();
     acceptor_.bind(stream_protocol::endpoint(path_));
@@ -60,7 +60,7 @@
   });
 }
 
-// One at a time: a third process is not greeted, and finds the address in use.
+// Only one successor at a time: a third process gets no descriptor and finds the address in use.
 void SuccessorListener::greet(Stream peer) {
   if (successor_ || handed_over_ || !is_same_user(peer.native_handle())) return;
   if (!send_descriptor(peer.native_handle(), callbacks_.listening_socket())) return;
--- a/src/net/tcp_stream.cpp
+++ b/src/net/tcp_stream.cpp
@@ -17,7 +17,7 @@
   return error == asio::error::would_block || error == asio::error::try_again;
 }
 
-// The kernel has no memory for the bytes now; the connection is not affected.
+// The kernel is out of memory for the bytes; the connection is not affected.
 bool is_out_of_kernel_memory(const error_code& error) {
   return error == asio::error::no_buffer_space || error == asio::error::no_memory;
 }
@@ -75,7 +75,7 @@
   });
 }
 
-// The socket counts as writable meanwhile, so waiting for that would spin.
+// The socket polls as writable meanwhile, so waiting for writability would be a busy loop.
 void TcpStream::await_kernel_memory() {
   const auto timer = std::make_shared<asio::steady_timer>(socket_.get_executor(), kWriteRetryDelay);
   timer->async_wait([this, timer, keep = callbacks_.shared_from_this()](error_code error) {
@@ -83,8 +83,9 @@
   });
 }
 
-// The wait is asynchronous and the read is not: an asynchronous read takes bytes out of the socket some turns
-// of the loop before its handler runs, and a connection that is closed or reused in between would lose them.
+// The wait is asynchronous and the read is not: an asynchronous read would take bytes out of the socket some
+// iterations of the event loop before its handler runs, and a connection that is closed or reused in between
+// would lose them.
 void TcpStream::read(std::span<char> buffer) {
   read_buffer_ = buffer;
   await_readable();
@@ -146,7 +147,7 @@
   return peek(error) == 0 && !would_block(error);
 }
 
-// Linux sends a delayed acknowledgement when the option is set, and clears the option with the next write.
+// Linux sends a delayed acknowledgement when TCP_QUICKACK is set, and clears the option with the next write.
 void TcpStream::send_pending_ack() {
   const asio::detail::socket_option::boolean<IPPROTO_TCP, TCP_QUICKACK> quick_ack(true);
   error_code ignored;
--- a/src/net/tcp_stream.h
+++ b/src/net/tcp_stream.h
@@ -1,4 +1,4 @@
-// `resp::Stream` on a TCP socket in the event loop, and the dialer that makes them.
+// `resp::Stream` on a TCP socket in the event loop, and the dialer that opens such streams.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -13,12 +13,12 @@
 
 class TcpStream : public resp::Stream {
  public:
-  // `callbacks` must be owned by a shared_ptr by the time of the first call that waits for something; it is
-  // kept alive until that has ended.
+  // `callbacks` must be owned by a shared_ptr before the first call that starts an asynchronous operation;
+  // each operation keeps it alive until it completes.
   TcpStream(boost::asio::ip::tcp::socket socket, Clock& clock, resp::StreamCallbacks& callbacks)
       : socket_(std::move(socket)), clock_(clock), callbacks_(callbacks) {}
 
-  // False if no socket can be opened. Else `on_connected` follows within `timeout` milliseconds.
+  // False if no socket can be opened. Otherwise `on_connected` is called within `timeout` milliseconds.
   bool connect(const boost::asio::ip::tcp::endpoint& address, Ms timeout);
 
   WriteResult write(std::string_view bytes) override;
@@ -47,7 +47,7 @@
   std::unique_ptr<boost::asio::steady_timer> connect_timer_;  // while connecting
   std::span<char> read_buffer_;
   bool awaiting_readable_ = false;
-  bool awaiting_close_only_ = false;   // what is received stays unread
+  bool awaiting_close_only_ = false;   // received bytes stay unread
   bool out_of_kernel_memory_ = false;  // at the last write
 };
 
--- a/src/net/toml_table.h
+++ b/src/net/toml_table.h
@@ -1,4 +1,4 @@
-// Tables of keys and value parsers, by which a TOML file is read into its structures.
+// Tables of keys and value parsers, with which a TOML file is read into structures.
 #pragma once
 
 #define TOML_EXCEPTIONS 1
@@ -20,13 +20,13 @@
 
 namespace cometfold::net::toml_table {
 
-// Nothing if a value was accepted, else what would be right, in words that go behind "must be".
+// Nothing if a value was accepted; otherwise what would be valid, worded to follow "must be".
 using Rejection = std::optional<std::string>;
-// Reads one value into the variable that it was made for.
+// Reads one value into the variable that the parser was created for.
 using ValueParser = std::function<Rejection(const toml::node&)>;
 using Table = std::map<std::string, ValueParser>;
 
-// The line of a node, in the file that is read.
+// The location of a node in the file that is read.
 SettingsLocation location_of(const std::string& file, const toml::source_region& source);
 
 // `name` is empty for the file itself. Throws GatewaySettingsError.
@@ -38,7 +38,7 @@
   return [&target, min, max, expected](const toml::node& node) -> Rejection {
     const auto value = node.value<double>();
     const bool has_type = node.is_number() && (!std::is_integral_v<Number> || node.is_integer());
-    // Written so that it is false for NaN.
+    // False for NaN.
     const bool in_range = value && *value >= min && *value <= max;
     if (!has_type || !in_range) return expected;
     target = static_cast<Number>(*value);
@@ -64,7 +64,7 @@
   };
 }
 
-// A number or flag with its line, of any size: its range is checked by the proof of the limits.
+// A number or flag with its line. Its range is not checked here, but by limits::prove.
 template <class Value>
 ValueParser unchecked(std::optional<limits::SourceValue<Value>>& target) {
   return [&target](const toml::node& node) -> Rejection {
@@ -79,14 +79,14 @@
 }
 
 ValueParser flag(bool& target);
-// Of `min_bytes` (0 or 1) to 256 bytes.
+// A string of `min_bytes` (0 or 1) to 256 bytes.
 ValueParser text(std::string& target, std::size_t min_bytes = 0);
 // The name of an HTTP/2 header; empty: none.
 ValueParser header_name(std::string& target);
-// An IP address and a port; IPv6 addresses may stand in brackets.
+// An IP address and a port; IPv6 addresses may be in brackets.
 ValueParser endpoint(std::optional<boost::asio::ip::tcp::endpoint>& target);
 ValueParser datagram_endpoint(std::optional<boost::asio::ip::udp::endpoint>& target);
-// A table in a table. `location`, if given, receives its file and line.
+// A nested table. `location`, if given, receives its file and line.
 ValueParser nested(const std::string& file, const std::string& name, Table table,
                    std::string* location = nullptr);
 
--- a/src/net/upgrade_coordinator.cpp
+++ b/src/net/upgrade_coordinator.cpp
@@ -52,7 +52,7 @@
                : "the predecessor process is serving: waiting for its hand-over or its exit");
 }
 
-// From here on this process is the one that a later one finds.
+// From now on a later process finds this one as its predecessor.
 void UpgradeCoordinator::serve() {
   is_serving_ = true;
   if (successor_listener_) successor_listener_->listen();
@@ -69,7 +69,7 @@
 }
 
 void UpgradeCoordinator::on_predecessor_exited() {
-  // This is a call of the predecessor's own, so it is destroyed later.
+  // Called by the predecessor object itself, so it is destroyed later.
   asio::post(io_, [predecessor = std::move(predecessor_)] {});
   if (is_stopping_ && !is_serving_) return callbacks_.on_stopped_before_serving();
   if (!is_serving_)
@@ -86,7 +86,7 @@
   callbacks_.on_second_process(false);
 }
 
-// The kernel may close an ended process's listening socket later than its connection to this one.
+// The kernel may close the listening socket of an exited process later than its connection to this process.
 void UpgradeCoordinator::listen_after_exit() {
   try {
     clients_.listen(address_);
@@ -101,8 +101,8 @@
   }
 }
 
-// The predecessor may have handed over just now. If this process ended without asking, connections that wait
-// in the listening socket's queue would be lost with it.
+// The predecessor may have just handed over. If this process exited without asking, connections that wait in
+// the accept queue would be lost with it.
 void UpgradeCoordinator::stop_before_serving() {
   if (!predecessor_ || !clients_.has_listener()) return callbacks_.on_stopped_before_serving();
   if (std::exchange(is_stopping_, true)) return;
--- a/src/net/upgrade_coordinator.h
+++ b/src/net/upgrade_coordinator.h
@@ -1,4 +1,5 @@
-// Which of a gateway's processes serves its clients: takes over from a predecessor, and finds a successor.
+// Decides which process of a gateway serves its clients: takes over from a predecessor, waits for a
+// successor.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -17,28 +18,28 @@
   virtual void on_serving() = 0;
   // The predecessor has handed over. Called before `on_serving`.
   virtual void on_state_received(const std::string& state) = 0;
-  // The predecessor is not there any more; `with_state`: it has handed over before. Called before
-  // `on_serving` if it has not.
+  // The predecessor has exited; `with_state`: after a hand-over. Without one, this is called before
+  // `on_serving`.
   virtual void on_predecessor_exited(bool with_state) = 0;
-  // Another process of this gateway has started or ended.
+  // Another process of this gateway has started or exited.
   virtual void on_second_process(bool is_running) = 0;
-  // `stop_before_serving` was called, but the predecessor had handed over already: this process serves and
+  // `stop_before_serving` was called, but the predecessor had already handed over: this process serves and
   // has to shut down. Called after `on_serving`.
   virtual void on_stopped_while_serving() = 0;
-  // `stop_before_serving` was called, and this process can end.
+  // `stop_before_serving` was called, and this process can exit.
   virtual void on_stopped_before_serving() = 0;
 };
 
 class UpgradeCoordinator {
  public:
-  // `path`: where the processes of this gateway find each other; empty: nowhere. Finds a predecessor, which
-  // may take up to a second. Throws HandoverError.
+  // `path`: of the hand-over socket; empty: no hand-over. Looks for a predecessor, which may take up to a
+  // second. Throws HandoverError.
   UpgradeCoordinator(boost::asio::io_context& io, const std::string& path, ClientServer& clients,
                      UpgradeCallbacks& callbacks);
 
   // Serves clients at this address, or waits for the predecessor to hand over.
   void start(const boost::asio::ip::tcp::endpoint& address);
-  // Ends this process where the predecessor still has the clients.
+  // Ends this process while the predecessor still serves the clients.
   void stop_before_serving();
 
   bool is_serving() const { return is_serving_; }
@@ -64,7 +65,7 @@
   boost::asio::steady_timer stop_timer_;
   bool is_serving_ = false;
   bool had_predecessor_ = false;
-  bool is_stopping_ = false;  // since before this process served
+  bool is_stopping_ = false;  // `stop_before_serving` was called
 };
 
 }  // namespace cometfold::net
--- a/src/net/upstream_hosts.h
+++ b/src/net/upstream_hosts.h
@@ -1,4 +1,4 @@
-// The connections to hosts: a host pool on TCP, swept by the event loop.
+// The connections to hosts: a host pool on TCP, swept periodically by the event loop.
 #pragma once
 
 #include <boost/asio.hpp>
