--- a/src/net/peers.h
+++ b/src/net/peers.h
@@ -19,9 +19,8 @@
 // [peers] in the gateway's own settings; without `listen` the gateway takes no part in a cluster.
 struct PeerSettings {
   std::optional<boost::asio::ip::udp::endpoint> listen;
-  std::optional<boost::asio::ip::udp::endpoint>
-      advertise;                   // where others reach this gateway; none: at `listen`
-  std::vector<std::string> seeds;  // addresses and ports
+  std::optional<boost::asio::ip::udp::endpoint> advertise;  // for other gateways; none: `listen`
+  std::vector<std::string> seeds;                           // addresses and ports
   std::string cluster = "cometfold";
   membership::MembershipSettings membership;
   bool operator==(const PeerSettings& other) const {
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -1,4 +1,5 @@
-// The gateway's own settings and its command line: valid files are accepted, errors name their place.
+// The gateway's own settings and its command line: valid files are accepted, errors name the file, line and
+// key.
 #include "net/gateway_settings.h"
 
 #include <fstream>
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -1,4 +1,4 @@
-// The real program between scripted clients, hosts and discovery, over loopback sockets.
+// Tests the gateway program between scripted clients, hosts and discovery, over loopback sockets.
 #include <algorithm>
 #include <chrono>
 #include <string>
@@ -31,7 +31,7 @@
   EXPECT_EQ(words[3].substr(end), ",k=ab,units=1,spread=2,first=0");
   const int left = std::stoi(words[3].substr(d + 2));
   EXPECT_GT(left, 0);
-  EXPECT_LT(left, 30000);  // less than the client waits
+  EXPECT_LT(left, 30000);  // less than the deadline of the client
   at.send(served(value));
   EXPECT_EQ(client.reply(), value);
 }
@@ -70,7 +70,7 @@
   at.send(served("a"));
   EXPECT_EQ(a.reply(), "a");
   let_rest();
-  b.send(query(9));  // free again once that is answered
+  b.send(query(9));  // the id is free again once the first request is answered
   EXPECT_EQ(at.command().at(2), id(9));
   at.send(served("b"));
   EXPECT_EQ(b.reply(), "b");
@@ -95,7 +95,7 @@
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
 }
 
-// The engine has produced the reply, but it waits behind another on its connection.
+// The engine has produced the reply of the second request, but it waits for the reply of the first one.
 TEST(Serving, KeepsAnIdInUseUntilItsReplyIsSent) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
@@ -114,7 +114,7 @@
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "two");
   let_rest();
-  other.send(query(2));  // free now; the connection used last is used again
+  other.send(query(2));  // the id is free now; the most recently used host connection is reused
   EXPECT_EQ(of_one.command().at(2), id(2));
   of_one.send(served("again"));
   EXPECT_EQ(other.reply(), "again");
@@ -193,7 +193,7 @@
   auto at = (first ? host : other).accept();
   at.command();
   at.reset();
-  EXPECT_EQ(client.reply().substr(0, 4), "-ERR");  // a failure: no rejection, no second attempt
+  EXPECT_EQ(client.reply().substr(0, 4), "-ERR");  // the request fails: it is not rejected and not retried
   EXPECT_FALSE((first ? other : host).waiting(20));
 }
 
@@ -212,7 +212,7 @@
     auto at = (first ? host : other).accept();
     at.command();
     at.send(bad);
-    auto again = (first ? other : host).accept();  // an idempotent request goes to the other host
+    auto again = (first ? other : host).accept();  // the idempotent request is retried at the other host
     again.command();
     again.send(served("good"));
     EXPECT_EQ(client.reply(), "good") << bad;
@@ -246,7 +246,7 @@
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   at.close();
-  client.send(command({"PING"}));  // the close reaches the program before what follows
+  client.send(command({"PING"}));  // the program sees the close before the next command
   EXPECT_EQ(client.reply(), "+PONG");
   client.send(query(2));
   auto next = host.accept();
@@ -263,13 +263,13 @@
   auto at = host.accept();
   at.command();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(at.ends());  // cancelled by closing
+  EXPECT_TRUE(at.ends());  // the attempt is cancelled by closing its connection
   client.send(command({"PING"}));
-  EXPECT_EQ(client.reply(), "+PONG");  // and nothing more came for the request
+  EXPECT_EQ(client.reply(), "+PONG");  // no second reply was sent for the request
 }
 
-// A request without an answer is retried at another host in time, and does not exclude its host until its
-// deadline.
+// A request to a silent host must be retried at another host before its deadline, and must not exclude the
+// silent host from other requests meanwhile.
 TEST(Hosts, AnUnansweredRequestIsRetriedElsewhereAndItsHostStaysInUse) {
   Listener hosts[2], discovery;
   Program program(
@@ -282,7 +282,7 @@
   std::vector<std::pair<int, Peer>> links;
   bool elsewhere = false, in_use = false;
   for (unsigned round = 1; round <= 200 && !(elsewhere && in_use); ++round) {
-    constexpr unsigned kAtOnce = 4;  // as many as the host accepts beside the unanswered one
+    constexpr unsigned kAtOnce = 4;  // as many as the host takes in addition to the unanswered one
     for (unsigned i = 0; i < kAtOnce; ++i) client.send(query(round * kAtOnce + i));
     for (unsigned answers = 0; answers < kAtOnce;) {
       for (int at : {0, 1}) {
@@ -324,9 +324,9 @@
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
   auto slow = program.client(), other = program.client();
-  constexpr unsigned kCommands = 2000;  // 120 MB of replies, if all were buffered
+  constexpr unsigned kCommands = 2000;  // 120 MB of replies if all were buffered
   const std::string ping = command({"PING", std::string(60000, 'p')});
-  // The program stops reading commands long before all are sent, so they are sent by a thread.
+  // The program stops reading commands long before all are sent, so a thread sends them.
   std::thread sender([&] {
     for (unsigned i = 0; i < kCommands; ++i) slow.send(ping);
   });
@@ -363,8 +363,9 @@
   EXPECT_EQ(client.reply(), "ok");
 }
 
-// Clients that send one request and keep their connection must not use up the connections that their side may
-// open to one gateway, a third of its descriptors (incident r52497a).
+// Clients may open connections to one gateway only up to a third of its descriptors. Clients that keep their
+// connection after one request must not use up these, so the gateway keeps unused connections for a fifth of
+// its descriptors at most (incident r52497a).
 TEST(Clients, UnusedConnectionsAreLimitedAndTheMostRecentlyUsedStays) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
@@ -416,7 +417,7 @@
   EXPECT_EQ(waiting.reply(), "two");
 }
 
-// At the limit silent connections are evicted, not those with requests.
+// At the connection limit silent connections are evicted, not those of normal clients.
 TEST(Clients, SilentAndIncompleteConnectionsAreEvictedForNewOnes) {
   Listener host, discovery;
   auto conf = config(known({target("s-1", host.port())}), discovery.port());
@@ -445,7 +446,7 @@
 TEST(Discovery, ARestartServesFromTheCachedListAndWatchesFromItsVersion) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
-  auto agent = discovery.accept();  // and silent
+  auto agent = discovery.accept();  // accepts the watch but never answers
   EXPECT_NE(agent.line().find("follow=1&since=7 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
@@ -483,7 +484,7 @@
   EXPECT_NE(watch_head(again).find("since=9 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
-  auto at = next.accept();  // the first one drains
+  auto at = next.accept();  // the host s-1 is draining
   at.command();
   at.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
@@ -507,7 +508,7 @@
 
 TEST(Discovery, ADrainCancelsAttemptsThatWaitForAConnection) {
   Listener full(0), discovery;
-  std::vector<Fd> fill;  // connections that fill the queue: further ones are not accepted
+  std::vector<Fd> fill;  // fill the accept queue, so that further connects stay pending
   for (int i = 0; i < 4; ++i) {
     fill.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
     const auto at = loopback(full.port());
@@ -523,7 +524,7 @@
   EXPECT_EQ(other.reply(), "+PONG");
   EXPECT_TRUE(client.quiet(50));
   chunk(agent, list(8, false, {target("s-1", full.port(), "leaving")}) + "\n");
-  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // never ran, and there is no other host
+  EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // not executed, and there is no other host
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
@@ -537,13 +538,13 @@
   auto at = host.accept();
   at.command();
   program.terminate();
-  auto late = program.client();  // connections still come for a while
+  auto late = program.client();  // new connections are still accepted for a while
   late.send(query(2));
   auto next = host.accept();
   next.command();
   next.send(served("two"));
   EXPECT_EQ(late.reply(), "two");
-  EXPECT_TRUE(late.ends());  // closed once idle
+  EXPECT_TRUE(late.ends());  // closed as it is idle
   at.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_TRUE(client.ends());
--- a/tests/host_list_test.cpp
+++ b/tests/host_list_test.cpp
@@ -1,4 +1,4 @@
-// The parts of discovery that do no I/O: the parser, the stream of lists, and departures between two
+// The parts of the discovery client without I/O: the parser, the stream of lists, and departures between two
 // addresses.
 #include "net/host_list.h"
 
--- a/tests/net_support.h
+++ b/tests/net_support.h
@@ -1,4 +1,4 @@
-// The real program in a process of its own, and scripted peers for it on loopback.
+// Runs the gateway program as a child process, with scripted peers on loopback.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -28,7 +28,7 @@
       : emulators::Program(COMETFOLD_PROGRAM, conf, std::move(arguments), std::move(environment)) {}
 };
 
-// Stops a gateway's process for the lifetime of this object.
+// Suspends a gateway's process (SIGSTOP) for the lifetime of this object.
 class Stopped {
  public:
   explicit Stopped(const Program& program) : pid_(program.pid()) {
@@ -39,7 +39,7 @@
   ~Stopped() { ::kill(pid_, SIGCONT); }
   Stopped(const Stopped&) = delete;
   Stopped& operator=(const Stopped&) = delete;
-  // Waits until all timers of up to so long are overdue.
+  // Waits until all timers of up to this duration are overdue.
   void outlast(std::chrono::milliseconds timers) const {
     std::this_thread::sleep_for(timers + std::chrono::milliseconds(150));
   }
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -1,4 +1,4 @@
-// A new configuration under load: SIGHUP, and discovery at two addresses meanwhile.
+// Reload of the configuration by SIGHUP, a change of the address of discovery, and backoff.
 #include <deque>
 #include <map>
 #include <random>
@@ -41,11 +41,11 @@
   auto before = old_agent.accept();
   watch_head(before);
   program.reload(at_discovery(conf, new_agent));
-  auto fetch = new_agent.accept();  // without an answer: the old one is still in use
+  auto fetch = new_agent.accept();  // not answered yet, so the old address stays in use
   chunk(before,
         list(8, false, {target("s-1", first.port(), "leaving"), target("s-2", second.port())}) + "\n");
   auto client = program.client();
-  for (bool served_by_second = false; !served_by_second;) {  // until that line has been read
+  for (bool served_by_second = false; !served_by_second;) {  // until the program has read that line
     client.send(query(1));
     if (Listener::first_of(first, second)) {
       auto at = first.accept();
@@ -61,7 +61,7 @@
     EXPECT_EQ(client.reply(), "two");
     served_by_second = true;
   }
-  // The versions of the two do not agree, and the new one still lists the draining host as ready.
+  // The versions of the two addresses differ, and the new one still lists the draining host as ready.
   whole_list(fetch, list(3, true, {target("s-1", first.port()), target("s-3", third.port())}));
   auto after = new_agent.accept();
   EXPECT_NE(watch_head(after).find("since=3 "), std::string::npos);
@@ -78,8 +78,8 @@
   EXPECT_FALSE(first.waiting(0));
 }
 
-// A fleet that was killed at once, and a discovery that rejects all calls while there are too many in a
-// second.
+// A whole fleet restarts at once, and discovery rejects each call that exceeds its limit per second, counting
+// rejected calls too. Without spread retries the fleet would exceed the limit again and again.
 TEST(Backoff, ARejectedFleetSpreadsOutAndGetsThrough) {
   constexpr int kFleet = 48, kMaxCallsPerSecond = 20;
   std::mt19937 random(5);
@@ -106,8 +106,8 @@
   EXPECT_LT(done_at, 15'000);
 }
 
-// A discovery with a queue, which also works on calls whose callers have given up, and 70 of 100 gateways
-// that start at one moment.
+// 70 of 100 gateways start at the same moment. Discovery queues calls and also processes those whose callers
+// have timed out, so too many calls at once would keep it busy with work that nobody waits for.
 TEST(Backoff, AHundredSimultaneousRestartsAllGetTheListSoon) {
   constexpr int kFleet = 100, kStarted = 70;
   constexpr double kServiceMs = 1000.0 / 15;
@@ -125,7 +125,7 @@
     const auto [now, gateway] = *calls.begin();
     calls.erase(calls.begin());
     free_at = std::max(free_at, now);
-    const bool rejected = free_at - now > kCallerTimeoutMs;  // at once; else it waits in the queue
+    const bool rejected = free_at - now > kCallerTimeoutMs;  // rejected at once; otherwise the call is queued
     if (!rejected) free_at += kServiceMs;
     if (!rejected && free_at - now <= kCallerTimeoutMs) {
       last = std::max(last, free_at);
@@ -141,8 +141,8 @@
   EXPECT_LT(made, 2 * kStarted);
 }
 
-// A change must be received within 6 s of discovery having it, in a fleet of any size: neither the first call
-// nor the next one after a rejection may come later.
+// A gateway must receive a change within 6 s of discovery having it, in a fleet of any size: neither the
+// first call nor the next one after a rejection may be delayed beyond that.
 TEST(Backoff, DelaysOfALargeFleetStayBelowThePropagationLimit) {
   for (const double fleet : {2, 100, 321, 1000}) {
     Backoff backoff(fleet);
@@ -153,7 +153,7 @@
   }
 }
 
-// Where discovery pushes, its agent on this machine answers at once, so its callers need not spread out.
+// If discovery pushes its list, its local agent answers at once, so gateways need not spread their calls.
 TEST(Reload, ALocalAgentIsCalledWithoutDelayInALargeFleet) {
   Listener host, agent;
   auto conf = config(list(7, true, {target("s-1", host.port())}), agent.port());
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// A second process of the same gateway beside the first: which one serves, and what is handed over.
+// Upgrades with two processes of the same gateway: which one serves, and what is handed over.
 #include <chrono>
 #include <csignal>
 #include <cstdlib>
@@ -30,7 +30,7 @@
   boost::json::object conf;
   UpgradeSetup() : conf(config(list(7, true, {target("s-1", host.port())}), discovery.port())) {
     auto& plan = conf["settings"].as_object()["packages"].as_array()[0].as_object();
-    plan["quota_rate"] = 0.5;  // so that a customer's use is not refilled before the handover
+    plan["quota_rate"] = 0.5;  // so that a customer's used quota is not refilled before the hand-over
     plan["burst"] = 100.0;
   }
   std::unique_ptr<Program> start() const {
@@ -52,7 +52,7 @@
   return client.reply();
 }
 
-// Between processes that number classes differently, and from an older one that hands over customers only.
+// The processes number their classes differently. An older process hands over customers only.
 TEST(HandoverCodec, TransfersHostsAndClassesAndToleratesMissingParts) {
   const std::vector<std::string> sender_classes{"look", "hold"}, receiver_classes{"hold", "audit", "look"},
       plans{"team"};
@@ -100,22 +100,22 @@
   auto second = setup.start();
   first->log_until("a successor process has connected");
   EXPECT_EQ(second->port(), first->port());
-  setup.serve(connected, 2);  // still the first
+  setup.serve(connected, 2);  // still by the first process
   std::vector<Peer> queued;
   for (int i = 0; i < 20; ++i) queued.push_back(first->client());
   first->terminate();
   for (int i = 0; i < 20; ++i) queued.push_back(first->client());
-  for (auto& client : queued) {  // none is rejected, whichever process accepts it
+  for (auto& client : queued) {  // none is dropped, whichever process accepts it
     client.send(command({"PING"}));
     EXPECT_EQ(client.reply(), "+PONG");
   }
   second->log_until("taken over: 2 customers");
-  setup.serve(connected, 3);  // one more reply on an open connection, then its end
+  setup.serve(connected, 3);  // an open connection gets one more reply and is closed then
   EXPECT_TRUE(connected.ends());
   queued.clear();
   EXPECT_EQ(first->exit_code(), 0);
   EXPECT_EQ(ping(*second), "+PONG");
-  auto third = setup.start();  // finds the second
+  auto third = setup.start();  // has the second as its predecessor
   second->log_until("a successor process has connected");
   second->terminate();
   third->log_until("taken over");
@@ -133,8 +133,8 @@
   setup.serve(client, 1);
 }
 
-// How much of a ceiling the first had used when it was killed is not known, so the second starts with none of
-// it, however long it has waited.
+// It is not known how much of a ceiling the first process had used when it was killed, so the second must
+// start with an empty one, however long it has waited.
 TEST(Upgrade, TheSuccessorOfAKilledProcessStartsWithAnEmptyCeiling) {
   boost::asio::io_context io;
   HostEmulator host(io, Behaviour{.mean_ms = 1}, 1);
@@ -142,7 +142,7 @@
   UpgradeSetup setup;
   setup.conf = config(list(7, true, {target("s-1", host.port())}), setup.discovery.port());
   auto& plan = setup.conf["settings"].as_object()["packages"].as_array()[0].as_object();
-  plan["hard_rate"] = 20.0;  // a slice of 10 a second that holds 10
+  plan["hard_rate"] = 20.0;  // the slice of this gateway is 10 a second, with a burst of 10
   plan["hard_burst"] = 20.0;
   auto first = setup.start();
   auto second = setup.start();
@@ -162,7 +162,7 @@
   hosts.join();
 }
 
-// The first process is stopped, and then killed or continued.
+// The first process is suspended (SIGSTOP), and then killed or resumed.
 TEST(Upgrade, AnUnresponsivePredecessorIsWaitedFor) {
   for (const bool killed : {true, false}) {
     UpgradeSetup setup;
@@ -172,8 +172,9 @@
     const auto second = setup.start();
     int at = port;
     if (killed) {
-      first.reset();                                                                  // SIGKILL
-      const auto line = second->log_until("listening after the predecessor's exit");  // any port will do here
+      first.reset();  // SIGKILL
+      // The configured port is 0, so this may be another port.
+      const auto line = second->log_until("listening after the predecessor's exit");
       at = std::stoi(line.substr(line.rfind(':') + 1));
     } else {
       ASSERT_EQ(::kill(first->pid(), SIGCONT), 0);
@@ -186,7 +187,7 @@
   }
 }
 
-// The first is terminated when the second has only just started, and the second is upgraded at once in turn.
+// The first process is terminated right after the second has started, and the second is upgraded at once too.
 TEST(Upgrade, TwoUpgradesWithinASecond) {
   UpgradeSetup setup;
   auto first = setup.start();
@@ -217,7 +218,8 @@
   setup.serve(late, 2);
 }
 
-// Clients that connect meanwhile find one of the two, or none: accepted connections are not dropped.
+// Clients that connect meanwhile must be served by one of the two processes: no accepted connection is
+// dropped.
 TEST(Upgrade, BothAreTerminatedAtOnce) {
   for (int round = 0; round < 5; ++round) {
     UpgradeSetup setup;
@@ -245,7 +247,7 @@
   }
 }
 
-// The second has an older list in its configuration, and discovery is silent.
+// The second process has an older host list in its configuration, and discovery sends it nothing.
 TEST(Upgrade, TheSecondKeepsDrainsReportedToTheFirst) {
   for (const std::string state : {"leaving", "left"}) {
     boost::asio::io_context io;
@@ -291,7 +293,7 @@
   auto first = setup.start();
   auto second = setup.start();
   first->log_until("a successor process has connected");
-  auto conf = setup.conf;  // its own address is in use, and no process passes the socket on
+  auto conf = setup.conf;  // the address is in use, and no process passes its listening socket on
   EXPECT_EQ(ping(*first), "+PONG");
   const int port = first->port();
   conf["listen"] = "127.0.0.1:" + std::to_string(port);
@@ -310,7 +312,7 @@
   EXPECT_EQ(text.find('\n'), std::string::npos);
   const auto decoded = ops::decode_handover(text, {receiver_classes, receiver_plans});
   EXPECT_EQ(decoded.age_ms, 1500);
-  ASSERT_EQ(decoded.customers.size(), 1u);  // the other's plan is unknown here
+  ASSERT_EQ(decoded.customers.size(), 1u);  // the plan of the other customer is unknown to the receiver
   EXPECT_EQ(decoded.customers[0].id, (1ULL << 33) - 1);
   EXPECT_EQ(decoded.customers[0].plan_index, 0u);
   EXPECT_EQ(decoded.customers[0].undivided_quota_level, -4);
@@ -343,7 +345,7 @@
       ops::decode_handover(ops::encode_handover(state, {classes, names}, plans), {classes, names});
   EXPECT_EQ(decoded.customers.size(), ops::kMaxHandoverCustomers);
   EXPECT_EQ(decoded.customers.front().plan_index, 1u);
-  EXPECT_EQ(decoded.age_ms, 0);  // so that those left out do not get a full ceiling
+  EXPECT_EQ(decoded.age_ms, 0);  // so that omitted customers do not get a full ceiling
 }
 
 }  // namespace
