--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -174,10 +174,10 @@
   Child unknown({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", classes.path}, {});
   EXPECT_NE(unknown.log_until("nope").find(":3: no class 'nope'; there are lookup, hold, pay"),
             std::string::npos);
-  const File lawful("[limits.class.lookup]\nattempts = 1\n", "lawful.toml");
-  EXPECT_EQ(run({"--check-config", good.path, "--settings", lawful.path}), 0);
-  const File copies("[limits.class.pay]\nsecond_copies = true\n", "copies.toml");
-  Child limited({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", copies.path}, {});
+  const File valid_limits("[limits.class.lookup]\nattempts = 1\n", "lawful.toml");
+  EXPECT_EQ(run({"--check-config", good.path, "--settings", valid_limits.path}), 0);
+  const File invalid_limits("[limits.class.pay]\nsecond_copies = true\n", "copies.toml");
+  Child limited({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", invalid_limits.path}, {});
   EXPECT_NE(
       limited.log_until("second_copies").find(":2: limits.class.pay.second_copies: is true where the site"),
       std::string::npos);
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -10,17 +10,17 @@
 namespace cometfold::net::testing {
 namespace {
 
-std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
+std::string cached_list(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
 TEST(Serving, ForwardsArgumentsAndValueUnchanged) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   const std::string body = std::string("line\r\n\0$3", 9) + std::string(65000, 'b');
   const std::string value = std::string("\r\n-ERR\0", 7) + std::string(65000, 'v');
   client.send(submit("hold", 5, body));
-  auto at = host.accept();
-  const auto words = at.command();
+  auto upstream = host.accept();
+  const auto words = upstream.command();
   ASSERT_EQ(words.size(), 5u);
   EXPECT_EQ(words[0], "SVC.SUBMIT");
   EXPECT_EQ(words[1], id(5));
@@ -32,13 +32,13 @@
   const int left = std::stoi(words[3].substr(d + 2));
   EXPECT_GT(left, 0);
   EXPECT_LT(left, 30000);  // less than the deadline of the client
-  at.send(served(value));
+  upstream.send(served(value));
   EXPECT_EQ(client.reply(), value);
 }
 
 TEST(Serving, ReusesOnlyIdleHostConnections) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto a = program.client(), b = program.client();
   a.send(query(1));
   auto first = host.accept();
@@ -59,36 +59,36 @@
 
 TEST(Serving, RejectsTheIdOfAnotherRequestInFlight) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto a = program.client(), b = program.client();
   a.send(query(9));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   b.send(query(9));
   EXPECT_EQ(b.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(at.quiet(20));
-  at.send(served("a"));
+  EXPECT_TRUE(upstream.quiet(20));
+  upstream.send(served("a"));
   EXPECT_EQ(a.reply(), "a");
   let_rest();
   b.send(query(9));  // the id is free again once the first request is answered
-  EXPECT_EQ(at.command().at(2), id(9));
-  at.send(served("b"));
+  EXPECT_EQ(upstream.command().at(2), id(9));
+  upstream.send(served("b"));
   EXPECT_EQ(b.reply(), "b");
 }
 
 TEST(Serving, AnswersPipelinedCommandsInOrder) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(query(1) + command({"PING"}) + query(2) + command({"NONE"}));
   auto first = host.accept(), second = host.accept();
-  const bool straight = first.command().at(2) == id(1);
+  const bool accepted_in_order = first.command().at(2) == id(1);
   second.command();
-  auto& of_one = straight ? first : second;
-  auto& of_two = straight ? second : first;
-  of_two.send(served("two"));
+  auto& upstream_of_one = accepted_in_order ? first : second;
+  auto& upstream_of_two = accepted_in_order ? second : first;
+  upstream_of_two.send(served("two"));
   EXPECT_TRUE(client.quiet(50));  // replies keep the order of commands
-  of_one.send(served("one"));
+  upstream_of_one.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "+PONG");
   EXPECT_EQ(client.reply(), "two");
@@ -98,31 +98,31 @@
 // The engine has produced the reply of the second request, but it waits for the reply of the first one.
 TEST(Serving, KeepsAnIdInUseUntilItsReplyIsSent) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client(), other = program.client();
   client.send(query(1) + query(2));
   auto first = host.accept(), second = host.accept();
-  const bool straight = first.command().at(2) == id(1);
+  const bool accepted_in_order = first.command().at(2) == id(1);
   second.command();
-  auto& of_one = straight ? first : second;
-  auto& of_two = straight ? second : first;
-  of_two.send(served("two"));
+  auto& upstream_of_one = accepted_in_order ? first : second;
+  auto& upstream_of_two = accepted_in_order ? second : first;
+  upstream_of_two.send(served("two"));
   EXPECT_TRUE(client.quiet(50));
   other.send(query(2));
   EXPECT_EQ(other.reply().substr(0, 4), "-ERR");
-  of_one.send(served("one"));
+  upstream_of_one.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "two");
   let_rest();
   other.send(query(2));  // the id is free now; the most recently used host connection is reused
-  EXPECT_EQ(of_one.command().at(2), id(2));
-  of_one.send(served("again"));
+  EXPECT_EQ(upstream_of_one.command().at(2), id(2));
+  upstream_of_one.send(served("again"));
   EXPECT_EQ(other.reply(), "again");
 }
 
 TEST(Serving, WaitsForTheRestOfAnIncompleteRequest) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client(), other = program.client();
   const auto text = query(1);
   client.send(text.substr(0, text.size() - 1));
@@ -130,15 +130,15 @@
   EXPECT_EQ(other.reply(), "+PONG");
   EXPECT_FALSE(host.waiting(20));  // nothing is forwarded before the last byte is received
   client.send(text.substr(text.size() - 1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("whole"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("whole"));
   EXPECT_EQ(client.reply(), "whole");
 }
 
 TEST(Input, InvalidRequestsAreRejectedAndNotForwarded) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   const std::string rest = "t=team,d=900,units=1,spread=2,first=0";
   for (const auto& bad : std::vector<std::vector<std::string>>{
            {"SVC.QUERY"},
@@ -172,7 +172,7 @@
 
 TEST(Input, AFramingErrorClosesOnlyItsOwnConnection) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto good = program.client();
   for (const std::string bad : {"PING\r\n", "*1\r\n$99999999\r\n", "*1\r\n:1\r\n", "*100000\r\n"}) {
     auto client = program.client();
@@ -186,13 +186,14 @@
 
 TEST(Hosts, ANonIdempotentRequestIsNotRetriedAfterItWasWrittenInFull) {
   Listener host, other, discovery;
-  Program program(config(known({target("s-1", host.port()), target("s-2", other.port())}), discovery.port()));
+  Program program(
+      config(cached_list({target("s-1", host.port()), target("s-2", other.port())}), discovery.port()));
   auto client = program.client();
   client.send(submit("pay", 1));
   const bool first = Listener::first_of(host, other);
-  auto at = (first ? host : other).accept();
-  at.command();
-  at.reset();
+  auto upstream = (first ? host : other).accept();
+  upstream.command();
+  upstream.reset();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");  // the request fails: it is not rejected and not retried
   EXPECT_FALSE((first ? other : host).waiting(20));
 }
@@ -205,32 +206,33 @@
         "*3\r\n$3000000000\r\nx"}) {
     Listener host, other, discovery;
     Program program(
-        config(known({target("s-1", host.port()), target("s-2", other.port())}), discovery.port()));
+        config(cached_list({target("s-1", host.port()), target("s-2", other.port())}), discovery.port()));
     auto client = program.client();
     client.send(query(1));
     const bool first = Listener::first_of(host, other);
-    auto at = (first ? host : other).accept();
-    at.command();
-    at.send(bad);
+    auto upstream = (first ? host : other).accept();
+    upstream.command();
+    upstream.send(bad);
     auto again = (first ? other : host).accept();  // the idempotent request is retried at the other host
     again.command();
     again.send(served("good"));
     EXPECT_EQ(client.reply(), "good") << bad;
-    EXPECT_TRUE(at.ends());
+    EXPECT_TRUE(upstream.ends());
   }
 }
 
 TEST(Hosts, ANonIdempotentRequestIsRetriedAfterARefusedConnect) {
-  Listener gone, host, discovery;
-  Program program(config(known({target("s-1", gone.port()), target("s-2", host.port())}), discovery.port()));
-  gone.close();
+  Listener closed_host, host, discovery;
+  Program program(
+      config(cached_list({target("s-1", closed_host.port()), target("s-2", host.port())}), discovery.port()));
+  closed_host.close();
   auto client = program.client();
-  std::optional<Peer> at;
+  std::optional<Peer> upstream;
   for (unsigned n = 1; n <= 6; ++n) {
     client.send(submit("pay", n));
-    if (!at) at = host.accept();
-    EXPECT_EQ(at->command().at(2), id(n));
-    at->send(served("ok"));
+    if (!upstream) upstream = host.accept();
+    EXPECT_EQ(upstream->command().at(2), id(n));
+    upstream->send(served("ok"));
     EXPECT_EQ(client.reply(), "ok");
     let_rest();
   }
@@ -238,14 +240,14 @@
 
 TEST(Hosts, AnIdleConnectionThatTheHostClosesIsReplaced) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("one"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
-  at.close();
+  upstream.close();
   client.send(command({"PING"}));  // the program sees the close before the next command
   EXPECT_EQ(client.reply(), "+PONG");
   client.send(query(2));
@@ -257,13 +259,13 @@
 
 TEST(Hosts, ARequestToASilentHostFailsBeforeItsDeadline) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(submit("pay", 1).replace(submit("pay", 1).find("d=30000"), 7, "d=00400"));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(at.ends());  // the attempt is cancelled by closing its connection
+  EXPECT_TRUE(upstream.ends());  // the attempt is cancelled by closing its connection
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");  // no second reply was sent for the request
 }
@@ -272,29 +274,29 @@
 // silent host from other requests meanwhile.
 TEST(Hosts, AnUnansweredRequestIsRetriedElsewhereAndItsHostStaysInUse) {
   Listener hosts[2], discovery;
-  Program program(
-      config(known({target("s-1", hosts[0].port()), target("s-2", hosts[1].port())}), discovery.port()));
-  auto unlucky = program.client(), client = program.client();
-  unlucky.send(query(1));
+  Program program(config(cached_list({target("s-1", hosts[0].port()), target("s-2", hosts[1].port())}),
+                         discovery.port()));
+  auto stuck_client = program.client(), client = program.client();
+  stuck_client.send(query(1));
   const int silent = Listener::first_of(hosts[0], hosts[1]) ? 0 : 1;
-  auto hung = hosts[silent].accept();
-  hung.command();
+  auto stuck_upstream = hosts[silent].accept();
+  stuck_upstream.command();
   std::vector<std::pair<int, Peer>> links;
   bool elsewhere = false, in_use = false;
   for (unsigned round = 1; round <= 200 && !(elsewhere && in_use); ++round) {
     constexpr unsigned kAtOnce = 4;  // as many as the host takes in addition to the unanswered one
     for (unsigned i = 0; i < kAtOnce; ++i) client.send(query(round * kAtOnce + i));
     for (unsigned answers = 0; answers < kAtOnce;) {
-      for (int at : {0, 1}) {
-        while (hosts[at].waiting(0)) links.emplace_back(at, hosts[at].accept());
+      for (int host_index : {0, 1}) {
+        while (hosts[host_index].waiting(0)) links.emplace_back(host_index, hosts[host_index].accept());
       }
       std::erase_if(links, [&](auto& link) {
-        auto& [at, peer] = link;
+        auto& [host_index, peer] = link;
         if (peer.quiet(0)) return false;
         if (!peer.more()) return true;
         const bool first = peer.command().at(2) == id(1);
-        elsewhere = elsewhere || (first && at != silent);
-        in_use = in_use || (elsewhere && !first && at == silent);
+        elsewhere = elsewhere || (first && host_index != silent);
+        in_use = in_use || (elsewhere && !first && host_index == silent);
         peer.send(served("v"));
         return false;
       });
@@ -306,23 +308,23 @@
   }
   ASSERT_TRUE(elsewhere);
   EXPECT_TRUE(in_use);
-  EXPECT_EQ(unlucky.reply(), "v");
+  EXPECT_EQ(stuck_client.reply(), "v");
 }
 
 TEST(Clients, ADisconnectCancelsTheAttempt) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   client.close();
-  EXPECT_TRUE(at.ends());
+  EXPECT_TRUE(upstream.ends());
 }
 
 TEST(Clients, ASlowReaderIsLimitedAndDelaysNoOther) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto slow = program.client(), other = program.client();
   constexpr unsigned kCommands = 2000;  // 120 MB of replies if all were buffered
   const std::string ping = command({"PING", std::string(60000, 'p')});
@@ -340,7 +342,7 @@
 
 TEST(Clients, NewOnesAreServedAtTheDescriptorLimit) {
   Listener host, discovery;
-  auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  auto conf = config(cached_list({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 64;
   Program program(conf);
   std::vector<Peer> idle;
@@ -357,9 +359,9 @@
   EXPECT_LE(open, 64u);
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("ok"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
 }
 
@@ -368,7 +370,7 @@
 // its descriptors at most (incident r52497a).
 TEST(Clients, UnusedConnectionsAreLimitedAndTheMostRecentlyUsedStays) {
   Listener host, discovery;
-  auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  auto conf = config(cached_list({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 240;
   Program program(conf);
   const auto open = [&] {
@@ -390,7 +392,7 @@
 
 TEST(Clients, AConnectionWithOnlyErrorsIsClosed) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   std::string many;
   for (int i = 0; i < 500; ++i) many += command({"NONE"});
@@ -401,26 +403,26 @@
 
 TEST(Clients, OnlyConnectionsWithoutARequestInFlightTimeOut) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto silent = program.client(), partial = program.client(), idle = program.client();
   auto waiting = program.client();
   partial.send(query(1).substr(0, 30));
   idle.send(command({"PING"}));
   EXPECT_EQ(idle.reply(), "+PONG");
   waiting.send(query(2));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   EXPECT_TRUE(silent.ends());
   EXPECT_TRUE(partial.ends());
   EXPECT_TRUE(idle.ends());
-  at.send(served("two"));
+  upstream.send(served("two"));
   EXPECT_EQ(waiting.reply(), "two");
 }
 
 // At the connection limit silent connections are evicted, not those of normal clients.
 TEST(Clients, SilentAndIncompleteConnectionsAreEvictedForNewOnes) {
   Listener host, discovery;
-  auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  auto conf = config(cached_list({target("s-1", host.port())}), discovery.port());
   conf["limits"].as_object()["sockets"] = 64;
   Program program(conf);
   auto usual = program.client();
@@ -433,9 +435,9 @@
   }
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("ok"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
   usual.send(command({"PING"}));
   EXPECT_EQ(usual.reply(), "+PONG");
@@ -445,20 +447,20 @@
 
 TEST(Discovery, ARestartServesFromTheCachedListAndWatchesFromItsVersion) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto agent = discovery.accept();  // accepts the watch but never answers
   EXPECT_NE(agent.line().find("follow=1&since=7 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
-  at.send(served("ok"));
+  auto upstream = host.accept();
+  upstream.command();
+  upstream.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
 }
 
 TEST(Discovery, IsNotReadyBeforeAHostIsListed) {
   Listener host, discovery;
-  Program program(config(known({}), discovery.port()));
+  Program program(config(cached_list({}), discovery.port()));
   auto client = program.client();
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply().substr(0, 8), "-LOADING");
@@ -474,7 +476,7 @@
 
 TEST(Discovery, LinesMayBeSplitAnywhereAndAWatchResumesFromTheLastVersion) {
   Listener host, next, discovery;
-  Program program(config(known({target("s-1", host.port(), "leaving")}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port(), "leaving")}), discovery.port()));
   auto agent = discovery.accept();
   watch_head(agent);
   const auto text = list(8, false, {target("s-2", next.port())}) + "\n\n" + list(9, false, {}) + "\n";
@@ -484,15 +486,15 @@
   EXPECT_NE(watch_head(again).find("since=9 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
-  auto at = next.accept();  // the host s-1 is draining
-  at.command();
-  at.send(served("ok"));
+  auto upstream = next.accept();  // the host s-1 is draining
+  upstream.command();
+  upstream.send(served("ok"));
   EXPECT_EQ(client.reply(), "ok");
 }
 
 TEST(Discovery, AMalformedLineIsLoggedAndTheWatchResumesFromTheLastVersion) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   int since = 7;
   for (const std::string bad :
        {"{", "[]", "{\"rev\":9}", "{\"rev\":9,\"all\":false,\"targets\":[{\"uid\":\"s-2\"}]}"}) {
@@ -511,10 +513,10 @@
   std::vector<Fd> fill;  // fill the accept queue, so that further connects stay pending
   for (int i = 0; i < 4; ++i) {
     fill.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const auto at = loopback(full.port());
-    ::connect(fill.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+    const auto address = loopback(full.port());
+    ::connect(fill.back().get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   }
-  Program program(config(known({target("s-1", full.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", full.port())}), discovery.port()));
   auto agent = discovery.accept();
   watch_head(agent);
   auto client = program.client();
@@ -532,11 +534,11 @@
 
 TEST(Stop, RequestsInFlightAndNewConnectionsAreServed) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   program.terminate();
   auto late = program.client();  // new connections are still accepted for a while
   late.send(query(2));
@@ -545,7 +547,7 @@
   next.send(served("two"));
   EXPECT_EQ(late.reply(), "two");
   EXPECT_TRUE(late.ends());  // closed as it is idle
-  at.send(served("one"));
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_TRUE(client.ends());
   EXPECT_EQ(program.exit_code(), 0);
@@ -553,14 +555,14 @@
 
 TEST(Stop, CommandsBehindAFullPipelineAreAnswered) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   constexpr int kBehind = 150;
   std::string text = query(1);
   for (int i = 0; i < kBehind; ++i) text += command({"PING", std::to_string(i)});
   client.send(text);
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   program.terminate();
   for (bool open = true; open;) {  // until the listener is closed
     try {
@@ -569,7 +571,7 @@
       open = false;
     }
   }
-  at.send(served("one"));
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   for (int i = 0; i < kBehind; ++i) EXPECT_EQ(client.reply(), std::to_string(i));
   EXPECT_TRUE(client.ends());
@@ -578,11 +580,11 @@
 
 TEST(Stop, UnansweredRequestsFailBeforeTheProgramIsKilled) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(cached_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(submit("pay", 1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   program.terminate();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
   EXPECT_TRUE(client.ends());
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -11,7 +11,7 @@
 namespace cometfold::net::testing {
 namespace {
 
-std::string at_discovery(boost::json::object conf, const Listener& discovery) {
+std::string with_discovery(boost::json::object conf, const Listener& discovery) {
   conf["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   return boost::json::serialize(conf);
 }
@@ -22,15 +22,15 @@
   Program program(conf);
   auto client = program.client();
   client.send(query(1));
-  auto at = host.accept();
-  at.command();
+  auto upstream = host.accept();
+  upstream.command();
   for (const std::string bad : {"", "{", "{}", R"({"name":"n0"})"}) {
     program.reload(bad);
     program.log_until("the previous configuration is kept");
   }
   program.reload(boost::json::serialize(conf));
   program.log_until("configuration reloaded");
-  at.send(served("one"));
+  upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
 }
 
@@ -40,7 +40,7 @@
   Program program(conf);
   auto before = old_agent.accept();
   watch_head(before);
-  program.reload(at_discovery(conf, new_agent));
+  program.reload(with_discovery(conf, new_agent));
   auto fetch = new_agent.accept();  // not answered yet, so the old address stays in use
   chunk(before,
         list(8, false, {target("s-1", first.port(), "leaving"), target("s-2", second.port())}) + "\n");
@@ -48,16 +48,16 @@
   for (bool served_by_second = false; !served_by_second;) {  // until the program has read that line
     client.send(query(1));
     if (Listener::first_of(first, second)) {
-      auto at = first.accept();
-      at.command();
-      at.send("-BUSY\r\n");
-      at.ends();
+      auto upstream = first.accept();
+      upstream.command();
+      upstream.send("-BUSY\r\n");
+      upstream.ends();
       client.reply();
       continue;
     }
-    auto at = second.accept();
-    at.command();
-    at.send(served("two"));
+    auto upstream = second.accept();
+    upstream.command();
+    upstream.send(served("two"));
     EXPECT_EQ(client.reply(), "two");
     served_by_second = true;
   }
@@ -67,10 +67,10 @@
   EXPECT_NE(watch_head(after).find("since=3 "), std::string::npos);
   EXPECT_TRUE(before.ends());
   client.send(query(2));
-  auto at = third.accept();
+  auto upstream = third.accept();
   for (unsigned n = 2; n < 12; ++n) {
-    EXPECT_EQ(at.command().at(2), id(n));
-    at.send(served("three"));
+    EXPECT_EQ(upstream.command().at(2), id(n));
+    upstream.send(served("three"));
     EXPECT_EQ(client.reply(), "three");
     let_rest();
     client.send(query(n + 1));
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -38,11 +38,11 @@
   }
   void serve(Peer& client, unsigned n) {
     client.send(query(n));
-    auto at = host.accept();
-    at.command();
-    at.send(served("v"));
+    auto upstream = host.accept();
+    upstream.command();
+    upstream.send(served("v"));
     EXPECT_EQ(client.reply(), "v");
-    at.close();
+    upstream.close();
   }
 };
 
@@ -170,19 +170,19 @@
     const int port = first->port();
     ASSERT_EQ(::kill(first->pid(), SIGSTOP), 0);
     const auto second = setup.start();
-    int at = port;
+    int serving_port = port;
     if (killed) {
       first.reset();  // SIGKILL
       // The configured port is 0, so this may be another port.
       const auto line = second->log_until("listening after the predecessor's exit");
-      at = std::stoi(line.substr(line.rfind(':') + 1));
+      serving_port = std::stoi(line.substr(line.rfind(':') + 1));
     } else {
       ASSERT_EQ(::kill(first->pid(), SIGCONT), 0);
       first->log_until("a successor process has connected");
       first->terminate();
       second->log_until("taken over");
     }
-    auto client = Peer::connect(at);
+    auto client = Peer::connect(serving_port);
     setup.serve(client, 1);
   }
 }
