--- a/src/net/client_server.cpp
+++ b/src/net/client_server.cpp
@@ -213,7 +213,9 @@
   return callbacks_.on_command(handle, words, waited);
 }
 
-void ClientServer::on_client_disconnected(Ms, std::uint64_t name) { callbacks_.on_client_disconnected(name); }
+void ClientServer::on_client_disconnected(Ms, std::uint64_t request_id) {
+  callbacks_.on_client_disconnected(request_id);
+}
 
 // ---- eviction ----
 
--- a/src/net/client_server.h
+++ b/src/net/client_server.h
@@ -24,8 +24,8 @@
   // A command that was parsed; it arrived up to `waited` milliseconds ago.
   virtual resp::CommandResult on_command(ResponseHandle handle, std::span<const resp::Item> words,
                                          Ms waited) = 0;
-  virtual void on_client_disconnected(std::uint64_t name) = 0;
-  virtual void on_client_writable(std::uint64_t name) = 0;
+  virtual void on_client_disconnected(std::uint64_t request_id) = 0;
+  virtual void on_client_writable(std::uint64_t request_id) = 0;
   // See resp::ClientConnectionCallbacks.
   virtual void on_reply_pending(std::uint64_t identity) = 0;
   virtual void on_reply_flushed(std::uint64_t identity) = 0;
@@ -87,8 +87,10 @@
                                  Ms waited) override;
   void on_reply_pending(std::uint64_t identity) override { callbacks_.on_reply_pending(identity); }
   void on_reply_flushed(std::uint64_t identity) override { callbacks_.on_reply_flushed(identity); }
-  void on_client_disconnected(Ms now, std::uint64_t name) override;
-  void on_client_writable(Ms, std::uint64_t name) override { callbacks_.on_client_writable(name); }
+  void on_client_disconnected(Ms now, std::uint64_t request_id) override;
+  void on_client_writable(Ms, std::uint64_t request_id) override {
+    callbacks_.on_client_writable(request_id);
+  }
   void on_closed(std::uint64_t id) override { connections_.erase(id); }
   void on_reads_paused() override;
 
--- a/src/net/descriptor_passing.cpp
+++ b/src/net/descriptor_passing.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-constexpr char kGreeting = 'L';  // the data byte sent along with a descriptor
+constexpr char kDescriptorByte = 'L';  // the data byte sent along with a descriptor
 
 // Buffers for a message of one byte and one descriptor, for sendmsg and recvmsg. `header` points into the
 // object itself, so it is not copyable.
@@ -50,7 +50,7 @@
 
 bool send_descriptor(int socket, int fd) {
   DescriptorMessage message;
-  message.byte = kGreeting;
+  message.byte = kDescriptorByte;
   cmsghdr* control = CMSG_FIRSTHDR(&message.header);
   control->cmsg_level = SOL_SOCKET;
   control->cmsg_type = SCM_RIGHTS;
@@ -63,7 +63,7 @@
   DescriptorMessage message;
   const auto received =
       retry_interrupted([&] { return ::recvmsg(socket, &message.header, MSG_CMSG_CLOEXEC); });
-  if (received != 1 || message.byte != kGreeting) return OwnedFd();
+  if (received != 1 || message.byte != kDescriptorByte) return OwnedFd();
   const cmsghdr* control = CMSG_FIRSTHDR(&message.header);
   if (!control || control->cmsg_level != SOL_SOCKET || control->cmsg_type != SCM_RIGHTS ||
       control->cmsg_len != CMSG_LEN(sizeof(int))) {
--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -18,11 +18,11 @@
 }  // namespace
 
 Discovery::Discovery(asio::io_context& io, const tcp::endpoint& address, std::uint64_t seed,
-                     const DiscoveryLoad& load, DiscoveryCallbacks& callbacks)
+                     const DiscoveryCallOptions& call_options, DiscoveryCallbacks& callbacks)
     : io_(io),
       initial_address_(address),
       random_(seed),
-      load_(load),
+      call_options_(call_options),
       callbacks_(callbacks),
       refetch_timer_(io),
       retire_timer_(io) {}
@@ -36,7 +36,7 @@
 std::shared_ptr<DiscoveryWatch> Discovery::make_watch(const tcp::endpoint& address,
                                                       std::optional<std::uint64_t> version) {
   DiscoveryWatchCallbacks& self = *this;
-  return std::make_shared<DiscoveryWatch>(io_, address, version, load_, random_, self);
+  return std::make_shared<DiscoveryWatch>(io_, address, version, call_options_, random_, self);
 }
 
 void Discovery::start(const HostList& cached) {
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -25,7 +25,7 @@
 class Discovery : private DiscoveryWatchCallbacks {
  public:
   Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::uint64_t seed,
-            const DiscoveryLoad& load, DiscoveryCallbacks& callbacks);
+            const DiscoveryCallOptions& call_options, DiscoveryCallbacks& callbacks);
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
@@ -46,7 +46,7 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint initial_address_;
   std::mt19937_64 random_;
-  DiscoveryLoad load_;
+  DiscoveryCallOptions call_options_;
   DiscoveryCallbacks& callbacks_;
   std::shared_ptr<DiscoveryWatch> current_;
   std::shared_ptr<DiscoveryWatch> next_;     // becomes the current one with its snapshot
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -64,12 +64,12 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(asio::io_context& io, const tcp::endpoint& address,
-                               std::optional<std::uint64_t> version, const DiscoveryLoad& load,
+                               std::optional<std::uint64_t> version, const DiscoveryCallOptions& call_options,
                                std::mt19937_64& random, DiscoveryWatchCallbacks& callbacks)
     : io_(io),
       address_(address),
       version_(version),
-      load_(load),
+      call_options_(call_options),
       random_(random),
       callbacks_(callbacks),
       backoff_timer_(io) {}
@@ -88,7 +88,8 @@
 }
 
 asio::awaitable<void> DiscoveryWatch::run([[maybe_unused]] std::shared_ptr<DiscoveryWatch> self) {
-  Backoff backoff = load_.local_agent ? Backoff::for_local_agent() : Backoff(load_.gateway_count);
+  Backoff backoff =
+      call_options_.local_agent ? Backoff::for_local_agent() : Backoff(call_options_.gateway_count);
   if (version_) co_await wait(0ms, backoff.max_initial_delay());
   while (!closed_) {
     const Failure failure = co_await connect_once();
@@ -133,7 +134,7 @@
 }
 
 asio::awaitable<void> DiscoveryWatch::send_request(Stream& stream, const std::string& path) {
-  const CallTimeouts& timeouts = load_.local_agent ? kAgentTimeouts : kServiceTimeouts;
+  const CallTimeouts& timeouts = call_options_.local_agent ? kAgentTimeouts : kServiceTimeouts;
   stream.expires_after(timeouts.connect);
   co_await stream.async_connect(address_, asio::use_awaitable);
   http::request<http::empty_body> request(http::verb::get, path, kHttp11);
--- a/src/net/discovery_watch.h
+++ b/src/net/discovery_watch.h
@@ -19,7 +19,7 @@
 class DiscoveryWatch;
 
 // How this gateway calls discovery.
-struct DiscoveryLoad {
+struct DiscoveryCallOptions {
   double gateway_count = 1;  // gateways that call the same discovery, this one included
   bool local_agent = false;  // discovery is an agent on this machine, which answers at once
 };
@@ -37,8 +37,8 @@
  public:
   // `version`: of the list from which changes are followed; none if the snapshot must be polled first.
   DiscoveryWatch(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address,
-                 std::optional<std::uint64_t> version, const DiscoveryLoad& load, std::mt19937_64& random,
-                 DiscoveryWatchCallbacks& callbacks);
+                 std::optional<std::uint64_t> version, const DiscoveryCallOptions& call_options,
+                 std::mt19937_64& random, DiscoveryWatchCallbacks& callbacks);
 
   void start();
   // No callback is called after this, and no connection is opened again.
@@ -68,7 +68,7 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint address_;
   std::optional<std::uint64_t> version_;
-  DiscoveryLoad load_;
+  DiscoveryCallOptions call_options_;
   std::mt19937_64& random_;
   DiscoveryWatchCallbacks& callbacks_;
   boost::asio::steady_timer backoff_timer_;
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -46,7 +46,8 @@
                   : policy_,
               hosts_.pool(), engine_limits(config_.get()), log_line),
       command_handler_(engine_, clients_, config_.command_names()),
-      discovery_(io, config_.get().discovery, config_.get().seed, discovery_load(config_.get()), *this),
+      discovery_(io, config_.get().discovery, config_.get().seed, discovery_call_options(config_.get()),
+                 *this),
       host_registry_(clock, {config_.get().host_kinds, config_.get().zones},
                      [this](HostId host, const auto& address, Ms at) { on_host_ready(host, address, at); }),
       on_stopped_(std::move(on_stopped)),
@@ -190,7 +191,7 @@
 }
 
 void Gateway::apply_limits() {
-  const Config config = shares_limits_ ? half_of(config_.get()) : config_.get();
+  const Config config = shares_limits_ ? with_half_limits(config_.get()) : config_.get();
   clients_.set_limits(client_limits(config));
   hosts_.pool().set_limits(host_pool_limits(config));
   engine_.set_limits(engine_limits(config));
--- a/src/net/gateway.h
+++ b/src/net/gateway.h
@@ -63,10 +63,12 @@
                                  Ms waited) override;
   void on_reply_pending(std::uint64_t identity) override { command_handler_.on_reply_pending(identity); }
   void on_reply_flushed(std::uint64_t identity) override { command_handler_.on_reply_flushed(identity); }
-  void on_client_disconnected(std::uint64_t name) override {
-    engine_.on_client_disconnected(clock_.now(), name);
+  void on_client_disconnected(std::uint64_t request_id) override {
+    engine_.on_client_disconnected(clock_.now(), request_id);
+  }
+  void on_client_writable(std::uint64_t request_id) override {
+    engine_.on_client_writable(clock_.now(), request_id);
   }
-  void on_client_writable(std::uint64_t name) override { engine_.on_client_writable(clock_.now(), name); }
 
   // HostPoolCallbacks
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
--- a/src/net/gateway_limits.cpp
+++ b/src/net/gateway_limits.cpp
@@ -79,12 +79,12 @@
 }
 
 // If discovery pushes its list, it is an agent on this machine that answers at once.
-DiscoveryLoad discovery_load(const Config& config) {
+DiscoveryCallOptions discovery_call_options(const Config& config) {
   if (!config.settings.host_watch_required) return {.gateway_count = 1, .local_agent = true};
   return {.gateway_count = config.settings.gateway_count, .local_agent = false};
 }
 
-Config half_of(Config config) {
+Config with_half_limits(Config config) {
   config.max_descriptors /= 2;
   config.memory_limit_mb = std::max<std::size_t>(1, config.memory_limit_mb / 2);
   return config;
--- a/src/net/gateway_limits.h
+++ b/src/net/gateway_limits.h
@@ -12,8 +12,8 @@
 resp::HostPoolLimits host_pool_limits(const Config& config);
 ClientLimits client_limits(const Config& config);
 engine::EngineLimits engine_limits(const Config& config);
-DiscoveryLoad discovery_load(const Config& config);
+DiscoveryCallOptions discovery_call_options(const Config& config);
 // The part of a gateway's resources that one of its two processes may use during an upgrade.
-Config half_of(Config config);
+Config with_half_limits(Config config);
 
 }  // namespace cometfold::net
--- a/src/net/handover.h
+++ b/src/net/handover.h
@@ -45,7 +45,7 @@
   using Stream = boost::asio::local::stream_protocol::socket;
   void accept();
   void accept_later();
-  void greet(Stream peer);
+  void accept_successor(Stream peer);
   void await_exit();
 
   std::string path_;
--- a/src/net/peer_change_log.cpp
+++ b/src/net/peer_change_log.cpp
@@ -15,7 +15,7 @@
 
 namespace {
 
-constexpr auto kGatherTime = std::chrono::milliseconds(500);
+constexpr auto kAggregationInterval = std::chrono::milliseconds(500);
 constexpr std::size_t kMaxNames = 8;
 
 // By MembershipEvent::Kind.
@@ -43,7 +43,7 @@
   ++change_counts_[state];
   if (member_names_[state].size() < kMaxNames) member_names_[state].push_back(event.name);
   if (std::exchange(is_scheduled_, true)) return;
-  timer_.expires_after(kGatherTime);
+  timer_.expires_after(kAggregationInterval);
   timer_.async_wait([this](boost::system::error_code cancelled) {
     if (!cancelled) log_member_changes();
   });
--- a/src/net/predecessor.cpp
+++ b/src/net/predecessor.cpp
@@ -13,7 +13,7 @@
 
 namespace {
 
-constexpr int kGreetingTimeoutMs = 1000;
+constexpr int kListeningSocketTimeoutMs = 1000;
 
 }  // namespace
 
@@ -30,7 +30,7 @@
                         "another user's process listens at " + path);
   }
   // An unresponsive process still uses the address, so it has to be waited for.
-  const bool is_unresponsive = !is_readable_within(socket, kGreetingTimeoutMs);
+  const bool is_unresponsive = !is_readable_within(socket, kListeningSocketTimeoutMs);
   OwnedFd listener = is_unresponsive ? OwnedFd() : receive_descriptor(socket);
   if (!is_unresponsive && listener.get() < 0) return nullptr;  // it exits or has another successor
   return std::unique_ptr<Predecessor>(new Predecessor(std::move(stream), std::move(listener)));
--- a/src/net/processor_table.cpp
+++ b/src/net/processor_table.cpp
@@ -30,14 +30,14 @@
 constexpr double kMaxUnits = 1e9;
 constexpr Ms kMaxTimeoutMs = 3.6e6;
 
-ValueParser repeats(extproc::ProxyRetries& target) {
+ValueParser proxy_retries(extproc::ProxyRetries& target) {
   return [&target](const toml::node& node) -> Rejection {
     constexpr std::pair<std::string_view, extproc::ProxyRetries> kWords[] = {
         {"never", extproc::ProxyRetries::kNever}, {"marked", extproc::ProxyRetries::kMarked}};
     const auto value = node.value<std::string>().value_or("");
-    for (const auto& [word, repeats] : kWords) {
+    for (const auto& [word, retries] : kWords) {
       if (word != value) continue;
-      target = repeats;
+      target = retries;
       return {};
     }
     return "\"never\" (the proxy makes one call per request) or \"marked\" (it makes one call per attempt, "
@@ -218,7 +218,7 @@
   Table table{
       {"listen", endpoint(settings.processor_address)},
       {"destination", destination(processor.destination)},
-      {"repeats", repeats(processor.proxy_retries)},
+      {"repeats", proxy_retries(processor.proxy_retries)},
       {"repeat_wait_ms",
        number(processor.retry_wait_ms, 1, 60'000, "a number of milliseconds from 1 to 60000")},
       {"remembered", number(processor.max_remembered_decisions, 0, 1e6, "a whole number from 0 to 1000000")},
--- a/src/net/shutdown_sequence.cpp
+++ b/src/net/shutdown_sequence.cpp
@@ -35,7 +35,7 @@
   timer_.async_wait([this, handed_over](error_code cancelled) {
     if (cancelled) return;
     close_clients(handed_over);
-    await_settled();
+    await_completion();
   });
 }
 
@@ -48,7 +48,7 @@
   if (processor_) processor_->listener().drain();
 }
 
-void ShutdownSequence::await_settled() {
+void ShutdownSequence::await_completion() {
   const Ms now = clock_.now();
   const Ms deadline = *engine_.shutdown_deadline();
   if (engine_.unanswered_count() > 0 && now >= deadline) engine_.fail_all(now);
@@ -60,7 +60,7 @@
   }
   timer_.expires_after(kPollInterval);
   timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) await_settled();
+    if (!cancelled) await_completion();
   });
 }
 
--- a/src/net/shutdown_sequence.h
+++ b/src/net/shutdown_sequence.h
@@ -29,7 +29,7 @@
 
  private:
   void close_clients(bool handed_over);
-  void await_settled();
+  void await_completion();
 
   Clock& clock_;
   engine::Engine& engine_;
--- a/src/net/successor_listener.cpp
+++ b/src/net/successor_listener.cpp
@@ -48,7 +48,7 @@
   acceptor_.async_accept([this](error_code error, Stream peer) {
     if (error == asio::error::operation_aborted) return;
     if (error) return accept_later();
-    greet(std::move(peer));
+    accept_successor(std::move(peer));
     accept();
   });
 }
@@ -61,7 +61,7 @@
 }
 
 // Only one successor at a time: a third process gets no descriptor and finds the address in use.
-void SuccessorListener::greet(Stream peer) {
+void SuccessorListener::accept_successor(Stream peer) {
   if (successor_ || handed_over_ || !is_same_user(peer.native_handle())) return;
   if (!send_descriptor(peer.native_handle(), callbacks_.listening_socket())) return;
   successor_ = std::make_unique<Stream>(std::move(peer));
