--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -71,7 +71,7 @@
   const File file("[hosts]\nper_host = 0\n");
   try {
     load_gateway_settings(file.path);
-    FAIL() << "a value out of range";
+    FAIL() << "a value out of range was accepted";
   } catch (const GatewaySettingsError& error) {
     EXPECT_EQ(error.source().file, file.path.string());
     EXPECT_EQ(error.source().line, 2);
--- a/tests/host_list_test.cpp
+++ b/tests/host_list_test.cpp
@@ -67,7 +67,7 @@
 TEST(HostListParser, ErrorsNameTheKey) {
   try {
     parse(R"({"all":true,"targets":[]})");
-    FAIL() << "a list without a version";
+    FAIL() << "a list without a version was accepted";
   } catch (const HostListError& error) {
     EXPECT_EQ(error.location(), "rev");
     EXPECT_STREQ(error.what(), "'rev' is missing");
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -79,7 +79,7 @@
 }
 
 // A whole fleet restarts at once, and discovery rejects each call that exceeds its limit per second, counting
-// rejected calls too. Without spread retries the fleet would exceed the limit again and again.
+// rejected calls too. Retries that are not spread out would exceed the limit again and again.
 TEST(Backoff, ARejectedFleetSpreadsOutAndGetsThrough) {
   constexpr int kFleet = 48, kMaxCallsPerSecond = 20;
   std::mt19937 random(5);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -18,7 +18,7 @@
   std::filesystem::path path;
   TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "cometfold-XXXXXX").string();
-    if (!::mkdtemp(name.data())) throw Hung("no directory");
+    if (!::mkdtemp(name.data())) throw Hung("can't create a temporary directory");
     path = name;
   }
   ~TemporaryDirectory() { std::filesystem::remove_all(path); }
