--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -28,8 +28,7 @@
   const auto& membership = peers.membership;
   if (advertised.address().is_unspecified() || advertised.port() == 0) {
     fail("advertise",
-         "'advertise', or 'listen' without it, must be the address and port at which others reach this "
-         "gateway");
+         "'advertise' must be the address and port at which others reach this gateway, unless 'listen' is");
   }
   if (membership.suspicion_quorum > membership.observers_per_member) {
     fail("quorum", "'quorum' must be at most 'watchers'");
--- a/tests/peers_test.cpp
+++ b/tests/peers_test.cpp
@@ -92,8 +92,9 @@
       std::string::npos);
   EXPECT_NE(error_text("[peers]\nseed = []\n").find(":2: [peers] has no 'seed'; it has advertise"),
             std::string::npos);
-  EXPECT_NE(error_text("[peers]\nlisten = \"0.0.0.0:7946\"\n").find("'advertise' must say"),
-            std::string::npos);
+  EXPECT_NE(
+      error_text("[peers]\nlisten = \"0.0.0.0:7946\"\n").find("'advertise' must be the address and port"),
+      std::string::npos);
   EXPECT_NE(error_text("[peers]\nlisten = \"127.0.0.1:1\"\nquorum = 6\n").find("'quorum' must be at most"),
             std::string::npos);
   EXPECT_NE(error_text("[peers]\nlisten = \"127.0.0.1:1\"\nforget_ms = 10000\n").find("'forget_ms' must be"),
