--- a/src/net/discovery.cpp
+++ b/src/net/discovery.cpp
@@ -12,17 +12,17 @@
 
 namespace {
 
-// What the retired address had sent has been read by then.
+// Long enough to read what the retired address had sent before the switch.
 constexpr auto kRetiredWatchLinger = std::chrono::milliseconds(500);
 
 }  // namespace
 
 Discovery::Discovery(asio::io_context& io, const tcp::endpoint& address, std::uint64_t seed,
-                     const DiscoveryLoad& load, DiscoveryCallbacks& callbacks)
+                     const DiscoveryCallOptions& call_options, DiscoveryCallbacks& callbacks)
     : io_(io),
       initial_address_(address),
       random_(seed),
-      load_(load),
+      call_options_(call_options),
       callbacks_(callbacks),
       refetch_timer_(io),
       retire_timer_(io) {}
@@ -36,7 +36,7 @@
 std::shared_ptr<DiscoveryWatch> Discovery::make_watch(const tcp::endpoint& address,
                                                       std::optional<std::uint64_t> version) {
   DiscoveryWatchCallbacks& self = *this;
-  return std::make_shared<DiscoveryWatch>(io_, address, version, load_, random_, self);
+  return std::make_shared<DiscoveryWatch>(io_, address, version, call_options_, random_, self);
 }
 
 void Discovery::start(const HostList& cached) {
@@ -59,7 +59,7 @@
   publish(list);
 }
 
-// The new address may lag behind and know nothing of some departures that this one has reported.
+// The new address may lag behind and not know of some departures that the retired one reports.
 void Discovery::on_retired_watch_list(HostList list) {
   departures_.keep_departures_of_listed(list);
   if (list.hosts.empty()) return;
@@ -67,8 +67,8 @@
   publish(list);
 }
 
-// The new address may lag behind and list hosts as ready whose drain has been reported. The drain stands
-// until agents agree; then the snapshot is fetched again.
+// The new address may lag behind and list hosts as ready whose drain has been reported. The drain is kept
+// until the agents agree; then the snapshot is fetched again.
 void Discovery::on_first_list_of_next(HostList& list) {
   activate_next_watch();
   if (!departures_.restore(list)) return;
--- a/src/net/discovery.h
+++ b/src/net/discovery.h
@@ -1,4 +1,4 @@
-// The list of hosts, kept up to date over one watch of discovery, or two while its address changes.
+// Keeps the list of hosts up to date with one watch of discovery, or two while its address changes.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -20,17 +20,17 @@
 };
 
 // After `set_address` the current watch stays in use until the new one has received its snapshot, so that no
-// departure reported meanwhile is lost. For a moment after that the retired watch's departures still count,
+// departure reported meanwhile is lost. For 0.5 s after that the departures of the retired watch still count,
 // as some may not have been read yet; then it is closed.
 class Discovery : private DiscoveryWatchCallbacks {
  public:
   Discovery(boost::asio::io_context& io, const boost::asio::ip::tcp::endpoint& address, std::uint64_t seed,
-            const DiscoveryLoad& load, DiscoveryCallbacks& callbacks);
+            const DiscoveryCallOptions& call_options, DiscoveryCallbacks& callbacks);
   ~Discovery() override;
   Discovery(const Discovery&) = delete;
   Discovery& operator=(const Discovery&) = delete;
 
-  // `cached`: the list that an earlier process had, which the first watch continues from.
+  // `cached`: the list of an earlier process; the first watch follows changes from its version.
   void start(const HostList& cached);
   void set_address(const boost::asio::ip::tcp::endpoint& address);
 
@@ -46,7 +46,7 @@
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::endpoint initial_address_;
   std::mt19937_64 random_;
-  DiscoveryLoad load_;
+  DiscoveryCallOptions call_options_;
   DiscoveryCallbacks& callbacks_;
   std::shared_ptr<DiscoveryWatch> current_;
   std::shared_ptr<DiscoveryWatch> next_;     // becomes the current one with its snapshot
--- a/src/net/discovery_watch.cpp
+++ b/src/net/discovery_watch.cpp
@@ -27,19 +27,19 @@
   std::chrono::milliseconds connect;
   std::chrono::milliseconds response;
 };
-// An agent on this machine answers at once, so one that does not is called again soon; a service may queue
-// calls.
+// A local agent answers at once, so one that does not is called again soon. A remote service may queue calls.
 constexpr CallTimeouts kAgentTimeouts{300ms, 1000ms};
 constexpr CallTimeouts kServiceTimeouts{1000ms, 4200ms};
 
-// A change must be received within 6 s of discovery having it. A call that began while discovery was down
-// times out after it is up again, and is followed by a backoff and another call: all must fit in that time.
+// A gateway must receive a change within 6 s of discovery having it. A call that began while discovery was
+// down may time out only after it is up again, and is followed by a backoff and another call: all of that
+// must fit into the limit.
 constexpr auto kPropagationLimit = 6s;
 constexpr auto kTypicalResponseTime = 250ms;
 static_assert(kServiceTimeouts.response + Backoff::kMaxDelay * 3 / 2 + kTypicalResponseTime <=
               kPropagationLimit);
 
-// Makes a coroutine's stream reachable for `close` while it exists.
+// Makes the stream of a coroutine accessible to `close` for as long as it exists.
 class StreamRegistration {
  public:
   StreamRegistration(beast::tcp_stream*& slot, beast::tcp_stream& stream) : slot_(slot) { slot_ = &stream; }
@@ -64,12 +64,12 @@
 }  // namespace
 
 DiscoveryWatch::DiscoveryWatch(asio::io_context& io, const tcp::endpoint& address,
-                               std::optional<std::uint64_t> version, const DiscoveryLoad& load,
+                               std::optional<std::uint64_t> version, const DiscoveryCallOptions& call_options,
                                std::mt19937_64& random, DiscoveryWatchCallbacks& callbacks)
     : io_(io),
       address_(address),
       version_(version),
-      load_(load),
+      call_options_(call_options),
       random_(random),
       callbacks_(callbacks),
       backoff_timer_(io) {}
@@ -88,33 +88,34 @@
 }
 
 asio::awaitable<void> DiscoveryWatch::run([[maybe_unused]] std::shared_ptr<DiscoveryWatch> self) {
-  Backoff backoff = load_.local_agent ? Backoff::for_local_agent() : Backoff(load_.gateway_count);
+  Backoff backoff =
+      call_options_.local_agent ? Backoff::for_local_agent() : Backoff(call_options_.gateway_count);
   if (version_) co_await wait(0ms, backoff.max_initial_delay());
   while (!closed_) {
     const Failure failure = co_await connect_once();
     if (closed_ || !reconnecting_) break;
-    log_line("the watch of discovery broke", failure.reason);
+    log_line("discovery watch ended, reconnecting after a delay", failure.reason);
     const auto result = received_data_     ? WatchResult::kReceivedData
                         : failure.rejected ? WatchResult::kRejected
                                            : WatchResult::kFailed;
-    // Random, so that gateways that lost discovery together do not come back together.
+    // Random, so that gateways that lost discovery at the same time do not reconnect at the same time.
     const auto delay = backoff.next_delay(result);
     co_await wait(delay / 2, delay);
   }
 }
 
-// One connection after the other until one of them ends or fails.
+// Polls the snapshot if there is no version yet, then follows changes until the connection ends or fails.
 asio::awaitable<DiscoveryWatch::Failure> DiscoveryWatch::connect_once() {
   received_data_ = false;
   request_sent_ = false;
   try {
     if (!version_) co_await poll();
     if (!closed_) co_await follow();
-    co_return Failure{"ended"};
+    co_return Failure{"end of response"};
   } catch (const DiscoveryRejected& error) {
     co_return Failure{error.what(), true};
   } catch (const boost::system::system_error& error) {
-    // A server that accepts a call and ends it without an answer is up, and overloaded.
+    // A server that accepts a request and closes without a response is up but overloaded.
     const bool ended_by_server =
         error.code() == asio::error::connection_reset || error.code() == http::error::end_of_stream;
     co_return Failure{error.code().message(), request_sent_ && ended_by_server};
@@ -123,7 +124,7 @@
   }
 }
 
-// Waits for a time drawn evenly from `min` to `min + span`, or until `close`.
+// Waits for a time drawn uniformly from `min` to `min + span`, or until `close`.
 asio::awaitable<void> DiscoveryWatch::wait(std::chrono::milliseconds min, std::chrono::milliseconds span) {
   if (span.count() <= 0) co_return;
   backoff_timer_.expires_after(min +
@@ -133,7 +134,7 @@
 }
 
 asio::awaitable<void> DiscoveryWatch::send_request(Stream& stream, const std::string& path) {
-  const CallTimeouts& timeouts = load_.local_agent ? kAgentTimeouts : kServiceTimeouts;
+  const CallTimeouts& timeouts = call_options_.local_agent ? kAgentTimeouts : kServiceTimeouts;
   stream.expires_after(timeouts.connect);
   co_await stream.async_connect(address_, asio::use_awaitable);
   http::request<http::empty_body> request(http::verb::get, path, kHttp11);
@@ -143,7 +144,7 @@
   request_sent_ = true;
 }
 
-// Gets the snapshot, where there is no version to follow this address from.
+// Fetches the snapshot.
 asio::awaitable<void> DiscoveryWatch::poll() {
   Stream stream(io_);
   const StreamRegistration registration(stream_, stream);
@@ -163,7 +164,7 @@
   on_list(value);
 }
 
-// Reads changes since the version that this gateway has, for as long as the connection lives.
+// Reads changes since the version that this gateway has, until the connection ends.
 asio::awaitable<void> DiscoveryWatch::follow() {
   Stream stream(io_);
   const StreamRegistration registration(stream_, stream);
--- a/src/net/gateway.cpp
+++ b/src/net/gateway.cpp
@@ -17,7 +17,8 @@
 
 namespace {
 
-// A process that waits for its predecessor is ready after this time, even if discovery has not answered.
+// A process that waits for its predecessor reports that it is ready after this time, even if discovery has
+// not answered.
 constexpr auto kDiscoveryTimeout = std::chrono::milliseconds(1000);
 
 using NamedCounts = std::vector<std::pair<std::string_view, std::uint64_t>>;
@@ -45,7 +46,8 @@
                   : policy_,
               hosts_.pool(), engine_limits(config_.get()), log_line),
       command_handler_(engine_, clients_, config_.command_names()),
-      discovery_(io, config_.get().discovery, config_.get().seed, discovery_load(config_.get()), *this),
+      discovery_(io, config_.get().discovery, config_.get().seed, discovery_call_options(config_.get()),
+                 *this),
       host_registry_(clock, {config_.get().host_kinds, config_.get().zones},
                      [this](HostId host, const auto& address, Ms at) { on_host_ready(host, address, at); }),
       on_stopped_(std::move(on_stopped)),
@@ -82,7 +84,7 @@
   });
   if (admin_) {
     admin_->listen(*config_.get().admin);
-    log_line("operators call at", to_text(admin_->address()));
+    log_line("admin server is listening", to_text(admin_->address()));
   }
   if (peers_) peers_->start();
   discovery_.start(config_.get().cached_hosts);
@@ -155,7 +157,7 @@
 
 // ---- configuration ----
 
-// Whatever can throw comes first, so that a configuration is used as a whole or not at all.
+// Everything that can throw comes first, so that a configuration is used as a whole or not at all.
 void Gateway::reload(const Config& config) {
   const auto numbered = config_.renumber(config);
   if (processor_) {
@@ -171,25 +173,25 @@
   if (config.discovery != config_.get().discovery) {
     config_.set_discovery(config);
     discovery_.set_address(config.discovery);
-    log_line("discovery is now at", config.discovery.address().to_string());
+    log_line("discovery address changed", config.discovery.address().to_string());
   }
   log_ignored_changes(config);
   ++reloads_;
 }
 
-// Requests in flight keep their class, by its number; commands from now on are read with the new names.
+// Requests in flight keep their class number; later commands are parsed with the new names.
 void Gateway::apply_settings(const Config& config, const settings::NumberedSettings& numbered) {
   config_.set_settings(config, numbered);
   policy_.update_settings(clock_.now(), config_.get().settings);
   engine_.update_settings(config_.get().settings);
   apply_limits();
   command_handler_.set_names(config_.command_names());
-  log_line("new settings are in use", std::to_string(config.class_names.size()) + " classes, " +
-                                          std::to_string(config.plan_names.size()) + " plans");
+  log_line("reloaded settings are in use", std::to_string(config.class_names.size()) + " classes, " +
+                                               std::to_string(config.plan_names.size()) + " plans");
 }
 
 void Gateway::apply_limits() {
-  const Config config = shares_limits_ ? half_of(config_.get()) : config_.get();
+  const Config config = shares_limits_ ? with_half_limits(config_.get()) : config_.get();
   clients_.set_limits(client_limits(config));
   hosts_.pool().set_limits(host_pool_limits(config));
   engine_.set_limits(engine_limits(config));
@@ -198,14 +200,14 @@
 void Gateway::log_ignored_changes(const Config& fresh) const {
   const Config& in_use = config_.get();
   if (fresh.gateway_settings.processor_address.has_value() != (processor_ != nullptr)) {
-    log_line("switching the external processor on or off needs a restart");
+    log_line("extproc.listen was added or removed in the settings: ignored until a restart");
   }
   if (!(fresh.gateway_settings.peers == in_use.gateway_settings.peers)) {
-    log_line("other peers' settings need a restart: kept as they were");
+    log_line("[peers] changed in the settings: ignored until a restart");
   }
   if (fresh.max_descriptors != in_use.max_descriptors || fresh.memory_limit_mb != in_use.memory_limit_mb ||
       fresh.listen != in_use.listen || fresh.admin != in_use.admin) {
-    log_line("the new configuration changes what needs a restart: kept as it was");
+    log_line("listen, admin or limits changed in the configuration: ignored until a restart");
   }
 }
 
@@ -220,14 +222,14 @@
   try {
     const auto snapshot = ops::decode_handover(state, {config.class_names, config.plan_names});
     policy_.import_handover(clock_.now(), snapshot);
-    // The predecessor's list may be newer than this process's.
+    // The predecessor's host list may be newer than this process's.
     const auto removals = host_registry_.remove(snapshot.departed_hosts);
     engine_.on_host_list(clock_.now(), HostListUpdate::kDelta, removals);
     log_line("taken over", std::to_string(snapshot.customers.size()) + " customers, " +
                                std::to_string(snapshot.hosts.size()) + " hosts");
   } catch (const ops::HandoverError& error) {
     policy_.assume_unknown_predecessor(clock_.now());
-    log_line("taken over without state", error.what());
+    log_line("taken over without the predecessor's state", error.what());
   }
 }
 
@@ -236,14 +238,14 @@
   if (!with_state) policy_.assume_unknown_predecessor(clock_.now());
 }
 
-// Each of two processes may use half of the gateway's limits.
+// While two processes run, each may use half of the gateway's limits.
 void Gateway::on_second_process(bool is_running) {
   shares_limits_ = is_running;
   apply_limits();
 }
 
-// Connections end after their next reply, so that no request crosses a close on the network; idle ones are
-// closed by their usual timeout.
+// Connections close after their next reply, so that a request and the close can't cross on the network; idle
+// ones are closed by their usual timeout.
 void Gateway::hand_over() {
   handed_over_ = true;
   const Config& config = config_.get();
@@ -254,7 +256,7 @@
   clients_.release_listener();
   clients_.set_draining(true);
   if (processor_) processor_->listener().drain();
-  log_line("handed over");
+  log_line("handed over to the successor process");
 }
 
 // ---- operators ----
@@ -284,11 +286,11 @@
 }
 
 // Clients learn of the drain by their next PING and may still connect until then. Idle connections are closed
-// after the grace period: earlier, requests on their way would cross the close.
+// only after the grace period, as a request already on its way would cross an earlier close.
 void Gateway::set_draining(bool on) {
   if (on == draining_) return;
   draining_ = on;
-  log_line(on ? "draining, as asked" : "taking clients again, as asked");
+  log_line(on ? "drain started by an operator" : "drain ended by an operator: clients are accepted again");
   command_handler_.set_draining(on);
   clients_.set_draining(on);
   drain_timer_.cancel();
--- a/src/net/gateway_settings.cpp
+++ b/src/net/gateway_settings.cpp
@@ -14,11 +14,11 @@
 
 namespace {
 
-// A member is unreachable only after several pings, and forgotten only after it has failed.
+// A member becomes unreachable only after several pings, and is forgotten only after it has failed.
 constexpr double kMinPingsBeforeUnreachable = 4;
 constexpr double kMinRetentionPerUnreachableTimeout = 2;
 
-// Conditions between several keys of [peers].
+// Conditions that involve several keys of [peers].
 void check_peers(const SettingsLocation& location, const PeerSettings& peers) {
   const auto fail = [&](const char* key, const std::string& problem) {
     throw GatewaySettingsError(location, std::string("peers.") + key, "[peers]: " + problem);
@@ -28,7 +28,7 @@
   const auto& membership = peers.membership;
   if (advertised.address().is_unspecified() || advertised.port() == 0) {
     fail("advertise",
-         "'advertise' must say at which address and port others reach this gateway, as 'listen' does not");
+         "'advertise' must be the address and port at which others reach this gateway, unless 'listen' is");
   }
   if (membership.suspicion_quorum > membership.observers_per_member) {
     fail("quorum", "'quorum' must be at most 'watchers'");
@@ -67,7 +67,7 @@
                                                          const std::string& expected) {
   const bool is_top_level = key.find('.') == std::string::npos;
   const std::string shown_key = is_top_level ? "'" + key + "'" : key;
-  const ErrorDetails details{location.to_text(), shown_key + " has another value", expected};
+  const ErrorDetails details{location.to_text(), shown_key + " has an invalid value", expected};
   const std::string text = details.location + ": " + shown_key + " must be " + expected;
   return {location, std::move(key), details, text};
 }
--- a/src/net/limits_table.cpp
+++ b/src/net/limits_table.cpp
@@ -1,4 +1,4 @@
-// [limits] of the gateway's own settings.
+// The table [limits] of the gateway's own settings.
 #include <cstddef>
 #include <utility>
 
@@ -20,7 +20,7 @@
 ValueParser delay_interval(limits::LimitsFile& limits) {
   return [&limits](const toml::node& node) -> Rejection {
     constexpr const char* kExpected =
-        "two numbers of milliseconds: the shortest and the longest way to a host";
+        "two numbers of milliseconds: the shortest and the longest network delay to a host";
     if (!node.is_array() || node.as_array()->size() != 2) return kExpected;
     const auto& bounds = *node.as_array();
     if (!bounds[0].is_number() || !bounds[1].is_number()) return kExpected;
@@ -30,7 +30,7 @@
   };
 }
 
-// [limits.class.NAME], one for each class that has limits of its own.
+// The tables [limits.class.NAME], one for each class that has limits of its own.
 ValueParser class_tables(const std::string& file, std::vector<limits::LimitEntry>& entries) {
   return [file, &entries](const toml::node& node) -> Rejection {
     constexpr const char* kExpected = "at most 1024 tables: [limits.class.NAME]";
--- a/src/net/processor_table.cpp
+++ b/src/net/processor_table.cpp
@@ -1,4 +1,4 @@
-// [extproc] of the gateway's own settings: the external processor.
+// The table [extproc] of the gateway's own settings: the external processor.
 #include <cstddef>
 #include <optional>
 #include <string_view>
@@ -30,18 +30,18 @@
 constexpr double kMaxUnits = 1e9;
 constexpr Ms kMaxTimeoutMs = 3.6e6;
 
-ValueParser repeats(extproc::ProxyRetries& target) {
+ValueParser proxy_retries(extproc::ProxyRetries& target) {
   return [&target](const toml::node& node) -> Rejection {
     constexpr std::pair<std::string_view, extproc::ProxyRetries> kWords[] = {
         {"never", extproc::ProxyRetries::kNever}, {"marked", extproc::ProxyRetries::kMarked}};
     const auto value = node.value<std::string>().value_or("");
-    for (const auto& [word, repeats] : kWords) {
+    for (const auto& [word, retries] : kWords) {
       if (word != value) continue;
-      target = repeats;
+      target = retries;
       return {};
     }
-    return "\"never\" (the proxy calls once for a request) or \"marked\" (it calls for each try, with an "
-           "attempt count)";
+    return "\"never\" (the proxy makes one call per request) or \"marked\" (it makes one call per attempt, "
+           "with an attempt count)";
   };
 }
 
@@ -84,7 +84,7 @@
 
 bool is_path_pattern(std::string_view value) {
   if (value.empty() || value.front() != '/' || value.size() > kMaxPathBytes) return false;
-  const auto prefix = value.substr(0, value.size() - 1);  // a * may be the last character only
+  const auto prefix = value.substr(0, value.size() - 1);  // only the last character may be *
   return prefix.find('*') == std::string_view::npos && value.find('?') == std::string_view::npos;
 }
 
@@ -92,14 +92,14 @@
   return [&target](const toml::node& node) -> Rejection {
     const auto value = node.value<std::string>();
     if (!value || !is_path_pattern(*value)) {
-      return "a path that begins with / and has no query; a * may stand at its end";
+      return "a path that begins with / and has no query; only its last character may be *";
     }
     target = *value;
     return {};
   };
 }
 
-// The limits of a rule become an entry of their own, which names the rule's class and route.
+// Adds the attempt limits of a rule as an entry of their own, which names the rule's class and route.
 void add_limits(const SettingsLocation& location, const extproc::RouteRule& rule, std::size_t rule_index,
                 limits::LimitEntry limit, std::vector<limits::LimitEntry>& entries) {
   if (!limit.has_limits()) return;
@@ -160,18 +160,18 @@
       {"id_header", header_name(mapping.id_header)},
       {"attempt_header", header_name(mapping.attempt_header)},
       {"deadline_headers",
-       list<std::string>(mapping.deadline_headers, header_name, "a list of headers' names in lower case")},
+       list<std::string>(mapping.deadline_headers, header_name, "a list of lower-case header names")},
       {"default_class", text(mapping.default_class)},
       {"default_plan", text(mapping.default_plan)},
       {"default_customer", text(mapping.default_customer)},
       {"default_units", number(mapping.default_units, kMinUnits, kMaxUnits, "a number above 0")},
-      {"default_gateways", number(mapping.default_gateway_count, 0, 1e6, "a number from 0 (all) upward")}};
+      {"default_gateways", number(mapping.default_gateway_count, 0, 1e6, "a number of at least 0 (0: all)")}};
 }
 
 ValueParser metric_names(std::vector<std::string>& target) {
   return list<std::string>(
       target, [](std::string& name) { return text(name, 1); },
-      "a list of figures' names, such as [\"named_metrics.queue\", \"cpu_utilization\"]");
+      "a list of metric names, such as [\"named_metrics.queue\", \"cpu_utilization\"]");
 }
 
 // [extproc.load]
@@ -196,18 +196,18 @@
 Table grpc_table(GrpcLimits& grpc) {
   auto& calls = grpc.calls;
   auto& http2 = calls.http2;
-  return {
-      {"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
-      {"streams", number(http2.max_concurrent_streams, 1, 100'000, "a whole number from 1 to 100000")},
-      {"header_bytes", bytes(http2.max_header_bytes)},
-      {"message_bytes", bytes(calls.max_message_bytes)},
-      {"unread_bytes", bytes(calls.max_incomplete_bytes)},
-      {"unsent_bytes", bytes(http2.max_unsent_bytes)},
-      {"cheap_frames", number(http2.cheap_frames_per_second, 1, 1e6, "a number a second from 1 to 1000000")},
-      {"cheap_frames_at_once", number(http2.cheap_frame_burst, 10, 1e6, "a number from 10 to 1000000")},
-      {"first_message_ms", timeout(calls.first_message_timeout_ms)},
-      {"silent_ms", timeout(grpc.silence_timeout_ms)},
-      {"answer_ms", timeout(grpc.response_timeout_ms)}};
+  return {{"connections", number(grpc.max_connections, 1, 10'000, "a whole number from 1 to 10000")},
+          {"streams", number(http2.max_concurrent_streams, 1, 100'000, "a whole number from 1 to 100000")},
+          {"header_bytes", bytes(http2.max_header_bytes)},
+          {"message_bytes", bytes(calls.max_message_bytes)},
+          {"unread_bytes", bytes(calls.max_incomplete_bytes)},
+          {"unsent_bytes", bytes(http2.max_unsent_bytes)},
+          {"cheap_frames",
+           number(http2.cheap_frames_per_second, 1, 1e6, "a number per second from 1 to 1000000")},
+          {"cheap_frames_at_once", number(http2.cheap_frame_burst, 10, 1e6, "a number from 10 to 1000000")},
+          {"first_message_ms", timeout(calls.first_message_timeout_ms)},
+          {"silent_ms", timeout(grpc.silence_timeout_ms)},
+          {"answer_ms", timeout(grpc.response_timeout_ms)}};
 }
 
 }  // namespace
@@ -218,7 +218,7 @@
   Table table{
       {"listen", endpoint(settings.processor_address)},
       {"destination", destination(processor.destination)},
-      {"repeats", repeats(processor.proxy_retries)},
+      {"repeats", proxy_retries(processor.proxy_retries)},
       {"repeat_wait_ms",
        number(processor.retry_wait_ms, 1, 60'000, "a number of milliseconds from 1 to 60000")},
       {"remembered", number(processor.max_remembered_decisions, 0, 1e6, "a whole number from 0 to 1000000")},
--- a/src/net/shutdown_sequence.cpp
+++ b/src/net/shutdown_sequence.cpp
@@ -12,7 +12,7 @@
 
 namespace {
 
-// After a handover: idle connections have been closed by then, so one that is still quiet holds half a
+// After a hand-over. Idle connections have timed out by then, so one that is still idle holds an incomplete
 // command.
 constexpr auto kHandedOverGracePeriod = std::chrono::milliseconds(2600);
 constexpr Ms kLastReplyTime = 150;  // for clients to read their last replies
@@ -35,7 +35,7 @@
   timer_.async_wait([this, handed_over](error_code cancelled) {
     if (cancelled) return;
     close_clients(handed_over);
-    await_settled();
+    await_completion();
   });
 }
 
@@ -48,18 +48,19 @@
   if (processor_) processor_->listener().drain();
 }
 
-void ShutdownSequence::await_settled() {
+void ShutdownSequence::await_completion() {
   const Ms now = clock_.now();
   const Ms deadline = *engine_.shutdown_deadline();
   if (engine_.unanswered_count() > 0 && now >= deadline) engine_.fail_all(now);
   const std::size_t proxies = processor_ ? processor_->listener().connection_count() : 0;
   if (clients_.connection_count() + proxies == 0 || now >= deadline + kLastReplyTime) {
-    if (processor_) log_line("external processor", extproc::to_text(processor_->processor().metrics()));
+    if (processor_)
+      log_line("external processor totals", extproc::to_text(processor_->processor().metrics()));
     return on_finished_();
   }
   timer_.expires_after(kPollInterval);
   timer_.async_wait([this](error_code cancelled) {
-    if (!cancelled) await_settled();
+    if (!cancelled) await_completion();
   });
 }
 
--- a/src/net/successor_listener.cpp
+++ b/src/net/successor_listener.cpp
@@ -1,4 +1,4 @@
-// The first process's side of a handover.
+// The predecessor's side of a hand-over.
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -30,7 +30,7 @@
 
 void SuccessorListener::listen() {
   try {
-    // An earlier process has exited or handed over: its file is only a name.
+    // An earlier process has exited or handed over, so its socket file is stale.
     ::unlink(path_.c_str());
     acceptor_.open();
     acceptor_.bind(stream_protocol::endpoint(path_));
@@ -39,7 +39,8 @@
     acceptor_.listen(kBacklog);
     accept();
   } catch (const boost::system::system_error& error) {
-    log_line("no upgrade beside this process", path_ + ": " + error.code().message());
+    log_line("can't listen for a successor process, no hand-over is possible",
+             path_ + ": " + error.code().message());
   }
 }
 
@@ -47,7 +48,7 @@
   acceptor_.async_accept([this](error_code error, Stream peer) {
     if (error == asio::error::operation_aborted) return;
     if (error) return accept_later();
-    greet(std::move(peer));
+    accept_successor(std::move(peer));
     accept();
   });
 }
@@ -59,12 +60,12 @@
   });
 }
 
-// One at a time: a third process is not greeted, and finds the address in use.
-void SuccessorListener::greet(Stream peer) {
+// Only one successor at a time: a third process gets no descriptor and finds the address in use.
+void SuccessorListener::accept_successor(Stream peer) {
   if (successor_ || handed_over_ || !is_same_user(peer.native_handle())) return;
   if (!send_descriptor(peer.native_handle(), callbacks_.listening_socket())) return;
   successor_ = std::make_unique<Stream>(std::move(peer));
-  log_line("a second process is there to take over");
+  log_line("a successor process has connected and waits for the hand-over");
   callbacks_.on_successor_started();
   await_exit();
 }
@@ -74,7 +75,7 @@
     if (error == asio::error::operation_aborted || handed_over_) return;
     if (!error) return await_exit();
     successor_.reset();
-    log_line("the second process has ended before it took over");
+    log_line("the successor process exited before the hand-over: this process keeps serving");
     callbacks_.on_successor_exited();
   });
 }
@@ -93,7 +94,7 @@
   acceptor_.close(ignored);
   state_ = std::move(state) + "\n";
   asio::async_write(*successor_, asio::buffer(state_), [](error_code error, std::size_t) {
-    if (error) log_line("the second process did not take the state", error.message());
+    if (error) log_line("sending the hand-over state to the successor process failed", error.message());
   });
 }
 
--- a/src/net/upgrade_coordinator.cpp
+++ b/src/net/upgrade_coordinator.cpp
@@ -48,11 +48,11 @@
                        .on_state = [this](const std::string& state) { on_state(state); },
                        .on_exit = [this] { on_predecessor_exited(); }});
   log_line(is_unresponsive
-               ? "another process holds this address and does not answer: this one waits for its end"
-               : "another process serves here: this one takes over when that ends");
+               ? "the predecessor process does not answer: waiting for its listening socket or its exit"
+               : "the predecessor process is serving: waiting for its hand-over or its exit");
 }
 
-// From here on this process is the one that a later one finds.
+// From now on a later process finds this one as its predecessor.
 void UpgradeCoordinator::serve() {
   is_serving_ = true;
   if (successor_listener_) successor_listener_->listen();
@@ -69,10 +69,11 @@
 }
 
 void UpgradeCoordinator::on_predecessor_exited() {
-  // This is a call of the predecessor's own, so it is destroyed later.
+  // Called by the predecessor object itself, so it is destroyed later.
   asio::post(io_, [predecessor = std::move(predecessor_)] {});
   if (is_stopping_ && !is_serving_) return callbacks_.on_stopped_before_serving();
-  if (!is_serving_) log_line("the process before has ended without a word");
+  if (!is_serving_)
+    log_line("the predecessor process exited without a hand-over: starting without its state");
   callbacks_.on_predecessor_exited(is_serving_);
   if (!is_serving_) {
     if (clients_.has_listener()) {
@@ -85,11 +86,11 @@
   callbacks_.on_second_process(false);
 }
 
-// The kernel may close an ended process's listening socket later than its connection to this one.
+// The kernel may close the listening socket of an exited process later than its connection to this process.
 void UpgradeCoordinator::listen_after_exit() {
   try {
     clients_.listen(address_);
-    log_line("this process listens now", to_text(clients_.address()));
+    log_line("listening after the predecessor's exit", to_text(clients_.address()));
     serve();
   } catch (const boost::system::system_error& error) {
     if (error.code() != asio::error::address_in_use) throw;
@@ -100,8 +101,8 @@
   }
 }
 
-// The predecessor may have handed over just now. If this process ended without asking, connections that wait
-// in the listening socket's queue would be lost with it.
+// The predecessor may have just handed over. If this process exited without asking, connections that wait in
+// the accept queue would be lost with it.
 void UpgradeCoordinator::stop_before_serving() {
   if (!predecessor_ || !clients_.has_listener()) return callbacks_.on_stopped_before_serving();
   if (std::exchange(is_stopping_, true)) return;
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -1,4 +1,5 @@
-// The gateway's own settings and its command line: valid files are accepted, errors name their place.
+// The gateway's own settings and its command line: valid files are accepted, errors name the file, line and
+// key.
 #include "net/gateway_settings.h"
 
 #include <fstream>
@@ -70,7 +71,7 @@
   const File file("[hosts]\nper_host = 0\n");
   try {
     load_gateway_settings(file.path);
-    FAIL() << "a value out of range";
+    FAIL() << "a value out of range was accepted";
   } catch (const GatewaySettingsError& error) {
     EXPECT_EQ(error.source().file, file.path.string());
     EXPECT_EQ(error.source().line, 2);
@@ -127,28 +128,26 @@
     EXPECT_TRUE(extproc_error(std::string("listen = ") + bad).starts_with(":2: extproc.listen must be"))
         << bad;
   }
-  EXPECT_EQ(
-      extproc_error("repeats = \"always\""),
-      ":2: extproc.repeats must be \"never\" (the proxy calls once for a request) or \"marked\" (it calls "
-      "for each try, with an attempt count)");
+  EXPECT_EQ(extproc_error("repeats = \"always\""),
+            ":2: extproc.repeats must be \"never\" (the proxy makes one call per request) or \"marked\" (it "
+            "makes one call per attempt, with an attempt count)");
   EXPECT_EQ(extproc_error("destination = []"),
             ":2: extproc.destination must be a list of at least one of \"header\", \"metadata\" and "
             "\"original-dst\"");
   EXPECT_EQ(extproc_error("not_run = [200]"),
             ":2: extproc.not_run must be a list of statuses from 400 to 599");
   EXPECT_EQ(extproc_error("mode_override = 1"), ":2: extproc.mode_override must be true or false");
-  EXPECT_EQ(
-      extproc_error("[extproc.request]\nclass_header = \"X-Class\""),
-      ":3: extproc.request.class_header must be a header's name in lower case of at most 63 letters, digits "
-      "and hyphens, or empty for none");
-  EXPECT_EQ(
-      extproc_error("[[extproc.rule]]\npath = \"shop\""),
-      ":3: [extproc.rule].path must be a path that begins with / and has no query; a * may stand at its end");
+  EXPECT_EQ(extproc_error("[extproc.request]\nclass_header = \"X-Class\""),
+            ":3: extproc.request.class_header must be a lower-case header name of at most 63 letters, digits "
+            "and hyphens, or empty for none");
+  EXPECT_EQ(extproc_error("[[extproc.rule]]\npath = \"shop\""),
+            ":3: [extproc.rule].path must be a path that begins with / and has no query; only its last "
+            "character may be *");
   EXPECT_TRUE(extproc_error("[[extproc.rule]]\npaht = \"/shop\"")
                   .starts_with(":3: [[extproc.rule]] has no 'paht'; it has "));
   EXPECT_EQ(extproc_error("rule = 3"), ":2: extproc.rule must be at most 1000 tables: [[extproc.rule]]");
   EXPECT_EQ(extproc_error("[extproc.load]\nbusy = \"cpu\""),
-            ":3: extproc.load.busy must be a list of figures' names, such as [\"named_metrics.queue\", "
+            ":3: extproc.load.busy must be a list of metric names, such as [\"named_metrics.queue\", "
             "\"cpu_utilization\"]");
 }
 
@@ -175,10 +174,10 @@
   Child unknown({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", classes.path}, {});
   EXPECT_NE(unknown.log_until("nope").find(":3: no class 'nope'; there are lookup, hold, pay"),
             std::string::npos);
-  const File lawful("[limits.class.lookup]\nattempts = 1\n", "lawful.toml");
-  EXPECT_EQ(run({"--check-config", good.path, "--settings", lawful.path}), 0);
-  const File copies("[limits.class.pay]\nsecond_copies = true\n", "copies.toml");
-  Child limited({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", copies.path}, {});
+  const File valid_limits("[limits.class.lookup]\nattempts = 1\n", "lawful.toml");
+  EXPECT_EQ(run({"--check-config", good.path, "--settings", valid_limits.path}), 0);
+  const File invalid_limits("[limits.class.pay]\nsecond_copies = true\n", "copies.toml");
+  Child limited({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", invalid_limits.path}, {});
   EXPECT_NE(
       limited.log_until("second_copies").find(":2: limits.class.pay.second_copies: is true where the site"),
       std::string::npos);
--- a/tests/host_list_test.cpp
+++ b/tests/host_list_test.cpp
@@ -1,4 +1,4 @@
-// The parts of discovery that do no I/O: the parser, the stream of lists, and departures between two
+// The parts of the discovery client without I/O: the parser, the stream of lists, and departures between two
 // addresses.
 #include "net/host_list.h"
 
@@ -67,10 +67,10 @@
 TEST(HostListParser, ErrorsNameTheKey) {
   try {
     parse(R"({"all":true,"targets":[]})");
-    FAIL() << "a list without a version";
+    FAIL() << "a list without a version was accepted";
   } catch (const HostListError& error) {
     EXPECT_EQ(error.location(), "rev");
-    EXPECT_STREQ(error.what(), "no 'rev'");
+    EXPECT_STREQ(error.what(), "'rev' is missing");
   }
 }
 
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -193,7 +193,7 @@
   lanes.erase(lanes.begin());  // the positions of all other classes change
   lanes.push_back(added);
   gateway.program.reload(boost::json::serialize(conf));
-  gateway.program.log_until("configuration read again");
+  gateway.program.log_until("configuration reloaded");
   other.send(query(2));
   EXPECT_EQ(other.reply(), "-ERR unknown class");
   other.send(submit("audit", 3));
@@ -216,7 +216,7 @@
   auto conf = gateway.conf;
   settings_of(conf)["ceilings"].as_object()["max_attempts"] = 1;
   gateway.program.reload(boost::json::serialize(conf));
-  gateway.program.log_until("configuration read again");
+  gateway.program.log_until("configuration reloaded");
   auto client = gateway.program.client();
   client.send(query(1));
   auto attempt = gateway.host.accept();
@@ -242,7 +242,7 @@
   add_broken([](auto& o) { o.erase("packages"); });
   for (const auto& text : broken) {
     gateway.program.reload(text);
-    gateway.program.log_until("the old one is kept");
+    gateway.program.log_until("the previous configuration is kept");
   }
   EXPECT_EQ(metric_value(gateway.program, "load_errors"), static_cast<long>(broken.size()));
   EXPECT_EQ(metric_value(gateway.program, "loads"), 0);
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -1,4 +1,4 @@
-// A second process of the same gateway beside the first: which one serves, and what is handed over.
+// Upgrades with two processes of the same gateway: which one serves, and what is handed over.
 #include <chrono>
 #include <csignal>
 #include <cstdlib>
@@ -18,7 +18,7 @@
   std::filesystem::path path;
   TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "cometfold-XXXXXX").string();
-    if (!::mkdtemp(name.data())) throw Hung("no directory");
+    if (!::mkdtemp(name.data())) throw Hung("can't create a temporary directory");
     path = name;
   }
   ~TemporaryDirectory() { std::filesystem::remove_all(path); }
@@ -30,7 +30,7 @@
   boost::json::object conf;
   UpgradeSetup() : conf(config(list(7, true, {target("s-1", host.port())}), discovery.port())) {
     auto& plan = conf["settings"].as_object()["packages"].as_array()[0].as_object();
-    plan["quota_rate"] = 0.5;  // so that a customer's use is not refilled before the handover
+    plan["quota_rate"] = 0.5;  // so that a customer's used quota is not refilled before the hand-over
     plan["burst"] = 100.0;
   }
   std::unique_ptr<Program> start() const {
@@ -38,11 +38,11 @@
   }
   void serve(Peer& client, unsigned n) {
     client.send(query(n));
-    auto at = host.accept();
-    at.command();
-    at.send(served("v"));
+    auto upstream = host.accept();
+    upstream.command();
+    upstream.send(served("v"));
     EXPECT_EQ(client.reply(), "v");
-    at.close();
+    upstream.close();
   }
 };
 
@@ -52,7 +52,7 @@
   return client.reply();
 }
 
-// Between processes that number classes differently, and from an older one that hands over customers only.
+// The processes number their classes differently. An older process hands over customers only.
 TEST(HandoverCodec, TransfersHostsAndClassesAndToleratesMissingParts) {
   const std::vector<std::string> sender_classes{"look", "hold"}, receiver_classes{"hold", "audit", "look"},
       plans{"team"};
@@ -98,25 +98,25 @@
   auto connected = first->client();
   setup.serve(connected, 1);
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   EXPECT_EQ(second->port(), first->port());
-  setup.serve(connected, 2);  // still the first
+  setup.serve(connected, 2);  // still by the first process
   std::vector<Peer> queued;
   for (int i = 0; i < 20; ++i) queued.push_back(first->client());
   first->terminate();
   for (int i = 0; i < 20; ++i) queued.push_back(first->client());
-  for (auto& client : queued) {  // none is rejected, whichever process accepts it
+  for (auto& client : queued) {  // none is dropped, whichever process accepts it
     client.send(command({"PING"}));
     EXPECT_EQ(client.reply(), "+PONG");
   }
   second->log_until("taken over: 2 customers");
-  setup.serve(connected, 3);  // one more reply on an open connection, then its end
+  setup.serve(connected, 3);  // an open connection gets one more reply and is closed then
   EXPECT_TRUE(connected.ends());
   queued.clear();
   EXPECT_EQ(first->exit_code(), 0);
   EXPECT_EQ(ping(*second), "+PONG");
-  auto third = setup.start();  // finds the second
-  second->log_until("a second process is there");
+  auto third = setup.start();  // has the second as its predecessor
+  second->log_until("a successor process has connected");
   second->terminate();
   third->log_until("taken over");
   auto client = third->client();
@@ -128,13 +128,13 @@
   auto first = setup.start();
   auto second = setup.start();
   first.reset();  // SIGKILL
-  second->log_until("ended without a word");
+  second->log_until("exited without a hand-over");
   auto client = second->client();
   setup.serve(client, 1);
 }
 
-// How much of a ceiling the first had used when it was killed is not known, so the second starts with none of
-// it, however long it has waited.
+// It is not known how much of a ceiling the first process had used when it was killed, so the second must
+// start with an empty one, however long it has waited.
 TEST(Upgrade, TheSuccessorOfAKilledProcessStartsWithAnEmptyCeiling) {
   boost::asio::io_context io;
   HostEmulator host(io, Behaviour{.mean_ms = 1}, 1);
@@ -142,13 +142,13 @@
   UpgradeSetup setup;
   setup.conf = config(list(7, true, {target("s-1", host.port())}), setup.discovery.port());
   auto& plan = setup.conf["settings"].as_object()["packages"].as_array()[0].as_object();
-  plan["hard_rate"] = 20.0;  // a slice of 10 a second that holds 10
+  plan["hard_rate"] = 20.0;  // the slice of this gateway is 10 a second, with a burst of 10
   plan["hard_burst"] = 20.0;
   auto first = setup.start();
   auto second = setup.start();
   std::this_thread::sleep_for(std::chrono::milliseconds(1500));
   first.reset();  // SIGKILL
-  second->log_until("ended without a word");
+  second->log_until("exited without a hand-over");
   auto client = second->client();
   std::string burst;
   for (unsigned n = 1; n <= 10; ++n) {
@@ -162,7 +162,7 @@
   hosts.join();
 }
 
-// The first process is stopped, and then killed or continued.
+// The first process is suspended (SIGSTOP), and then killed or resumed.
 TEST(Upgrade, AnUnresponsivePredecessorIsWaitedFor) {
   for (const bool killed : {true, false}) {
     UpgradeSetup setup;
@@ -170,23 +170,24 @@
     const int port = first->port();
     ASSERT_EQ(::kill(first->pid(), SIGSTOP), 0);
     const auto second = setup.start();
-    int at = port;
+    int serving_port = port;
     if (killed) {
-      first.reset();                                       // SIGKILL
-      const auto line = second->log_until("listens now");  // any port will do here
-      at = std::stoi(line.substr(line.rfind(':') + 1));
+      first.reset();  // SIGKILL
+      // The configured port is 0, so this may be another port.
+      const auto line = second->log_until("listening after the predecessor's exit");
+      serving_port = std::stoi(line.substr(line.rfind(':') + 1));
     } else {
       ASSERT_EQ(::kill(first->pid(), SIGCONT), 0);
-      first->log_until("a second process is there");
+      first->log_until("a successor process has connected");
       first->terminate();
       second->log_until("taken over");
     }
-    auto client = Peer::connect(at);
+    auto client = Peer::connect(serving_port);
     setup.serve(client, 1);
   }
 }
 
-// The first is terminated when the second has only just started, and the second is upgraded at once in turn.
+// The first process is terminated right after the second has started, and the second is upgraded at once too.
 TEST(Upgrade, TwoUpgradesWithinASecond) {
   UpgradeSetup setup;
   auto first = setup.start();
@@ -204,26 +205,27 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   second.reset();  // SIGKILL
-  first->log_until("ended before it took over");
+  first->log_until("exited before the hand-over");
   auto client = first->client();
   setup.serve(client, 1);
   auto third = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   first->terminate();
   third->log_until("taken over");
   auto late = third->client();
   setup.serve(late, 2);
 }
 
-// Clients that connect meanwhile find one of the two, or none: accepted connections are not dropped.
+// Clients that connect meanwhile must be served by one of the two processes: no accepted connection is
+// dropped.
 TEST(Upgrade, BothAreTerminatedAtOnce) {
   for (int round = 0; round < 5; ++round) {
     UpgradeSetup setup;
     auto first = setup.start();
     auto second = setup.start();
-    first->log_until("a second process is there");
+    first->log_until("a successor process has connected");
     second->terminate();
     first->terminate();
     std::vector<Peer> clients;
@@ -245,7 +247,7 @@
   }
 }
 
-// The second has an older list in its configuration, and discovery is silent.
+// The second process has an older host list in its configuration, and discovery sends it nothing.
 TEST(Upgrade, TheSecondKeepsDrainsReportedToTheFirst) {
   for (const std::string state : {"leaving", "left"}) {
     boost::asio::io_context io;
@@ -260,7 +262,7 @@
     chunk(watch, list(8, false, {target("s-1", one.port(), state)}) + "\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     auto second = setup.start();
-    first->log_until("a second process is there");
+    first->log_until("a successor process has connected");
     first->terminate();
     second->log_until("taken over");
     const auto before = one.received();
@@ -279,10 +281,10 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
+  first->log_until("a successor process has connected");
   second->terminate();
   EXPECT_EQ(second->exit_code(), 0);
-  first->log_until("ended before it took over");
+  first->log_until("exited before the hand-over");
   EXPECT_EQ(ping(*first), "+PONG");
 }
 
@@ -290,8 +292,8 @@
   UpgradeSetup setup;
   auto first = setup.start();
   auto second = setup.start();
-  first->log_until("a second process is there");
-  auto conf = setup.conf;  // its own address is in use, and no process passes the socket on
+  first->log_until("a successor process has connected");
+  auto conf = setup.conf;  // the address is in use, and no process passes its listening socket on
   EXPECT_EQ(ping(*first), "+PONG");
   const int port = first->port();
   conf["listen"] = "127.0.0.1:" + std::to_string(port);
@@ -310,7 +312,7 @@
   EXPECT_EQ(text.find('\n'), std::string::npos);
   const auto decoded = ops::decode_handover(text, {receiver_classes, receiver_plans});
   EXPECT_EQ(decoded.age_ms, 1500);
-  ASSERT_EQ(decoded.customers.size(), 1u);  // the other's plan is unknown here
+  ASSERT_EQ(decoded.customers.size(), 1u);  // the plan of the other customer is unknown to the receiver
   EXPECT_EQ(decoded.customers[0].id, (1ULL << 33) - 1);
   EXPECT_EQ(decoded.customers[0].plan_index, 0u);
   EXPECT_EQ(decoded.customers[0].undivided_quota_level, -4);
@@ -343,7 +345,7 @@
       ops::decode_handover(ops::encode_handover(state, {classes, names}, plans), {classes, names});
   EXPECT_EQ(decoded.customers.size(), ops::kMaxHandoverCustomers);
   EXPECT_EQ(decoded.customers.front().plan_index, 1u);
-  EXPECT_EQ(decoded.age_ms, 0);  // so that those left out do not get a full ceiling
+  EXPECT_EQ(decoded.age_ms, 0);  // so that omitted customers do not get a full ceiling
 }
 
 }  // namespace
