--- a/src/rules/ceiling_monitor.cpp
+++ b/src/rules/ceiling_monitor.cpp
@@ -44,7 +44,7 @@
   const double max_in_flight = std::ceil(plan.max_concurrent_attempts + plan.ceiling_slack);
   if (plan.max_concurrent_attempts > 0 && customer.in_flight > max_in_flight + kRoundingTolerance) {
     return exceeded(request.customer, " has " + format_number(customer.in_flight) +
-                                          " attempts out at once, of " +
+                                          " attempts in flight; its plan allows " +
                                           format_number(plan.max_concurrent_attempts));
   }
   if (plan.ceiling_rate <= 0 || std::exchange(request.drew_tokens, true)) return {};
@@ -62,8 +62,8 @@
   customer.refilled_at = now;
   const double slack = plan.ceiling_slack + plan.ceiling_rate * extra_slack_ / 1000;
   if (customer.tokens >= -slack - kRoundingTolerance) return {};
-  return exceeded(request.customer, " was sent on " + format_number(-customer.tokens) +
-                                        " units beyond its ceiling; the slack is " + format_number(slack));
+  return exceeded(request.customer, " exceeds its ceiling by " + format_number(-customer.tokens) +
+                                        " units; the slack is " + format_number(slack));
 }
 
 void CeilingMonitor::digest(engine::Digest& into) const {
--- a/src/rules/drain_monitor.cpp
+++ b/src/rules/drain_monitor.cpp
@@ -27,7 +27,7 @@
   return Violation{"drains kept", format_request(event.request) + " was sent to host " +
                                       std::to_string(event.host) + " " +
                                       format_number(event.at - found->second) +
-                                      " ms after the gateway was told that it goes"};
+                                      " ms after the gateway was notified of its drain or removal"};
 }
 
 void DrainMonitor::digest(engine::Digest& into) const {
--- a/src/rules/single_reply_monitor.cpp
+++ b/src/rules/single_reply_monitor.cpp
@@ -24,7 +24,7 @@
   const auto found = requests_.find(event.request);
   if (found == requests_.end()) {
     if (!is_final_reply(event.kind)) return {};
-    return lost("an answer for " + format_request(event.request) + ", which nobody asked");
+    return lost("a reply to unknown " + format_request(event.request));
   }
   Request& request = found->second;
   if (event.kind == Event::kExecuted) request.produced_values.emplace_back(event.value);
@@ -37,23 +37,23 @@
 }
 
 std::optional<Violation> SingleReplyMonitor::check_write(const Event& event, const Request& request) const {
-  const std::string sent = "something was sent for " + format_request(event.request);
-  if (request.answered) return lost(sent + " after its answer");
-  if (request.client_disconnected) return lost(sent + " after its client went");
+  const std::string sent = "an attempt of " + format_request(event.request) + " was written";
+  if (request.answered) return lost(sent + " after its reply");
+  if (request.client_disconnected) return lost(sent + " after its client had disconnected");
   return {};
 }
 
 std::optional<Violation> SingleReplyMonitor::check_reply(const Event& event, Request& request) const {
-  if (request.answered) return lost("a second answer for " + format_request(event.request));
+  if (request.answered) return lost("a second reply to " + format_request(event.request));
   request.answered = true;
   const auto& produced = request.produced_values;
   if (event.kind == Event::kServed &&
       std::find(produced.begin(), produced.end(), event.value) == produced.end()) {
     return lost(format_request(event.request) + " was served with '" + std::string(event.value) +
-                "', which no host made for it");
+                "', which no host produced for it");
   }
   if (event.at > request.expires_at + slack_) {
-    return lost("the answer for " + format_request(event.request) + " came late");
+    return lost("the reply to " + format_request(event.request) + " came after its deadline");
   }
   return {};
 }
@@ -61,7 +61,7 @@
 std::optional<Violation> SingleReplyMonitor::check_deadlines(Ms now) {
   for (const auto& [id, request] : requests_) {
     if (!request.answered && !request.client_disconnected && now > request.expires_at + slack_) {
-      return lost(format_request(id) + " has no answer, and its time is up");
+      return lost(format_request(id) + " has no reply although its deadline has passed");
     }
   }
   return {};
--- a/src/rules/slow_start_monitor.cpp
+++ b/src/rules/slow_start_monitor.cpp
@@ -45,7 +45,7 @@
                    "host " + std::to_string(event.host) + ", started " +
                        format_number(event.at - host.started_at) + " ms ago, was sent " +
                        std::to_string(host.sent_at.size()) + " requests within " + format_number(window) +
-                       " ms and bears " + format_number(bound)};
+                       " ms; the limit is " + format_number(bound)};
 }
 
 void SlowStartMonitor::digest(engine::Digest& into) const {
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -130,7 +130,7 @@
 
   h = good_history();
   line_of(h, "served")->at("value") = "another";
-  EXPECT_NE(breaches(h).find("which no host made"), std::string::npos);
+  EXPECT_NE(breaches(h).find("which no host produced"), std::string::npos);
 
   h = good_history();
   h.insert(h.begin() + 4, Line{{"t", 5}, {"what", "told"}, {"host", "h0"}, {"state", "leaving"}});
@@ -156,10 +156,10 @@
   EXPECT_EQ(breaches(history()).find("rule broken"), std::string::npos) << breaches(history());
   auto twice = history();
   twice.insert(line_of(twice, "served"), *line_of(twice, "served"));
-  EXPECT_NE(breaches(twice).find("a second answer"), std::string::npos);
+  EXPECT_NE(breaches(twice).find("a second reply"), std::string::npos);
   auto wrong = history();
   line_of(wrong, "served")->at("value") = "w";
-  EXPECT_NE(breaches(wrong).find("which no host made for it"), std::string::npos);
+  EXPECT_NE(breaches(wrong).find("which no host produced for it"), std::string::npos);
 }
 
 TEST(ClusterCheck, ARunThatBrokeOffIsNoSuccess) {
--- a/tests/monitors_test.cpp
+++ b/tests/monitors_test.cpp
@@ -73,28 +73,28 @@
   EXPECT_HOLDS(settings, {request_received(0), event(Event::kClientDisconnected, 5)}, 2000);
   EXPECT_HOLDS(settings, {request_received(0), event(Event::kGatewayCrashed, 5)}, 2000);
   EXPECT_HOLDS(settings, {request_received(0), executed(1, "a"), executed(2, "b"), served(3, "a")});
-  EXPECT_VIOLATION("a second answer", settings,
+  EXPECT_VIOLATION("a second reply", settings,
                    {request_received(0), executed(5, "v"), served(9, "v"), event(Event::kFailed, 10)});
-  EXPECT_VIOLATION("a second answer", settings,
+  EXPECT_VIOLATION("a second reply", settings,
                    {request_received(0), event(Event::kRejected, 9), event(Event::kRejected, 10)});
-  EXPECT_VIOLATION("no host made", settings, {request_received(0), executed(5, "v"), served(9, "w")});
-  EXPECT_VIOLATION("no host made", settings, {request_received(0), served(9, "v")});
-  EXPECT_VIOLATION("came late", settings, {request_received(0), event(Event::kFailed, 1051)});
+  EXPECT_VIOLATION("no host produced", settings, {request_received(0), executed(5, "v"), served(9, "w")});
+  EXPECT_VIOLATION("no host produced", settings, {request_received(0), served(9, "v")});
+  EXPECT_VIOLATION("came after its deadline", settings, {request_received(0), event(Event::kFailed, 1051)});
   EXPECT_HOLDS(settings, {request_received(0), event(Event::kFailed, 1050)});
-  EXPECT_VIOLATION("its time is up", settings, {request_received(0)}, 1051);
+  EXPECT_VIOLATION("has no reply although its deadline has passed", settings, {request_received(0)}, 1051);
   EXPECT_HOLDS(settings, {request_received(0)}, 1050);
-  EXPECT_VIOLATION("nobody asked", settings, {event(Event::kFailed, 3)});
+  EXPECT_VIOLATION("a reply to unknown request", settings, {event(Event::kFailed, 3)});
 }
 
 TEST(SingleReplyMonitor, AllowsNoAttemptAfterTheReply) {
   const auto settings = settings_of_three_classes();
   EXPECT_VIOLATION(
-      "after its answer", settings,
+      "after its reply", settings,
       {request_received(0), event(Event::kFailed, 3), attempt_event(Event::kAttemptFirstByte, 4, 1)});
-  EXPECT_VIOLATION("after its answer", settings,
+  EXPECT_VIOLATION("after its reply", settings,
                    {request_received(0), attempt_event(Event::kAttemptFirstByte, 2, 1),
                     event(Event::kFailed, 3), attempt_event(Event::kAttemptWritten, 4, 1)});
-  EXPECT_VIOLATION("after its client went", settings,
+  EXPECT_VIOLATION("after its client had disconnected", settings,
                    {request_received(0), event(Event::kClientDisconnected, 3),
                     attempt_event(Event::kAttemptFirstByte, 4, 1)});
   EXPECT_HOLDS(settings, {request_received(0), attempt_event(Event::kAttemptFirstByte, 2, 1),
@@ -103,7 +103,7 @@
 
 TEST(AtMostOnceMonitor, AllowsANonIdempotentRetryOnlyIfNothingExecuted) {
   const auto settings = settings_of_three_classes();
-  EXPECT_VIOLATION("unsafe, was sent again", settings,
+  EXPECT_VIOLATION("not idempotent, was retried", settings,
                    {request_received(0, 2), attempt_event(Event::kAttemptWritten, 1, 1),
                     attempt_event(Event::kAttemptEnded, 2, 1), attempt_event(Event::kAttemptWritten, 3, 2)});
   EXPECT_HOLDS(settings,
@@ -112,7 +112,7 @@
   EXPECT_HOLDS(settings,
                {request_received(0, 0), attempt_event(Event::kAttemptWritten, 1, 1),
                 attempt_event(Event::kAttemptEnded, 2, 1), attempt_event(Event::kAttemptWritten, 3, 2)});
-  EXPECT_VIOLATION("was refused though", settings,
+  EXPECT_VIOLATION("was rejected although", settings,
                    {request_received(0, 2), attempt_event(Event::kAttemptWritten, 1, 1),
                     attempt_event(Event::kAttemptEnded, 2, 1), event(Event::kRejected, 3)});
   EXPECT_HOLDS(settings, {request_received(0, 2), attempt_event(Event::kAttemptWritten, 1, 1),
@@ -135,11 +135,14 @@
   };
   EXPECT_HOLDS(settings_of_three_classes(IdempotencyScope::kAll), again(3, 3));
   EXPECT_HOLDS(settings_of_three_classes(IdempotencyScope::kZone), again(3, 2));
-  EXPECT_VIOLATION("outside its group", settings_of_three_classes(IdempotencyScope::kZone), again(3, 3));
-  EXPECT_VIOLATION("outside its group", settings_of_three_classes(IdempotencyScope::kCell), again(3, 2));
+  EXPECT_VIOLATION("outside the scope of its idempotency key",
+                   settings_of_three_classes(IdempotencyScope::kZone), again(3, 3));
+  EXPECT_VIOLATION("outside the scope of its idempotency key",
+                   settings_of_three_classes(IdempotencyScope::kCell), again(3, 2));
   EXPECT_HOLDS(settings_of_three_classes(IdempotencyScope::kCell), again(3, 1));
   EXPECT_HOLDS(settings_of_three_classes(IdempotencyScope::kAll), again(501, 2));
-  EXPECT_VIOLATION("lifetime", settings_of_three_classes(IdempotencyScope::kAll), again(502, 2));
+  EXPECT_VIOLATION("after its idempotency key had expired", settings_of_three_classes(IdempotencyScope::kAll),
+                   again(502, 2));
 }
 
 TEST(AtMostOnceMonitor, BoundsAttemptsInAllAndInFlight) {
@@ -148,7 +151,7 @@
                                attempt_event(Event::kAttemptWritten, 2, 2)};
   EXPECT_HOLDS(settings, two);
   settings.hedging_allowed = false;
-  EXPECT_VIOLATION("more attempts out", settings, two);
+  EXPECT_VIOLATION("more attempts in flight", settings, two);
   settings.max_attempts = 1;
   EXPECT_VIOLATION("had more attempts", settings,
                    {request_received(0), attempt_event(Event::kAttemptWritten, 1, 1),
@@ -160,7 +163,7 @@
   for (const auto state : {HostState::kDraining, HostState::kRemoved}) {
     const auto leaving = host_update(100, {1, state, 0, 0, 0, 1, 1});
     EXPECT_HOLDS(settings, {request_received(0), leaving, attempt_event(Event::kAttemptFirstByte, 350, 1)});
-    EXPECT_VIOLATION("after the gateway was told", settings,
+    EXPECT_VIOLATION("after the gateway was notified", settings,
                      {request_received(0), leaving, attempt_event(Event::kAttemptFirstByte, 351, 1)});
     EXPECT_HOLDS(settings,
                  {request_received(0), leaving, attempt_event(Event::kAttemptFirstByte, 351, 1, 2)});
@@ -168,7 +171,7 @@
     EXPECT_HOLDS(settings, {request_received(0), leaving, ready_again,
                             attempt_event(Event::kAttemptFirstByte, 400, 1)});
     // The first notification counts, not a repeated one.
-    EXPECT_VIOLATION("after the gateway was told", settings,
+    EXPECT_VIOLATION("after the gateway was notified", settings,
                      {request_received(0), leaving, host_update(340, leaving.entry),
                       attempt_event(Event::kAttemptFirstByte, 351, 1)});
     // A notification binds only the gateway that got it.
@@ -191,7 +194,7 @@
   };
   // Warm it serves 100 a second; in its first second 100 x 0.24, times the factor of 2 is 48.
   EXPECT_HOLDS(settings, flood(1000, 1000, 48), 0, 100);
-  EXPECT_VIOLATION("bears", settings, flood(1000, 1000, 49), 0, 100);
+  EXPECT_VIOLATION("the limit is", settings, flood(1000, 1000, 49), 0, 100);
   EXPECT_HOLDS(settings, flood(1000, 11'500, 190), 0, 100);  // warm by then: not bound by this rule
   EXPECT_HOLDS(settings, flood(0, 1000, 300), 0, 100);       // its start is unknown
 }
@@ -214,9 +217,9 @@
     return history;
   };
   EXPECT_HOLDS(settings, sends(6, 0));
-  EXPECT_VIOLATION("beyond its ceiling", settings, sends(7, 0));
+  EXPECT_VIOLATION("exceeds its ceiling", settings, sends(7, 0));
   EXPECT_HOLDS(settings, sends(100, 100));  // at the ceiling's rate
-  EXPECT_VIOLATION("beyond its ceiling", settings, sends(100, 90));
+  EXPECT_VIOLATION("exceeds its ceiling", settings, sends(100, 90));
   // Retries draw no tokens.
   auto again = sends(6, 0);
   again.push_back(attempt_event(Event::kAttemptWritten, 1, 99, 2, 6));
@@ -231,7 +234,7 @@
   EXPECT_HOLDS(settings, open);
   auto three = open;
   three.push_back(attempt_event(Event::kAttemptWritten, 2, 3, 1, 3));
-  EXPECT_VIOLATION("out at once", settings, three);
+  EXPECT_VIOLATION("attempts in flight; its plan allows", settings, three);
   open.push_back(attempt_event(Event::kAttemptEnded, 2, 1, 1, 1));
   open.push_back(attempt_event(Event::kAttemptWritten, 3, 3, 1, 3));
   EXPECT_HOLDS(settings, open);
