--- a/src/limits/attempt_limits.cpp
+++ b/src/limits/attempt_limits.cpp
@@ -14,7 +14,7 @@
   return interval.min >= 0 && interval.min <= interval.max && interval.max <= kMaxTimeMs;
 }
 
-// Withdrawn classes have no name.
+// The names, separated by commas. Withdrawn classes have an empty name and are left out.
 std::string list_of(const std::vector<std::string>& class_names) {
   std::string list;
   for (const auto& name : class_names) {
@@ -28,16 +28,16 @@
 std::optional<LimitError> check_network(const LimitsFile& file) {
   if (!is_valid(file.network_delay)) {
     return LimitError{file.path, file.network_delay_line, "limits.network_ms",
-                      "is no interval: two times from 0 upward, the smaller first", "[0, 50]"};
+                      "is not an interval: it needs two times of at least 0, the smaller first", "[0, 50]"};
   }
   if (!(file.clock_error_ms >= 0 && file.clock_error_ms <= kMaxTimeMs)) {
     return LimitError{file.path, file.network_delay_line, "limits.clock_error_ms",
-                      "is " + number_text(file.clock_error_ms) + ", not a time from 0 upward", "5 ms"};
+                      "is " + number_text(file.clock_error_ms) + ", not a time of at least 0", "5 ms"};
   }
   return std::nullopt;
 }
 
-// Proves the entries of one file in turn.
+// Proves the entries of one file, one after the other.
 class FileProof {
  public:
   FileProof(const LimitsFile& file, const PlatformTerms& platform)
@@ -51,7 +51,7 @@
       result_.errors.push_back(std::move(*error));
       return std::move(result_);
     }
-    // Routes inherit from their classes, whose entries come first for that.
+    // A route inherits the limits of its class, so all class entries are proved first.
     for (const bool routes : {false, true}) {
       for (std::size_t i = 0; i < file_.entries.size(); ++i) {
         const bool is_route = !file_.entries[i].route.empty();
@@ -71,13 +71,13 @@
     const auto& names = platform_.class_names;
     const auto name = std::find(names.begin(), names.end(), entry.class_name);
     if (entry.class_name.empty() || name == names.end()) {
-      report(entry, "limits.class", "no class '" + entry.class_name + "'; there are " + list_of(names));
+      report(entry, "limits.class", "no class '" + entry.class_name + "'; the classes are " + list_of(names));
       return;
     }
     const auto class_index = static_cast<std::size_t>(name - names.begin());
     const bool is_route = !entry.route.empty();
     if (!is_route && has_entry_[class_index]) {
-      report(entry, "limits.class." + entry.class_name, "stands twice");
+      report(entry, "limits.class." + entry.class_name, "is given twice");
       return;
     }
     if (!is_route) has_entry_[class_index] = true;
@@ -96,7 +96,7 @@
 
 std::string LimitError::to_text() const {
   std::string text = file + ":" + std::to_string(line) + ": " + setting + ": " + description;
-  if (!nearest_valid.empty()) text += "; lawful: " + nearest_valid;
+  if (!nearest_valid.empty()) text += "; nearest valid value: " + nearest_valid;
   return text;
 }
 
--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -1,11 +1,11 @@
-// Limits on attempts by class and route, proved consistent before they take effect. Pure: no I/O, no clock.
+// Limits on attempts by class and route, proved consistent before they take effect. No I/O, no clock.
 //
-// The limits of a file (by class, and by the external processor's routes) become one immutable set of bounds,
-// which go with each request to the engine and the admission module; both also keep the platform's own. Times
-// are closed intervals, and a rule has to hold for each value in them: the longest chain of attempts against
-// the client's deadline and the idempotency key's lifetime, retries against the class's idempotency. A limit
-// that can't be proved is rejected with its setting, its place, the chain of events that would break the rule
-// and the nearest valid value.
+// The limits of a file (by class, and by the external processor's routes) become one immutable set of bounds.
+// Each request carries its bounds to the engine and the admission module, which also enforce the platform's
+// own. Times are closed intervals, and a rule must hold for every value in them: the longest chain of
+// attempts must fit the client's deadline and the idempotency key's lifetime, and retries must fit the
+// class's idempotency. A limit that can't be proved is rejected with its setting, its file and line, the
+// chain of events that would break the rule, and the nearest valid value.
 #pragma once
 
 #include <cstddef>
@@ -30,20 +30,20 @@
   Ms min = 0, max = 0;
 };
 
-// The limits of one class or route. A limit that it does not name is its class's, then the platform's.
+// The limits of one class or route. A limit that is not set is inherited from the class, then the platform.
 struct LimitEntry {
   std::string class_name;
-  std::string route;           // method and path as written; empty: the entry is for the class itself
-  std::size_t rule_index = 0;  // a route's number among the rules
+  std::string route;           // method and path as written; empty if the entry is for the class itself
+  std::size_t rule_index = 0;  // of a route: its index among the external processor's rules
   int line = 0;
-  std::optional<SourceValue<double>> max_attempts;    // a whole number, the first attempt included
-  std::optional<SourceValue<Ms>> attempt_timeout_ms;  // of one attempt, once it is connected
-  std::optional<SourceValue<Ms>> retry_window_ms;     // after a request's arrival no retry starts later
+  std::optional<SourceValue<double>> max_attempts;    // a whole number; includes the first attempt
+  std::optional<SourceValue<Ms>> attempt_timeout_ms;  // of one attempt, from its connection on
+  std::optional<SourceValue<Ms>> retry_window_ms;     // from the request's arrival; no retry starts later
   std::optional<SourceValue<bool>> hedging_allowed;   // whether two attempts may be in flight at once
   bool has_limits() const { return max_attempts || attempt_timeout_ms || retry_window_ms || hedging_allowed; }
 };
 
-// The limits of a settings file as read.
+// The limits of a settings file, as read from it.
 struct LimitsFile {
   std::string path;
   Interval network_delay{0, 0};  // one way between gateway and host
@@ -52,8 +52,8 @@
   std::vector<LimitEntry> entries;
 };
 
-// The platform's configuration, by class index; a withdrawn class has an empty name. `settings.classes` and
-// `class_names` have one length.
+// The platform's configuration. `class_names` and `settings.classes` are both by class index; a withdrawn
+// class has an empty name.
 struct PlatformTerms {
   std::vector<std::string> class_names;
   AdmissionSettings settings;
@@ -65,18 +65,18 @@
   int line = 0;
   std::string setting;        // such as limits.class.NAME.send_until_ms
   std::string description;    // one sentence, with the chain of events where there is one
-  std::string nearest_valid;  // the nearest valid value, as it would be written; empty: there is none
-  // FILE:LINE: SETTING: DESCRIPTION; lawful: NEAREST
+  std::string nearest_valid;  // the nearest valid value, as it would be written; empty if there is none
+  // FILE:LINE: SETTING: DESCRIPTION; nearest valid value: VALUE
   std::string to_text() const;
 };
 
 // Immutable once proved.
 struct ProvenBounds {
   std::vector<RequestBounds> by_class;  // by class index
-  std::vector<RequestBounds> by_entry;  // as `LimitsFile::entries`; set for routes only
+  std::vector<RequestBounds> by_entry;  // by index in `LimitsFile::entries`; set for routes only
 };
 
-// Either bounds, or at least one error.
+// The bounds if all limits are proved, otherwise at least one error.
 struct ProofResult {
   ProvenBounds bounds;
   std::vector<LimitError> errors;
@@ -84,12 +84,12 @@
 };
 ProofResult prove(const LimitsFile& file, const PlatformTerms& platform);
 
-// The longest chain of attempts under these bounds, in ms from the first attempt's start.
+// When the last attempt of a chain is sent and ends, in milliseconds from the start of the first.
 struct AttemptChain {
   Ms last_sent_ms = 0, last_ended_ms = 0;
 };
-// Each attempt takes up to the connect timeout and then its own; one without a timeout may end at any time up
-// to `client_deadline`.
+// The longest chain of attempts under `bounds`. Each attempt takes up to the connect timeout plus its own
+// timeout; an attempt without a timeout may last until `client_deadline`.
 AttemptChain longest_chain(const RequestBounds& bounds, Ms connect_timeout, Ms client_deadline);
 
 }  // namespace cometfold::limits
--- a/src/limits/entry_proof.cpp
+++ b/src/limits/entry_proof.cpp
@@ -11,7 +11,7 @@
 
 constexpr double kMaxAttempts = 64;
 
-// Keys of the settings, as in the file.
+// The settings as they are written in the file.
 constexpr char kMaxAttemptsKey[] = "attempts";
 constexpr char kAttemptTimeoutKey[] = "attempt_ms";
 constexpr char kRetryWindowKey[] = "send_until_ms";
@@ -32,7 +32,7 @@
   check_time(entry_.attempt_timeout_ms, kAttemptTimeoutKey, inherited.attempt_timeout_ms);
   check_time(entry_.retry_window_ms, kRetryWindowKey, inherits_window ? inherited.retry_window_ms : 0);
   check_hedging(inherited);
-  if (errors_.size() != errors_before) return inherited;  // further checks would report the same again
+  if (errors_.size() != errors_before) return inherited;  // further checks would report the same errors again
   RequestBounds bounds = inherited;
   if (entry_.max_attempts) bounds.max_attempts = entry_.max_attempts->value;
   if (entry_.attempt_timeout_ms) bounds.attempt_timeout_ms = entry_.attempt_timeout_ms->value;
@@ -58,10 +58,10 @@
     report(attempts->line, kMaxAttemptsKey,
            "is " + number_text(attempts->value) + ", not a whole number from 1 to 64", "1");
   } else if (attempts->value > most) {
-    const std::string source = inherited.max_attempts < platform_most ? "its class" : "the site";
+    const std::string source = inherited.max_attempts < platform_most ? "its class" : "the platform";
     report(attempts->line, kMaxAttemptsKey,
            "is " + number_text(attempts->value) + " where " + source + " allows " + number_text(most) +
-               ", so it would never hold",
+               ", so it would have no effect",
            number_text(most));
   }
 }
@@ -73,10 +73,11 @@
   if (!(value->value > 0)) {
     report(value->line, key, "is " + number_text(value->value) + ", not a time above 0", ms_text(most));
   } else if (!(value->value <= most)) {
-    const std::string source = inherited > 0 ? "its class allows " : "clients wait ";
-    report(value->line, key,
-           "is " + ms_text(value->value) + " where " + source + ms_text(most) + ", so it would never hold",
-           ms_text(most));
+    const std::string source = inherited > 0 ? "its class allows " : "the client's deadline is ";
+    report(
+        value->line, key,
+        "is " + ms_text(value->value) + " where " + source + ms_text(most) + ", so it would have no effect",
+        ms_text(most));
   }
 }
 
@@ -84,7 +85,7 @@
   const auto& hedging = entry_.hedging_allowed;
   const bool platform_allows = platform_.settings.hedging_allowed;
   if (!hedging || !hedging->value || (platform_allows && inherited.hedging_allowed)) return;
-  const std::string source = platform_allows ? "its class" : "the site";
+  const std::string source = platform_allows ? "its class" : "the platform";
   report(hedging->line, kHedgingKey, "is true where " + source + " allows none", "false");
 }
 
@@ -92,15 +93,15 @@
   const auto& hedging = entry_.hedging_allowed;
   if (!hedging || !hedging->value) return;
   if (class_.idempotency == Idempotency::kNonIdempotent) {
-    report(hedging->line, kHedgingKey, "would run a request twice: its class must not be repeated", "false");
+    report(hedging->line, kHedgingKey, "would execute a request twice: its class is not idempotent", "false");
   } else if (class_.idempotency == Idempotency::kIdempotencyKey &&
              class_.idempotency_scope == IdempotencyScope::kNone) {
     report(hedging->line, kHedgingKey,
-           "would run a request twice: its class's keys are known to one host alone, and a second copy goes "
-           "to another",
+           "would execute a request twice: its class's idempotency keys are known to one host only, and a "
+           "hedged request goes to another",
            "false");
   } else if (std::min(bounds.max_attempts, platform_.settings.max_attempts) < 2) {
-    report(hedging->line, kHedgingKey, "is true with one attempt, so it would never hold", "false");
+    report(hedging->line, kHedgingKey, "is true with one attempt, so it would have no effect", "false");
   }
 }
 
@@ -112,8 +113,8 @@
   const Ms min_round_trip = 2 * file_.network_delay.min;
   if (bounds.attempt_timeout_ms > 0 && bounds.attempt_timeout_ms <= min_round_trip) {
     report(line_of(entry_.attempt_timeout_ms, entry_), kAttemptTimeoutKey,
-           "is " + ms_text(bounds.attempt_timeout_ms) + ", and the way there and back takes " +
-               ms_text(min_round_trip) + " at the least, so no attempt would ever be answered",
+           "is " + ms_text(bounds.attempt_timeout_ms) + ", and the network round trip takes at least " +
+               ms_text(min_round_trip) + ", so no attempt would ever be answered",
            ms_text(std::floor(min_round_trip) + 1));
     return;
   }
@@ -122,7 +123,7 @@
   check_deadline(bounds, chain);
 }
 
-// A retry that reaches a host after the host has forgotten the key runs the request once more.
+// A retry that reaches a host after the idempotency key has expired there executes the request once more.
 void EntryProof::check_key_lifetime(const RequestBounds& bounds, const AttemptChain& chain) const {
   const bool depends_on_key = class_.idempotency == Idempotency::kIdempotencyKey &&
                               class_.idempotency_scope != IdempotencyScope::kNone;
@@ -133,9 +134,9 @@
       std::floor(class_.idempotency_key_ttl_ms - file_.network_delay.max - file_.clock_error_ms);
   const bool window_helps = latest > 0 && latest <= client_deadline();
   report(line_of(entry_.retry_window_ms, entry_), kRetryWindowKey,
-         describe(bounds, chain) + "; it is with its host at " + ms_text(arrives_at) +
-             " by that host's clock, which has forgotten the key at " +
-             ms_text(class_.idempotency_key_ttl_ms) + ": the request runs twice",
+         describe(bounds, chain) + "; it reaches its host at " + ms_text(arrives_at) +
+             " by that host's clock, after the idempotency key expired at " +
+             ms_text(class_.idempotency_key_ttl_ms) + ": the request is executed twice",
          window_helps ? std::string(kRetryWindowKey) + " = " + number_text(latest)
                       : std::string(kMaxAttemptsKey) + " = 1");
 }
@@ -148,8 +149,8 @@
       std::floor((deadline - file_.network_delay.max) / bounds.max_attempts - platform_.connect_timeout_ms);
   const bool timeout_helps = longest_timeout > 2 * file_.network_delay.min;
   report(line_of(entry_.attempt_timeout_ms, entry_), kAttemptTimeoutKey,
-         describe(bounds, chain) + "; the answer is with the client at " + ms_text(answered_at) +
-             ", which has left at " + ms_text(deadline),
+         describe(bounds, chain) + "; the reply reaches the client at " + ms_text(answered_at) +
+             ", after its deadline of " + ms_text(deadline),
          timeout_helps ? ms_text(longest_timeout)
                        : std::string(kMaxAttemptsKey) + " = " +
                              number_text(std::max(1.0, most_attempts_that_fit(bounds))));
@@ -164,10 +165,10 @@
   std::string text = "attempt 1 is sent at 0 ms";
   if (bounds.max_attempts <= 1) return text;
   if (bounds.attempt_timeout_ms > 0) {
-    text += ", each is given up " + ms_text(bounds.attempt_timeout_ms) +
-            " after a connection that takes up to " + ms_text(platform_.connect_timeout_ms);
+    text += ", each times out " + ms_text(bounds.attempt_timeout_ms) +
+            " after its connection, which takes up to " + ms_text(platform_.connect_timeout_ms);
   } else {
-    text += ", each may end as late as its client waits";
+    text += ", each may last until the client's deadline";
   }
   text += ", attempt " + number_text(bounds.max_attempts) + " is sent at " + ms_text(chain.last_sent_ms);
   return text;
--- a/src/limits/entry_proof.h
+++ b/src/limits/entry_proof.h
@@ -1,4 +1,4 @@
-// The proof of one entry of a limits file: its values, the class's rights, and the longest chain of attempts.
+// Proves one entry of a limits file: its values, what its class permits, and the longest chain of attempts.
 #pragma once
 
 #include <cstddef>
@@ -10,12 +10,12 @@
 
 namespace cometfold::limits {
 
-// Longer than any deadline that a configuration may name.
+// Longer than any deadline that a configuration may set.
 inline constexpr Ms kMaxTimeMs = 3'600'000;
 
 class EntryProof {
  public:
-  // All references outlive this; errors are added to `errors`.
+  // All references must outlive this object; errors are appended to `errors`.
   EntryProof(const LimitsFile& file, const PlatformTerms& platform, const LimitEntry& entry,
              std::size_t class_index, std::vector<LimitError>& errors)
       : file_(file),
@@ -24,20 +24,21 @@
         class_(platform.settings.classes[class_index]),
         errors_(errors) {}
 
-  // The entry's bounds. What it does not name is as in `inherited`: no bounds for a class, the class's for a
-  // route.
+  // The entry's bounds. What the entry does not set is taken from `inherited`: the class's bounds for a
+  // route, no bounds for a class. Returns `inherited` if a value is invalid.
   RequestBounds run(const RequestBounds& inherited) const;
 
  private:
   void report(int line, const char* key, std::string description, std::string nearest_valid) const;
-  // Each value by itself, and a route's against its class's.
+  // Check each value by itself and against the inherited bound.
   void check_max_attempts(const RequestBounds& inherited) const;
   void check_hedging(const RequestBounds& inherited) const;
-  // `inherited` 0: the class has no bound.
+  // `inherited` is 0 if there is no inherited bound.
   void check_time(const std::optional<SourceValue<Ms>>& value, const char* key, Ms inherited) const;
-  // Whether the class may be hedged at all.
+  // Checks that the class permits hedged requests and that the bounds allow a second attempt.
   void check_hedging_right(const RequestBounds& bounds) const;
-  // The longest chain against the network delay, the client's deadline and the idempotency key's lifetime.
+  // Checks the longest chain of attempts against the network delay, the client's deadline and the idempotency
+  // key's lifetime.
   void check_chain(const RequestBounds& bounds) const;
   void check_key_lifetime(const RequestBounds& bounds, const AttemptChain& chain) const;
   void check_deadline(const RequestBounds& bounds, const AttemptChain& chain) const;
--- a/src/limits/error_text.h
+++ b/src/limits/error_text.h
@@ -1,4 +1,4 @@
-// Numbers and times in the words of limits' errors.
+// Formats numbers and times for the error messages on limits.
 #pragma once
 
 #include <string>
--- a/src/settings/numbering.h
+++ b/src/settings/numbering.h
@@ -1,7 +1,7 @@
-// Indices of classes and plans that stay stable across reloaded settings. Pure.
+// Keeps the indices of classes and plans stable when settings are reloaded. No I/O, no clock.
 //
-// The admission module and all requests in flight refer to classes and plans by index. Reloaded settings list
-// them anew, in any order; here each name keeps its index, so that nothing in flight has to be renumbered.
+// The admission module and all requests in flight refer to classes and plans by index. Reloaded settings may
+// list them in any order; each name keeps its index, so that requests in flight need not be renumbered.
 #pragma once
 
 #include <cstddef>
@@ -13,20 +13,20 @@
 
 namespace cometfold::settings {
 
-// Of classes, and of plans; withdrawn ones included.
+// The limit on classes, and that on plans; both include withdrawn ones.
 inline constexpr std::size_t kMaxNames = 1024;
 
 struct NumberedSettings {
-  // Names by index. An empty name is withdrawn: only requests in flight still use it.
+  // Names by index. An entry with an empty name is withdrawn: only requests in flight still use it.
   std::vector<std::string> classes, plans;
   AdmissionSettings settings;
 };
 
-// Settings have been reloaded with more new names than fit. The remedy is a restart, which forgets withdrawn
-// ones.
+// Reloaded settings have more new names than there are free indices. A restart frees those of withdrawn
+// names.
 class TooManyNamesError : public std::runtime_error {
  public:
-  // `kind`: classes or plans.
+  // `kind`: "classes" or "plans".
   explicit TooManyNamesError(std::string kind);
   const std::string& kind() const { return kind_; }
 
@@ -34,12 +34,12 @@
   std::string kind_;
 };
 
-// `reloaded` by the indices of `current`. A class of the same name with another kind of idempotency is a new
-// class: what is in flight was sent under the old one. A withdrawn entry that returns unchanged gets its
-// index back. Throws TooManyNamesError.
+// Returns `reloaded` with the indices of `current`. A class whose idempotency settings have changed gets a
+// new index, as requests in flight were sent under the old settings. A withdrawn index is reused for an entry
+// with equal settings. Throws TooManyNamesError.
 NumberedSettings renumber(const NumberedSettings& current, const NumberedSettings& reloaded);
 
-// Appends the names that are not there yet, up to kMaxNames altogether; further ones are left out.
+// Appends the names that are missing, up to a total of kMaxNames; the rest is left out.
 void extend_names(std::vector<std::string>& names, const std::vector<std::string>& added);
 
 }  // namespace cometfold::settings
--- a/tests/gateway_settings_test.cpp
+++ b/tests/gateway_settings_test.cpp
@@ -179,9 +179,9 @@
   EXPECT_EQ(run({"--check-config", good.path, "--settings", lawful.path}), 0);
   const File copies("[limits.class.pay]\nsecond_copies = true\n", "copies.toml");
   Child limited({COMETFOLD_PROGRAM, "--check-config", good.path, "--settings", copies.path}, {});
-  EXPECT_NE(
-      limited.log_until("second_copies").find(":2: limits.class.pay.second_copies: is true where the site"),
-      std::string::npos);
+  EXPECT_NE(limited.log_until("second_copies")
+                .find(":2: limits.class.pay.second_copies: is true where the platform"),
+            std::string::npos);
   Child invalid({COMETFOLD_PROGRAM, "--check-config", bad.path}, {});
   EXPECT_NE(invalid.log_until("configuration").find("'listen' is missing"), std::string::npos);
 }
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -1,4 +1,4 @@
-// Limits on attempts: which are valid, which are rejected with which text, and that the admission module
+// Tests which limits on attempts are valid, which errors reject the others, and that the admission module
 // enforces them.
 #include <gtest/gtest.h>
 #include <unistd.h>
@@ -20,8 +20,8 @@
 
 using limits::AttemptChain;
 
-// A shop's classes: lookups are idempotent, holds have idempotency keys that all hosts share for 25 s, orders
-// are not idempotent, and baskets have keys that only their host knows.
+// The classes of a shop: `lookup` is idempotent, `hold` has idempotency keys that all hosts share for 25 s,
+// `order` is not idempotent, and `basket` has keys that are known to one host only.
 limits::PlatformTerms shop() {
   limits::PlatformTerms platform;
   platform.class_names = {"lookup", "hold", "order", "basket"};
@@ -36,7 +36,7 @@
   return platform;
 }
 
-// The errors of a settings file, one a line, without the file's name; empty if it is valid.
+// The errors of a settings file, one per line, without the file's name; empty if the file is valid.
 std::string errors_of(const std::string& text, const limits::PlatformTerms& platform = shop()) {
   const auto path =
       std::filesystem::temp_directory_path() / (std::to_string(::getpid()) + "-cometfold-limits.toml");
@@ -87,14 +87,14 @@
   for (const auto* text : kValid) EXPECT_EQ(errors_of(text), "") << text;
 }
 
-// One error each, with its place, what would happen and the nearest valid value.
+// Each file has one error, with its line, the reason and the nearest valid value.
 TEST(Limits, EachInvalidFileIsRejectedWithItsReason) {
   const struct {
     const char* text;
     const char* error;
   } kInvalid[] = {
       {"[limits.class.lookup]\nattempts = 0\n",
-       "2: limits.class.lookup.attempts: is 0, not a whole number from 1 to 64; lawful: 1"},
+       "2: limits.class.lookup.attempts: is 0, not a whole number from 1 to 64; nearest valid value: 1"},
       {"[limits.class.lookup]\nattempts = -2\n", "2: limits.class.lookup.attempts: is -2, not a whole"},
       {"[limits.class.lookup]\nattempts = 1.5\n", "2: limits.class.lookup.attempts: is 1.5, not a whole"},
       {"[limits.class.lookup]\nattempts = nan\n", "2: limits.class.lookup.attempts: is nan, not a whole"},
@@ -102,76 +102,79 @@
       {"[limits.class.lookup]\nattempts = 1e300\n",
        "2: limits.class.lookup.attempts: is 1e+300, not a whole"},
       {"[limits.class.lookup]\nattempts = 5\n",
-       "attempts: is 5 where the site allows 4, so it would never hold; lawful: 4"},
+       "attempts: is 5 where the platform allows 4, so it would have no effect; nearest valid value: 4"},
       {"[limits.class.lookup]\nattempts = \"2\"\n", "limits.class.lookup.attempts must be a number"},
       {"[limits.class.lookup]\nattempt_ms = 0\n",
-       "2: limits.class.lookup.attempt_ms: is 0, not a time above 0; lawful: 4000 ms"},
+       "2: limits.class.lookup.attempt_ms: is 0, not a time above 0; nearest valid value: 4000 ms"},
       {"[limits.class.lookup]\nattempt_ms = -0.0\n", "attempt_ms: is -0, not a time above 0"},
       {"[limits.class.lookup]\nattempt_ms = nan\n", "attempt_ms: is nan, not a time above 0"},
-      {"[limits.class.lookup]\nattempt_ms = inf\n", "attempt_ms: is inf ms where clients wait 4000 ms"},
+      {"[limits.class.lookup]\nattempt_ms = inf\n",
+       "attempt_ms: is inf ms where the client's deadline is 4000 ms"},
       {"[limits.class.lookup]\nattempt_ms = 4001\n",
-       "is 4001 ms where clients wait 4000 ms, so it would never hold; lawful: 4000 ms"},
+       "is 4001 ms where the client's deadline is 4000 ms, so it would have no effect; nearest valid value: "
+       "4000 ms"},
       {"[limits.class.lookup]\nattempt_ms = \"1s\"\n", "limits.class.lookup.attempt_ms must be a number"},
       {"[limits.class.lookup]\nattempt_ms = true\n", "limits.class.lookup.attempt_ms must be a number"},
       {"[limits.class.lookup]\nsend_until_ms = 0\n", "send_until_ms: is 0, not a time above 0"},
-      {"[limits.class.lookup]\nsend_until_ms = 5000\n", "is 5000 ms where clients wait 4000 ms"},
+      {"[limits.class.lookup]\nsend_until_ms = 5000\n", "is 5000 ms where the client's deadline is 4000 ms"},
       {"[limits.class.lookup]\nsecond_copies = 1\n", "second_copies must be true or false"},
       // The longest chain: four attempts of 1,000 ms, each after a connection of up to 250 ms.
       {"[limits.class.lookup]\nattempt_ms = 1000\n",
-       "2: limits.class.lookup.attempt_ms: attempt 1 is sent at 0 ms, each is given up 1000 ms after a "
-       "connection "
-       "that takes up to 250 ms, attempt 4 is sent at 3750 ms; the answer is with the client at 5000 ms, "
-       "which has "
-       "left at 4000 ms; lawful: 750 ms"},
+       "2: limits.class.lookup.attempt_ms: attempt 1 is sent at 0 ms, each times out 1000 ms after its "
+       "connection, which takes up to 250 ms, attempt 4 is sent at 3750 ms; the reply reaches the client at "
+       "5000 ms, after its deadline of 4000 ms; nearest valid value: 750 ms"},
       // Only the longest network delay makes it too long.
       {"[limits.class.lookup]\nattempt_ms = 750\n[limits]\nnetwork_ms = [0, 1]\n",
-       "is with the client at 4001 ms, which has left at 4000 ms; lawful: 749 ms"},
+       "the reply reaches the client at 4001 ms, after its deadline of 4000 ms; nearest valid value: 749 ms"},
       {"[limits.class.lookup]\nattempt_ms = 50\n[limits]\nnetwork_ms = [25, 50]\n",
-       "the way there and back takes 50 ms at the least, so no attempt would ever be answered; lawful: 51 "
-       "ms"},
+       "the network round trip takes at least 50 ms, so no attempt would ever be answered; nearest "
+       "valid value: 51 ms"},
       {"[limits.class.lookup]\nattempts = 4\nattempt_ms = 300\n[limits]\nnetwork_ms = [100, 3500]\n",
-       "left at 4000 ms; lawful: attempts = 1"},
+       "after its deadline of 4000 ms; nearest valid value: attempts = 1"},
       {"[limits.class.order]\nsecond_copies = true\n",
-       "second_copies: would run a request twice: its class must not be repeated; lawful: false"},
+       "second_copies: would execute a request twice: its class is not idempotent; nearest valid value: "
+       "false"},
       {"[limits.class.basket]\nsecond_copies = true\n",
-       "its class's keys are known to one host alone, and a second copy goes to another; lawful: false"},
+       "its class's idempotency keys are known to one host only, and a hedged request goes to another; "
+       "nearest valid value: false"},
       {"[limits.class.lookup]\nattempts = 1\nsecond_copies = true\n",
-       "is true with one attempt, so it would never hold; lawful: false"},
+       "is true with one attempt, so it would have no effect; nearest valid value: false"},
       // A retry exceeds the key's 25 s only after a slow first attempt and the longest network delay.
       {"[limits.class.hold]\nattempts = 2\n[limits]\nnetwork_ms = [0, 13000]\nclock_error_ms = 5\n",
-       "1: limits.class.hold.send_until_ms: attempt 1 is sent at 0 ms, each may end as late as its client "
-       "waits, "
-       "attempt 2 is sent at 12000 ms; it is with its host at 25005 ms by that host's clock, which has "
-       "forgotten the "
-       "key at 25000 ms: the request runs twice; lawful: send_until_ms = 11995"},
+       "1: limits.class.hold.send_until_ms: attempt 1 is sent at 0 ms, each may last until the client's "
+       "deadline, attempt 2 is sent at 12000 ms; it reaches its host at 25005 ms by that host's clock, after "
+       "the idempotency key expired at 25000 ms: the request is executed twice; nearest valid value: "
+       "send_until_ms = 11995"},
       {"[limits.class.hold]\nsend_until_ms = 11996\n[limits]\nnetwork_ms = [0, 13000]\nclock_error_ms = 5\n",
        "2: limits.class.hold.send_until_ms: "},
-      {"[limits.class.hold]\nattempts = 2\n[limits]\nnetwork_ms = [0, 26000]\n", "lawful: attempts = 1"},
+      {"[limits.class.hold]\nattempts = 2\n[limits]\nnetwork_ms = [0, 26000]\n",
+       "nearest valid value: attempts = 1"},
       {"[limits.class.holds]\nattempts = 2\n",
-       "1: limits.class: no class 'holds'; there are lookup, hold, order, basket"},
+       "1: limits.class: no class 'holds'; the classes are lookup, hold, order, basket"},
       {"[limits.class.lookup]\nretries = 2\n",
        "2: [limits.class.lookup] has no 'retries'; it has attempt_ms, attempts, second_copies, "
        "send_until_ms"},
-      {"[limits]\nnetwork_ms = [50, 0]\n", "2: limits.network_ms: is no interval"},
-      {"[limits]\nnetwork_ms = [-1, 0]\n", "2: limits.network_ms: is no interval"},
-      {"[limits]\nnetwork_ms = [0, nan]\n", "2: limits.network_ms: is no interval"},
+      {"[limits]\nnetwork_ms = [50, 0]\n", "2: limits.network_ms: is not an interval"},
+      {"[limits]\nnetwork_ms = [-1, 0]\n", "2: limits.network_ms: is not an interval"},
+      {"[limits]\nnetwork_ms = [0, nan]\n", "2: limits.network_ms: is not an interval"},
       {"[limits]\nnetwork_ms = [0]\n", "limits.network_ms must be two numbers"},
       {"[limits]\nnetwork_ms = 5\n", "limits.network_ms must be two numbers"},
       {"[limits]\nclock_error_ms = -1\n", "limits.clock_error_ms must be a number of milliseconds from 0"},
       {"[limits]\nclock_error_ms = nan\n", "limits.clock_error_ms must be a number of milliseconds from 0"},
       {"[limits]\nclass = 5\n", "limits.class must be at most 1024 tables"},
       {"[limits]\nclass.lookup = 5\n", "limits.class must be at most 1024 tables"},
-      // A route against a stricter bound of its class.
+      // The class has a stricter bound than the route.
       {"[limits.class.lookup]\nattempts = 2\n[[extproc.rule]]\nmethod = \"GET\"\npath = \"/a\"\nclass = "
        "\"lookup\"\nattempts = 3\n",
-       "7: route GET /a.attempts: is 3 where its class allows 2, so it would never hold; lawful: 2"},
+       "7: route GET /a.attempts: is 3 where its class allows 2, so it would have no effect; nearest valid "
+       "value: 2"},
       {"[limits.class.lookup]\nattempt_ms = 500\n[[extproc.rule]]\nclass = \"lookup\"\nattempt_ms = 600\n",
        "5: route *.attempt_ms: is 600 ms where its class allows 500 ms"},
       {"[limits.class.lookup]\nsecond_copies = false\n[[extproc.rule]]\nclass = \"lookup\"\nsecond_copies = "
        "true\n",
-       "5: route *.second_copies: is true where its class allows none; lawful: false"},
+       "5: route *.second_copies: is true where its class allows none; nearest valid value: false"},
       {"[[extproc.rule]]\nclass = \"order\"\nsecond_copies = true\n",
-       "3: route *.second_copies: would run a request twice"},
+       "3: route *.second_copies: would execute a request twice"},
       {"[[extproc.rule]]\npath = \"/a\"\nattempts = 2\n", "a rule that limits attempts must name its class"},
   };
   for (const auto& file : kInvalid) {
@@ -185,10 +188,11 @@
   auto platform = shop();
   platform.settings.hedging_allowed = false;
   EXPECT_EQ(errors_of("[limits.class.lookup]\nsecond_copies = true\n", platform),
-            "2: limits.class.lookup.second_copies: is true where the site allows none; lawful: false\n");
+            "2: limits.class.lookup.second_copies: is true where the platform allows none; nearest valid "
+            "value: false\n");
 }
 
-// A route has its own limits, and the rest from its class.
+// A route has the limits that it sets, and its class's for the rest.
 TEST(Limits, ARouteInheritsFromItsClass) {
   limits::LimitEntry lookup;
   lookup.class_name = "lookup";
@@ -208,7 +212,7 @@
   EXPECT_TRUE(std::isinf(proof.bounds.by_class[1].max_attempts));
 }
 
-// One entry of a limits file with the platform that it is for.
+// A limits file with one entry, and the platform that it is proved for.
 struct LimitCase {
   limits::PlatformTerms platform = shop();
   limits::LimitsFile file;
@@ -237,8 +241,8 @@
   return drawn;
 }
 
-// Plays one chain of attempts, with the longest or with random times. Whether the client has its answer too
-// late, or a retry reaches a host that has forgotten the key.
+// Simulates one chain of attempts, with the longest or with random durations. Returns whether the reply
+// reaches the client too late, or a retry reaches a host after the idempotency key has expired.
 bool breaks_a_rule(const LimitCase& played, bool longest, const Draw& draw) {
   const auto& entry = played.entry();
   const auto& settings = played.class_settings();
@@ -270,8 +274,8 @@
   return late || twice;
 }
 
-// Some thousand entries: a valid one breaks no rule in any chain of attempts, one that is rejected breaks a
-// rule in the longest.
+// Of several thousand random entries, a valid one breaks no rule in any simulated chain of attempts, and a
+// rejected one breaks a rule in the longest chain.
 TEST(Limits, ProofsAgreeWithSimulatedAttempts) {
   std::mt19937_64 random(23);
   const Draw draw = [&](double most) {
@@ -294,7 +298,7 @@
   EXPECT_GE(rejected, 500);
 }
 
-// A request has its route's bounds if it is of the route's class, else its own class's.
+// A request has its route's bounds if it is of the route's class, and its own class's bounds otherwise.
 TEST(Limits, ExternalProcessorRequestsCarryTheirBounds) {
   extproc::HeaderMapping mapping;
   mapping.default_class = "lookup";
@@ -364,8 +368,8 @@
   }
 }
 
-// A request that takes long is hedged where it may be; else, where it may be retried at all, its first
-// attempt is cancelled for a retry, and otherwise that attempt stays.
+// A slow request is hedged if its bounds allow it. Otherwise its first attempt is cancelled for a retry if a
+// retry is still allowed, and kept if not.
 TEST(Bounds, HedgingOnlyWhereTheRequestAllowsIt) {
   const auto after_long = [](RequestBounds bounds) {
     Gateway gateway(plain_settings());
