--- a/src/engine/admission_policy.h
+++ b/src/engine/admission_policy.h
@@ -1,5 +1,5 @@
 // The interface through which the engine gets its decisions. `ControllerPolicy` implements it for the
-// service; the model checker also implements one that decides anything the interface can express.
+// gateway; the model checker also has a policy that makes any decision that the interface can express.
 #pragma once
 
 #include <cstdint>
@@ -9,8 +9,8 @@
 
 namespace cometfold::engine {
 
-// Each event is passed in order of time, `now` in milliseconds. The policy issues its actions through `out`
-// before the call returns. Any call may throw: the engine then continues without that decision.
+// Events are passed in order of time, with `now` in milliseconds. The policy issues its actions through `out`
+// before a call returns. Any call may throw: the engine then continues without that decision.
 class AdmissionPolicy {
  public:
   virtual ~AdmissionPolicy() = default;
@@ -19,8 +19,8 @@
                             ActionSink& out) = 0;
   virtual void on_request(Ms now, const Request& request, ActionSink& out) = 0;
   virtual void on_attempt_end(Ms now, const AttemptResult& result, ActionSink& out) = 0;
-  // The value of an attempt begins to arrive in chunks; `on_attempt_end` follows when it is complete or
-  // broken off. Optional.
+  // The value of an attempt starts to arrive in chunks; `on_attempt_end` follows when it is complete or has
+  // been interrupted. Optional.
   virtual void on_stream_started(Ms, RequestId, std::uint32_t, ActionSink&) {}
   virtual void on_client_disconnected(Ms now, RequestId request, ActionSink& out) = 0;
   virtual void on_timer(Ms now, std::uint64_t token, ActionSink& out) = 0;
--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An attempt with the field names that cometfold/attempt_rules.h requires.
+// An attempt with the field names that the templates in cometfold/attempt_rules.h require.
 struct RuleAttempt {
   HostId host = 0;
   HostLocation place;
@@ -21,7 +21,7 @@
   return {attempt.host, attempt.location, attempt.sent_at, attempt.in_flight, attempt.may_have_executed};
 }
 
-// A deliberate fault that skips an earlier guard must get past this one too, or it would never show.
+// A mutant that skips an earlier check must pass this one too, or the fault would have no effect.
 bool mutant_sends_after_answer() {
   return mutant(Mutant::kSendsAfterReply) || mutant(Mutant::kServesAbandonedAttempt);
 }
--- a/src/engine/attempt_gate.h
+++ b/src/engine/attempt_gate.h
@@ -1,4 +1,4 @@
-// Holds attempts and rejections to cometfold/attempt_rules.h, whatever the policy decides.
+// Enforces cometfold/attempt_rules.h on attempts and rejections, whatever the policy decides.
 #pragma once
 
 #include <cstdint>
@@ -18,16 +18,17 @@
     HostLocation location;
   };
 
-  // The settings bind requests that are accepted from now on. Without settings only deadlines, replies and
-  // the host list bind.
+  // The settings apply to requests that are accepted from now on. Until the first call only deadlines,
+  // replies and the host list are enforced.
   void update_settings(const AdmissionSettings& settings) { settings_ = settings; }
   void update_hosts(HostListUpdate kind, std::span<const HostEntry> entries);
   std::optional<ClassSettings> class_settings(std::uint32_t class_index) const;
-  // The host as listed now; default values if it takes no new requests.
+  // The host as currently listed; default values if it takes no new requests.
   ListedHost listed_host(HostId host) const;
 
-  // Whether the request's other attempts permit this one. Other attempts that await their first byte count
-  // only if this one does not: an attempt may not rely on another's never being written.
+  // Whether the request's other attempts permit this one. If this attempt still awaits its first byte, others
+  // that do so too are not counted: whichever is written later is checked against the one written first.
+  // Otherwise they are counted, as they may still be written.
   AttemptVerdict check_retry(Ms now, const PendingRequest& request, std::uint32_t attempt) const;
   // Whether the attempt's first byte may be written now.
   AttemptVerdict check_first_byte(Ms now, const PendingRequest& request, std::uint32_t attempt) const;
--- a/src/engine/attempt_runner.cpp
+++ b/src/engine/attempt_runner.cpp
@@ -26,7 +26,7 @@
   const AttemptVerdict verdict = gate_.check_retry(now, request, attempt);
   if (verdict == AttemptVerdict::kAllowed) return true;
   ++metrics_.rules.decisions[static_cast<std::size_t>(verdict)];
-  logger_("the attempt rules prevented an attempt that the policy decided on",
+  logger_("the attempt rules prevented an attempt requested by the policy",
           kAttemptVerdictNames[static_cast<std::size_t>(verdict)]);
   return false;
 }
@@ -78,7 +78,7 @@
   ++metrics_.attempts.by_outcome[static_cast<std::size_t>(outcome)];
   --request->in_flight_count;
   if (!mutant(Mutant::kServesAbandonedAttempt)) requests_.erase_attempt_ref(ended.id);
-  // Queued, as most ends happen while the policy is being called.
+  // Queued, as most attempts end during a call of the policy.
   const int reports = mutant(Mutant::kReportsAttemptEndTwice) ? 2 : 1;
   for (int i = 0; i < reports; ++i) {
     ++request->unreported_end_count;
@@ -113,7 +113,8 @@
   PendingRequest* const request = ref ? requests_.find(ref->request) : nullptr;
   if (!request) return {};
   Attempt& own = request->attempts[ref->index];
-  // A drain binds the first byte; an effect depends on the last one, so retries are checked with each write.
+  // A draining host must not get a first byte. A request can be executed only once its last byte is written,
+  // so the rules for retries are checked on each write.
   const AttemptVerdict verdict = begun ? gate_.check_retry(now, *request, ref->index)
                                        : gate_.check_first_byte(now, *request, ref->index);
   if (verdict != AttemptVerdict::kAllowed) {
--- a/src/engine/attempt_runner.h
+++ b/src/engine/attempt_runner.h
@@ -20,15 +20,15 @@
                 const RequestTracer& tracer, const EngineLogger& logger)
       : requests_(requests), gate_(gate), metrics_(metrics), tracer_(tracer), logger_(logger) {}
 
-  // One more attempt as the policy decided, abandoned after `timeout` milliseconds (0: at the request's
-  // deadline). An attempt that can't begin ends at once. Returns its deadline if it began and ends before the
-  // request's.
+  // Starts one more attempt, which is abandoned after `timeout` milliseconds (0: at the request's deadline).
+  // An attempt that can't be started ends at once. Returns the attempt's deadline if it was started and its
+  // deadline is before the request's.
   std::optional<Ms> start(Ms now, RequestId id, HostId host, Ms timeout);
   void cancel(Ms now, RequestId id, std::uint32_t attempt);
-  // The one place where an attempt ends; an attempt that is not in flight is left alone.
+  // Every attempt ends here. Does nothing if the attempt is no longer in flight.
   void end(Ms now, RequestId id, std::uint32_t attempt, Outcome outcome, const LoadReport& load);
-  // Withdraws what still waits for its connection. As it was never executed, this is no cancellation, and
-  // permitted where the settings allow none.
+  // Withdraws the attempts that are not completely written. They can't have been executed, so this is not a
+  // cancellation and is permitted where the settings allow none.
   void withdraw_waiting(Ms now, RequestId id);
   void abandon_overdue(Ms now, RequestId id);
 
@@ -37,7 +37,7 @@
   void on_written(Ms now, AttemptId attempt);
 
   bool has_unreported_ends() const { return !unreported_ends_.empty(); }
-  // The next end that the policy must be notified of; nothing if there is none.
+  // Removes and returns the next end that the policy must be notified of, if there is one.
   std::optional<AttemptResult> pop_unreported_end(Ms now);
 
  private:
@@ -49,7 +49,7 @@
   };
 
   void add_attempt(Ms now, PendingRequest& request, HostId host, Ms remaining);
-  // Whether the attempt may begin; counts and logs what the rules prevent.
+  // Whether the attempt may be started. Counts and logs an attempt that the rules prevent.
   bool may_start(Ms now, const PendingRequest& request, std::uint32_t attempt);
 
   RequestTable& requests_;
--- a/src/engine/controller_policy.h
+++ b/src/engine/controller_policy.h
@@ -1,4 +1,4 @@
-// The policy of the service: passes the engine's events to the `AdmissionController`.
+// The gateway's policy: passes the engine's events to the `AdmissionController`.
 #pragma once
 
 #include <cstddef>
@@ -33,7 +33,7 @@
   void on_timer(Ms now, std::uint64_t token, ActionSink& out) override {
     controller_.on_timer(now, token, out);
   }
-  // The calls below may be made between events only, never from inside an action.
+  // The calls below may be made only between events, never while the policy is being called.
   void update_settings(Ms now, const AdmissionSettings& settings) {
     controller_.update_settings(now, settings);
   }
--- a/src/engine/digest.h
+++ b/src/engine/digest.h
@@ -1,5 +1,5 @@
-// A fingerprint of a state, by which the model checker recognises states that it has visited. Two states with
-// equal fingerprints are equal but for a chance of about n^2 / 2^65 among n states.
+// A 64-bit fingerprint of a state, by which the model checker recognises visited states. The chance that any
+// two of n different states have the same fingerprint is about n^2 / 2^65.
 #pragma once
 
 #include <bit>
--- a/src/engine/downstream_handler.h
+++ b/src/engine/downstream_handler.h
@@ -16,21 +16,22 @@
   virtual ~DownstreamHandler() = default;
   // `value` is valid until the call returns.
   virtual void on_served(Ms now, ResponseHandle response, std::string_view value) = 0;
-  // No attempt has had an effect that a repeat could double. `retry_after`: milliseconds until a repeat may
-  // succeed; 0: unknown.
+  // A retry by the client is safe, as it can't repeat an effect. `retry_after`: milliseconds until a retry
+  // may succeed; 0 if unknown.
   virtual void on_rejected(Ms now, ResponseHandle response, Ms retry_after) = 0;
   virtual void on_failed(Ms now, ResponseHandle response, FailureReason reason) = 0;
 
-  // A long value is streamed instead of `on_served`: started, its chunks, finished. `on_failed` in place of
-  // the rest says that the value stays incomplete, which the client must be able to detect. `on_value_chunk`
-  // returns false if the chunk is accepted but no more is wanted until `Engine::on_client_writable`.
+  // A long value is streamed instead of passed to `on_served`: started, chunks, finished. If `on_failed` is
+  // called in between, the value stays incomplete, and the client must be able to detect that.
+  // `on_value_chunk` returns false if the chunk is accepted but no more may follow until
+  // `Engine::on_client_writable`.
   virtual void on_value_started(Ms, ResponseHandle, std::size_t) {}
   virtual bool on_value_chunk(Ms, ResponseHandle, std::string_view) { return true; }
   virtual void on_value_finished(Ms, ResponseHandle) {}
 
   // Whether the client has closed its connection although `Engine::on_client_disconnected` has not been
-  // called yet: a process that was paused may find the close behind other events. Checked before an attempt
-  // begins.
+  // called yet: after a pause of the process, the close may be queued behind other events. Checked before an
+  // attempt is started.
   virtual bool client_disconnected(ResponseHandle) { return false; }
 };
 
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -26,8 +26,7 @@
 void Engine::on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries) {
   now_ = now;
   gate_.update_hosts(kind, entries);
-  // The policy first: the attempts that end with the retirement of a host are then decided on by the new
-  // list.
+  // The policy is called first, so that it already knows the new list when the attempts at retired hosts end.
   const bool returned = policy_.call(PolicyCaller::kNoRequest, [&](AdmissionPolicy& policy) {
     policy.on_host_list(now, kind, entries, *this);
   });
@@ -45,7 +44,7 @@
                             IncomingRequest incoming, RequestId& request_id) {
   now_ = now;
   request_id = 0;
-  // Hosts could not tell two requests of one identity apart, and one's reply could be taken for the other's.
+  // Hosts can't distinguish two requests of one identity, and one's reply could be taken for the other's.
   if (requests_.identity_in_use(incoming.identity) && !mutant(Mutant::kAllowsDuplicateIdentity)) {
     return AcceptResult::kDuplicateIdentity;
   }
@@ -183,9 +182,9 @@
 
 // ---- consequences of an event ----
 
-// Carries out what an event and the policy's actions leave to do: notifies the policy of ends, withdraws what
-// still waits for requests that have their reply, and fails requests that the policy dropped by throwing.
-// Each step may lead to more of them.
+// Completes an event and the policy's actions: notifies the policy of attempt ends, withdraws waiting
+// attempts of requests that have their reply, and fails requests on which the policy threw. Each step may
+// cause further ones.
 void Engine::process_pending() {
   if (policy_.in_call() || processing_pending_) return;
   processing_pending_ = true;
@@ -210,8 +209,9 @@
   }
 }
 
-// A request that the policy threw on has no attempt left that could answer it. It fails at once, as its
-// client can then retry, and the policy is notified so that no later event refers to it.
+// Fails a request on which the policy threw if no attempt is left that could answer it. It fails at once
+// rather than at its deadline, so that its client can retry sooner, and the policy is told that the client
+// disconnected, so that it forgets the request.
 void Engine::fail_if_stranded(RequestId id) {
   PendingRequest* const request = requests_.find(id);
   if (!request || request->answered || request->in_flight_count > 0) return;
@@ -226,15 +226,15 @@
 
 // ---- time ----
 
-// The deadline of a request or of one of its attempts has passed. The policy's own timers usually answer the
-// request before.
+// The deadline of a request or of one of its attempts has passed. Usually a timer of the policy has answered
+// the request before that.
 void Engine::expire(RequestId id) {
   if (!requests_.contains(id)) return;
   runner_.abandon_overdue(now_, id);
   report_attempt_ends();
   const PendingRequest* const request = requests_.find(id);
   if (!request || request->streaming_attempt || now_ < request->expires_at) return;
-  if (!request->answered) logger_("a request failed at its deadline, without a decision of the policy", "");
+  if (!request->answered) logger_("a request reached its deadline without a decision by the policy", "");
   replies_.fail(now_, id, FailureReason::kTimedOut);
 }
 
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -1,18 +1,18 @@
-// One gateway's requests, without I/O: accepts them, runs their attempts as the policy decides, and gives
-// each its final reply.
+// Processes the requests of one gateway, without I/O: accepts them, runs their attempts as the policy
+// decides, and delivers each final reply.
 //
 // Guarantees, whatever the policy does:
-//   - each accepted request gets one final reply at its front end, or none if its client has disconnected
-//   first;
-//   - after that reply no attempt is started, and none that waits for its connection is written;
-//   - each attempt ends once, and the policy is notified of each end once;
-//   - a request is answered at its deadline at the latest, if `run_timers` is called when `next_timer` says;
-//   - a host that drains or is removed gets nothing new from the moment `on_host_list` returns;
+//   - each accepted request gets exactly one final reply at its front end, or none if its client disconnects
+//     first;
+//   - after that reply no attempt is started, and no attempt that waits for its connection is written;
+//   - each attempt ends exactly once, and the policy is notified of each end exactly once;
+//   - a request is answered by its deadline, if `run_timers` is called at the time that `next_timer` returns;
+//   - a host that drains or is removed gets no new attempt once `on_host_list` has returned;
 //   - memory is bounded by `EngineLimits` and the attempts that the policy starts.
 // The engine chooses no host, no retry and no rejection, except for lack of its own capacity.
 //
-// Time is passed in with every call, in milliseconds, and never goes back. No call may be made from inside a
-// call that the engine makes outward, except where stated. Not thread-safe.
+// Time is passed in with every call, in milliseconds, and never decreases. Unless stated otherwise, the
+// engine must not be called from inside a callback that it makes. Not thread-safe.
 #pragma once
 
 #include <cstddef>
@@ -49,73 +49,73 @@
   Engine(const Engine&) = delete;
   Engine& operator=(const Engine&) = delete;
 
-  // One more transport, for requests that name it. It must outlive the engine.
+  // Adds a transport for requests that select it. It must outlive the engine.
   void add_upstream(UpstreamTransport& upstream) { upstreams_.push_back(&upstream); }
   void start(Ms now);
-  // The host list has changed. The transports must know hosts that became ready before this call; hosts that
-  // are no longer ready are retired by it.
+  // The host list has changed. Hosts that became ready must be known to the transports before this call;
+  // hosts that are no longer ready are retired by it.
   void on_host_list(Ms now, HostListUpdate kind, std::span<const HostEntry> entries);
 
-  // With kAccepted, `request_id` is what to pass to `on_client_disconnected`, or 0 if the request already has
-  // its reply.
+  // With kAccepted, `request_id` is the id to pass to `on_client_disconnected`, or 0 if the request already
+  // has its reply.
   AcceptResult accept(Ms now, DownstreamHandler& handler, ResponseHandle response, IncomingRequest incoming,
                       RequestId& request_id);
   // The client has disconnected and wants no reply. Unknown and finished requests are ignored.
   void on_client_disconnected(Ms now, RequestId request_id);
 
-  // The one end of a started attempt. `value` with kOk only.
+  // A started attempt has ended; called once for each. `value` is used with kOk only.
   void on_attempt_end(Ms now, AttemptId attempt, Outcome outcome, std::string_view value,
                       const LoadReport& load);
 
-  // A long value of an attempt starts, and its chunks; `on_attempt_end` ends it. Once started, the value is
-  // the request's reply: no other attempt is started or used, the deadline no longer applies (the transport
-  // must end a stream that stalls), and the request can't be rejected. False: no more until
-  // `UpstreamTransport::resume`.
+  // A long value of an attempt has started, and each of its chunks; `on_attempt_end` ends it. Once started,
+  // the value is the request's reply: no other attempt's value is used, the deadline no longer applies (the
+  // transport must end a stream that stalls), and the request can't be rejected. `on_value_chunk` returns
+  // false if no more may follow until `UpstreamTransport::resume`.
   void on_value_started(Ms now, AttemptId attempt, std::size_t size);
   bool on_value_chunk(Ms now, AttemptId attempt, std::string_view chunk);
   // The client can take more of this request's value.
   void on_client_writable(Ms now, RequestId request_id);
 
-  // As `on_attempt_end`, where the client has its reply already, whatever the outcome: nothing is delivered,
-  // and no further attempt is made.
+  // As `on_attempt_end`, for a request whose client already has its reply, whatever the outcome: nothing is
+  // delivered, and no further attempt is made.
   void on_final_attempt_end(Ms now, AttemptId attempt, Outcome outcome, const LoadReport& load);
 
-  // When `run_timers` must be called next; nothing if never. May change with every call.
+  // When `run_timers` must be called next; empty if there are no timers. Any other call may change it.
   std::optional<Ms> next_timer() { return timers_.next(requests_); }
   void run_timers(Ms now);
 
   // Begins a graceful shutdown: every request gets its reply within `EngineLimits::shutdown_timeout_ms`.
   void begin_shutdown(Ms now);
   std::optional<Ms> shutdown_deadline() const { return shutdown_deadline_; }
-  // Fails all open requests. A failure makes no statement on effects, so it is correct for every class,
-  // whatever has been executed.
+  // Fails all unanswered requests. Unlike a rejection, a failure does not imply that a retry is safe, so it
+  // is correct for every class, whatever has been executed.
   void fail_all(Ms now);
 
-  // The last byte of an attempt is written. Only counts, so it may be called from inside
-  // `UpstreamTransport::start`.
+  // The last byte of an attempt has been written. Only counts and traces it, so this may be called from
+  // inside `UpstreamTransport::start`.
   void on_written(AttemptId attempt) { runner_.on_written(now_, attempt); }
-  // Whether bytes of an attempt that waited may be written now: its first one, or with `begun` the rest.
-  // Returns the milliseconds that the attempt may still take, or nothing: then the transport must end it as
-  // kNotSent. Does not call the policy.
+  // Whether bytes of an attempt that waited may be written now: its first byte or, with `begun`, further
+  // ones. Returns the milliseconds that the attempt may still take; if empty, the transport must end the
+  // attempt as kNotSent. Does not call the policy.
   std::optional<Ms> may_write(Ms now, AttemptId attempt, bool begun);
 
-  // By class index; a class that never had a request may be missing.
+  // By class index; trailing classes without any request may be missing.
   const std::vector<ClassMetrics>& class_metrics() const { return metrics_.by_class; }
   const RejectionMetrics& rejection_metrics() const { return metrics_.rejections; }
   const RuleMetrics& rule_metrics() const { return metrics_.rules; }
   const AttemptMetrics& attempt_metrics() const { return metrics_.attempts; }
 
-  // The settings that attempts and rejections are held to, for requests that are accepted from now on.
-  // Without them only deadlines, replies and the host list bind.
+  // The settings that are enforced on attempts and rejections of requests accepted from now on. Until the
+  // first call only deadlines, replies and the host list are enforced.
   void update_settings(const AdmissionSettings& settings) { gate_.update_settings(settings); }
-  // The listener is called for each step of each request, from inside the engine's calls; it must not call
-  // back.
+  // The listener is called for each event of each request, from inside the engine's calls; it must not call
+  // the engine.
   void set_event_listener(RequestEventListener listener) { tracer_.set_listener(std::move(listener)); }
-  // For what is accepted from now on.
+  // Applies to requests that are accepted from now on.
   void set_limits(const EngineLimits& limits) { limits_ = limits; }
 
   std::size_t unanswered_count() const { return requests_.unanswered_count(); }
-  // Requests without their final reply, and those with attempts still in flight.
+  // Requests without their final reply, and answered ones whose attempts have not all ended.
   std::size_t open_count() const { return requests_.size(); }
   std::size_t payload_bytes() const { return requests_.payload_bytes(); }
   std::size_t timer_count() const { return timers_.size(); }
@@ -128,9 +128,8 @@
   void reject(RequestId request, Ms retry_after, RejectionReason reason) override;
   void fail(RequestId request, RejectionReason reason) override;
   void schedule_timer(Ms delay, std::uint64_t token) override;
-  void send_health_check(HostId) override {
-  }                               // never decided on: the settings of a gateway exclude health checks
-  void watch_hosts() override {}  // the list is always watched
+  void send_health_check(HostId) override {}  // never called: a gateway's settings exclude health checks
+  void watch_hosts() override {}              // the host list is always watched
   void poll_hosts() override {}
   void log(std::string_view text) override { logger_("policy", text); }
 
@@ -152,7 +151,7 @@
   PolicyCaller policy_;
   AttemptRunner runner_;
   ReplyDispatcher replies_;
-  Ms now_ = 0;  // of the call that is being served
+  Ms now_ = 0;  // of the current call
   bool processing_pending_ = false;
   std::optional<Ms> shutdown_deadline_;
 };
--- a/src/engine/limits.h
+++ b/src/engine/limits.h
@@ -1,4 +1,4 @@
-// Bounds on what one engine keeps, and its margins of time.
+// Limits on the requests that one engine holds, and its timeouts.
 #pragma once
 
 #include <cstddef>
@@ -9,9 +9,9 @@
 
 struct EngineLimits {
   std::size_t max_open_requests = 10'000;                 // requests without their final reply
-  std::size_t max_payload_bytes = std::size_t{24} << 20;  // of all payloads kept
-  Ms deadline_margin_ms = 20;     // taken off a client's timeout for the network in between
-  Ms shutdown_timeout_ms = 3450;  // from `begin_shutdown` until every request has its reply
+  std::size_t max_payload_bytes = std::size_t{24} << 20;  // of all payloads held
+  Ms deadline_margin_ms = 20;     // subtracted from a client's timeout for network latency
+  Ms shutdown_timeout_ms = 3450;  // from `begin_shutdown` until every request must have its reply
 };
 
 }  // namespace cometfold::engine
--- a/src/engine/metrics.h
+++ b/src/engine/metrics.h
@@ -11,21 +11,22 @@
 
 namespace cometfold::engine {
 
-// Requests rejected or failed by the policy, by its reasons, and those beyond the engine's limits.
+// Requests rejected or failed by the policy, by reason, and those rejected because of `EngineLimits`.
 struct RejectionMetrics {
   std::array<std::uint64_t, kRejectionReasonCount> by_reason{};
   std::uint64_t no_capacity = 0;
 };
 
 // What the attempt rules prevented, by verdict. A prevented decision is a defect of the policy. A prevented
-// first byte is a race, reported to the policy as not sent; so is a client that has just disconnected.
+// first byte is a race, and the policy is notified that the attempt was not sent; requests and attempts of a
+// client that has just disconnected are counted there too.
 struct RuleMetrics {
   std::array<std::uint64_t, kAttemptVerdictCount> decisions{};
   std::array<std::uint64_t, kAttemptVerdictCount> first_bytes{};
-  std::uint64_t rejections = 0;  // turned into failures, as an attempt may have been executed
+  std::uint64_t rejections = 0;  // changed to failures, as an attempt may have been executed
 };
 
-// How attempts ended, by outcome, and how many were not their request's first.
+// Ended attempts by outcome, and how many attempts were not the first of their request.
 struct AttemptMetrics {
   std::array<std::uint64_t, kOutcomeCount> by_outcome{};
   std::uint64_t retries = 0;
--- a/src/engine/policy_caller.h
+++ b/src/engine/policy_caller.h
@@ -1,5 +1,5 @@
-// Calls the policy such that an exception from it neither loses the request concerned nor prevents the rest
-// of the engine's work.
+// Calls the policy such that an exception from it neither loses the affected request nor interrupts the
+// engine.
 #pragma once
 
 #include <exception>
@@ -13,7 +13,7 @@
 
 namespace cometfold::engine {
 
-// Reports what an operator should know: what happened, and a detail.
+// Logs an event for the operator: what happened, and a detail.
 using EngineLogger = std::function<void(std::string_view what, std::string_view detail)>;
 
 class PolicyCaller {
@@ -22,8 +22,8 @@
 
   PolicyCaller(AdmissionPolicy& policy, const EngineLogger& logger) : policy_(policy), logger_(logger) {}
 
-  // Makes one call of the policy. False if it threw: then the failure is logged, and `about` is queued to be
-  // checked.
+  // Makes one call of the policy. Returns false if it threw: the exception is logged, and `about` is queued
+  // for `pop_faulted_request`.
   template <class Call>
   bool call(RequestId about, Call&& call) {
     in_call_ = true;
@@ -40,9 +40,10 @@
     return returned;
   }
 
-  // Whether a call is being made: its actions are carried out, but their consequences wait for its return.
+  // Whether a call is in progress: its actions are carried out at once, but their consequences after it
+  // returns.
   bool in_call() const { return in_call_; }
-  // The latest request about which the policy threw; removed from the queue.
+  // Removes and returns the latest request on which the policy threw, if there is one.
   std::optional<RequestId> pop_faulted_request() {
     if (faulted_requests_.empty()) return {};
     const RequestId request = faulted_requests_.back();
@@ -52,7 +53,7 @@
 
  private:
   void record_exception(RequestId about, std::string_view message) {
-    logger_("the policy threw", message);
+    logger_("the policy threw an exception", message);
     if (about != kNoRequest) faulted_requests_.push_back(about);
   }
 
--- a/src/engine/reply_dispatcher.cpp
+++ b/src/engine/reply_dispatcher.cpp
@@ -38,7 +38,7 @@
   }
 }
 
-// Each reply counts once, under the reason that came first.
+// Counts each reply once, under its first reason.
 void ReplyDispatcher::count_reason(RequestId id, RejectionReason reason) {
   const PendingRequest* const request = requests_.find(id);
   if (request && !request->answered) {
--- a/src/engine/reply_dispatcher.h
+++ b/src/engine/reply_dispatcher.h
@@ -13,7 +13,7 @@
 
 namespace cometfold::engine {
 
-// A request that already has its reply is left alone by each of these calls.
+// None of these calls delivers anything for a request that already has its reply.
 class ReplyDispatcher {
  public:
   ReplyDispatcher(RequestTable& requests, EngineMetrics& metrics, const RequestTracer& tracer)
@@ -23,21 +23,22 @@
   void reject(Ms now, RequestId id, Ms retry_after, RejectionReason reason);
   void fail_by_policy(Ms now, RequestId id, RejectionReason reason);
   void fail(Ms now, RequestId id, FailureReason reason);
-  // The client has its reply already, by a way past the engine.
+  // The client already has its reply, which did not pass through the engine.
   void finish_delivered(Ms now, RequestId id, Outcome outcome);
   // The client has disconnected, so that no reply is sent.
   void finish_disconnected(Ms now, RequestId id);
 
-  // A value that has started is the request's reply, whatever the policy decides afterwards.
+  // Whether a value has started for the request. It is the reply, whatever the policy decides afterwards.
   bool is_streaming(RequestId id) const;
-  // False if the request has its reply, or streams another attempt's value: this one's chunks are dropped.
+  // Returns false if the request has its reply, or another attempt's value is being streamed; this attempt's
+  // chunks are then discarded.
   bool start_value(Ms now, RequestId id, std::uint32_t attempt, std::size_t size);
-  // False if no more is wanted until the client can take more.
+  // Returns false if no more may follow until the client can take more.
   bool append_value(Ms now, RequestId id, std::uint32_t attempt, std::string_view chunk);
   void finish_value(Ms now, RequestId id, Outcome outcome);
   void resume_value(Ms now, RequestId id);
 
-  // The latest request that got its reply and was not returned by this call yet.
+  // Removes and returns the latest request that has finished, if there is one.
   std::optional<RequestId> pop_finished();
 
  private:
--- a/src/engine/request_table.h
+++ b/src/engine/request_table.h
@@ -1,4 +1,4 @@
-// The requests that the engine has accepted and not yet forgotten, with their attempts.
+// The requests that the engine has accepted and not yet erased, with their attempts.
 #pragma once
 
 #include <cstddef>
@@ -24,8 +24,8 @@
   Ms sent_at = 0;
   Ms expires_at = 0;  // when it is abandoned
   bool in_flight = true;
-  HostLocation location = {};  // of the host at the time of the decision
-  Ms host_started_at = 0;      // start of the host process that the decision was made for
+  HostLocation location = {};  // of the host when the attempt was decided on
+  Ms host_started_at = 0;      // start time of the host process that was chosen
   bool may_have_executed = true;
   bool awaits_first_byte = false;
   Outcome outcome = Outcome::kOk;  // valid when no longer in flight
@@ -39,18 +39,18 @@
   Ms expires_at = 0;
   std::uint64_t identity = 0;
   std::uint32_t class_index = 0;
-  std::optional<ClassSettings> class_settings;     // as at its acceptance; none: no rules apply
+  std::optional<ClassSettings> class_settings;     // at its acceptance; if empty, no attempt rules apply
   bool answered = false;                           // has its final reply, or its client has disconnected
-  std::optional<std::uint32_t> streaming_attempt;  // whose value is being streamed to the client
+  std::optional<std::uint32_t> streaming_attempt;  // the attempt whose value is the reply being streamed
   std::vector<Attempt> attempts;
   std::size_t in_flight_count = 0;
-  std::size_t unreported_end_count = 0;  // ends of attempts that the policy has not been notified of
+  std::size_t unreported_end_count = 0;  // ended attempts that the policy has not been notified of
 
   // Whether the client has closed its connection before it had its reply.
   bool client_disconnected() const { return !answered && handler->client_disconnected(response); }
 };
 
-// Entries stay at their address until they are erased.
+// Pointers to entries stay valid until the entry is erased.
 class RequestTable {
  public:
   struct AttemptRef {
@@ -63,7 +63,7 @@
   PendingRequest* find(RequestId id);
   bool contains(RequestId id) const { return requests_.contains(id); }
   bool identity_in_use(std::uint64_t identity) const { return open_identities_.contains(identity); }
-  // Whether `token` is the id of a request that is done and forgotten.
+  // Whether `token` is the id of a request that has been erased.
   bool is_forgotten(std::uint64_t token) const { return token <= last_request_id_ && !contains(token); }
 
   AttemptId next_attempt_id() { return ++last_attempt_id_; }
@@ -71,11 +71,11 @@
   std::optional<AttemptRef> find_attempt(AttemptId attempt) const;
   void erase_attempt_ref(AttemptId attempt) { attempts_.erase(attempt); }
 
-  // The request has its final reply: its identity is free.
+  // The request has its final reply: releases its identity.
   void mark_answered(PendingRequest& request);
   void mark_answered_keeping_identity(PendingRequest& request);
-  // Forgets the request if it is answered, none of its attempts is in flight and the policy knows of all
-  // ends.
+  // Erases the request if it is answered, none of its attempts is in flight and the policy has been notified
+  // of all ends.
   void erase_if_done(RequestId id);
 
   std::vector<RequestId> unanswered_ids() const;  // in ascending order
--- a/src/engine/request_tracer.h
+++ b/src/engine/request_tracer.h
@@ -1,4 +1,4 @@
-// Reports each step of each request to a listener, if there is one.
+// Reports the events of each request to a listener, if there is one.
 #pragma once
 
 #include <optional>
--- a/src/engine/timer_queue.cpp
+++ b/src/engine/timer_queue.cpp
@@ -6,7 +6,8 @@
 
 namespace {
 
-// Above this size most timers belong to requests that are done, and the queue is rebuilt without them.
+// Above a size of kMinRebuildSize plus kMaxTimersPerRequest for each request, most timers belong to erased
+// requests, and the queue is rebuilt without them.
 constexpr std::size_t kMinRebuildSize = 2048;
 constexpr std::size_t kMaxTimersPerRequest = 12;
 
--- a/src/engine/timer_queue.h
+++ b/src/engine/timer_queue.h
@@ -18,12 +18,13 @@
   enum Kind : std::uint8_t { kPolicy, kDeadline };
   Ms at = 0;
   Kind kind = kPolicy;
-  std::uint64_t token = 0;  // kPolicy: the policy's; kDeadline: the request's id
+  std::uint64_t token = 0;  // kPolicy: the policy's token; kDeadline: the request's id
   bool operator>(const Timer& other) const { return at > other.at; }
 };
 
-// Timers can't be revoked. Those of requests that are done are dropped when the next one is looked up, as
-// they would only wake the process; a token up to the newest request's id is taken for that request's.
+// Timers can't be cancelled. Those of erased requests are dropped when the next timer is looked up, so that
+// they don't wake the process for nothing. A token up to the newest request's id is taken for the id of a
+// request.
 class TimerQueue {
  public:
   void push(const Timer& timer) { timers_.push(timer); }
--- a/src/engine/upstream_transport.h
+++ b/src/engine/upstream_transport.h
@@ -7,7 +7,8 @@
 
 namespace cometfold::engine {
 
-// Outcome of starting an attempt. A local shortage is kept apart because it must not count against the host.
+// Result of starting an attempt. Lack of local capacity has a value of its own, as it must not count against
+// the host.
 enum class StartResult : std::uint8_t {
   kStarted,
   kHostUnavailable,  // unknown, draining or removed
@@ -20,17 +21,17 @@
   // `timeout`: milliseconds that the attempt may take. Once started, exactly one `Engine::on_attempt_end`
   // follows, never from inside this call, unless the attempt is abandoned or withdrawn first.
   virtual StartResult start(Ms now, AttemptId attempt, HostId host, const Payload& payload, Ms timeout) = 0;
-  // The attempt's result is no longer wanted; it may have been executed. No `on_attempt_end` follows. Returns
-  // whether the host is to blame for the missing reply.
+  // Abandons an attempt, whose result is no longer needed; it may have been executed. No `on_attempt_end`
+  // follows. Returns whether the host is at fault for the missing reply.
   virtual bool abandon(Ms now, AttemptId attempt) = 0;
-  // Abandons the attempt if its last byte is not written yet, so that it is never executed. Returns false if
-  // it may have been executed, and leaves it in flight then.
+  // Abandons the attempt if its last byte is not written yet, so that it is never executed. Otherwise returns
+  // false and leaves it in flight, as it may have been executed.
   virtual bool withdraw(Ms now, AttemptId attempt) = 0;
-  // Starts nothing new at this host. Attempts that wait for a connection to it end, possibly from inside this
-  // call.
+  // Starts no new attempts at this host. Attempts that wait for a connection to it end, possibly from inside
+  // this call.
   virtual void retire_host(Ms now, HostId host) = 0;
   // Whether the first byte of a started attempt is still to be written. `Engine::may_write` must be called
-  // before it is.
+  // before it is written.
   virtual bool awaits_first_byte(AttemptId) const { return false; }
   // The client can take more after `Engine::on_value_chunk` returned false for this attempt.
   virtual void resume(Ms, AttemptId) {}
--- a/src/settings/numbering.cpp
+++ b/src/settings/numbering.cpp
@@ -40,8 +40,8 @@
   std::vector<Item> items;
 };
 
-// The index of the entry of this name, or else a withdrawn index whose settings equal the entry's. `taken`
-// holds the names assigned to indices so far.
+// The index of the current entry of this name if the new settings may replace it, or else a withdrawn index
+// whose settings equal `item`. `taken` holds the names assigned to indices so far.
 template <class Item>
 std::optional<std::size_t> existing_index(const NamedItems<Item>& current,
                                           const std::vector<std::string>& taken, const std::string& name,
