--- a/src/rules/at_most_once_monitor.cpp
+++ b/src/rules/at_most_once_monitor.cpp
@@ -45,7 +45,7 @@
   return {};
 }
 
-// A rejection implies that a retry is harmless.
+// A rejection implies that a retry by the client is safe.
 std::optional<Violation> AtMostOnceMonitor::check_rejection(const Event& event,
                                                             const Request& request) const {
   const auto& settings = settings_.classes[request.class_index];
--- a/src/rules/at_most_once_monitor.h
+++ b/src/rules/at_most_once_monitor.h
@@ -1,5 +1,5 @@
 // Rule "no effect twice": a request that may have been executed is retried, or rejected, only as its class
-// permits. Also bounds the attempts of one request, in all and in flight at once.
+// permits. Also bounds the attempts of one request, in total and in flight.
 #pragma once
 
 #include <cstdint>
--- a/src/rules/ceiling_monitor.h
+++ b/src/rules/ceiling_monitor.h
@@ -1,6 +1,6 @@
-// Rule "ceilings kept", over all gateways together: first attempts draw their units from one token bucket for
-// each customer, which starts full, refills at the ceiling's rate and may fall to minus its slack. The
-// customer's attempts in flight stay within the plan's limit.
+// Rule "ceilings kept", across all gateways: the first attempt of each request draws its units from one token
+// bucket for each customer, which starts full, refills at the ceiling's rate and may fall to minus the slack.
+// The customer's attempts in flight stay within the plan's limit.
 #pragma once
 
 #include <cstdint>
@@ -13,7 +13,7 @@
 
 class CeilingMonitor : public Monitor {
  public:
-  // `extra_slack`: milliseconds of the ceiling's rate by which the slack is wider on real sockets.
+  // `extra_slack`: additional slack for real sockets, in milliseconds of the ceiling's rate.
   CeilingMonitor(const AdmissionSettings& settings, Ms extra_slack)
       : settings_(settings), extra_slack_(extra_slack) {}
   std::optional<Violation> observe(const Event& event) override;
--- a/src/rules/drain_monitor.cpp
+++ b/src/rules/drain_monitor.cpp
@@ -21,7 +21,7 @@
   if (event.kind == Event::kHostUpdate) update_host(event);
   if (event.kind != Event::kAttemptFirstByte) return {};
   const auto found = notified_at_.find({event.gateway, event.host});
-  // Without a grace period the instant of the notification itself is too late.
+  // Without a grace period, an attempt at the time of the notification is already too late.
   const Ms tolerance = grace_ > 0 ? 0 : kRoundingTolerance;
   if (found == notified_at_.end() || event.at <= found->second + grace_ - tolerance) return {};
   return Violation{"drains kept", format_request(event.request) + " was sent to host " +
--- a/src/rules/drain_monitor.h
+++ b/src/rules/drain_monitor.h
@@ -1,5 +1,5 @@
-// Rule "drains kept": once a gateway was notified that a host drains or is removed, it sends the host nothing
-// new after a grace period.
+// Rule "drains kept": after a gateway is notified that a host drains or is removed, and a grace period, it
+// starts no new attempts at the host.
 #pragma once
 
 #include <map>
@@ -12,7 +12,7 @@
 
 class DrainMonitor : public Monitor {
  public:
-  // `grace`: milliseconds; 0 in simulated time, where a notification takes effect at once.
+  // `grace`: in milliseconds; 0 in simulated time, where a notification takes effect at once.
   explicit DrainMonitor(Ms grace) : grace_(grace) {}
   std::optional<Violation> observe(const Event& event) override;
   void digest(engine::Digest& into) const override;
@@ -21,7 +21,7 @@
   void update_host(const Event& event);
 
   Ms grace_;
-  std::map<std::pair<GatewayId, HostId>, Ms> notified_at_;  // the first notification of the host's drain
+  std::map<std::pair<GatewayId, HostId>, Ms> notified_at_;  // first notification of a drain or removal
 };
 
 }  // namespace cometfold::rules
--- a/src/rules/monitor.h
+++ b/src/rules/monitor.h
@@ -1,8 +1,8 @@
-// What a rule monitor observes and reports. Monitors judge what went over the wires, as an outside observer
-// sees it, and know nothing of the engine's tables, so that they can disagree with it.
+// The interface of rule monitors. A monitor checks the messages on the network as an outside observer sees
+// them. It doesn't use the engine's state, so that it finds faults in it.
 //
-// An observer reports events in order of time. Monitors remember each request for good: they are for
-// explorations and tests, not for service. Without I/O; not thread-safe.
+// Events must be passed in order of time. Monitors keep every request forever: they are for the model checker
+// and tests, not for production. No I/O; not thread-safe.
 #pragma once
 
 #include <cstdint>
@@ -17,7 +17,7 @@
 
 using GatewayId = std::uint32_t;
 
-// `request` is the request's id on the wire, `connection` identifies a connection to a host.
+// `request` is the request's id in the protocol, `connection` identifies a connection to a host.
 struct Event {
   enum Kind : std::uint8_t {
     kRequestReceived,     // a request's last byte was written to a gateway's client connection
@@ -28,10 +28,10 @@
     kExecuted,            // a host executed the request and produced `value`
     kAttemptFirstByte,    // an attempt's first byte was written to a host's connection
     kAttemptWritten,      // an attempt's last byte was written
-    kNotExecuted,         // the host says, or the connection proves, that the attempt is never executed
-    kAttemptEnded,        // the attempt is no longer in flight: answered, or its connection has ended
-    kHostUpdate,          // a gateway was notified of a host's state
-    kGatewayCrashed,      // a gateway ended without warning: clients must retry what it had accepted
+    kNotExecuted,     // the host's reply or the connection's state proves that the attempt is never executed
+    kAttemptEnded,    // the attempt is no longer in flight: answered, or its connection has closed
+    kHostUpdate,      // a gateway was notified of a host's state
+    kGatewayCrashed,  // a gateway crashed: clients must retry the requests that it had accepted
   };
   Kind kind = kRequestReceived;
   Ms at = 0;
@@ -54,7 +54,7 @@
   return kind == Event::kServed || kind == Event::kRejected || kind == Event::kFailed;
 }
 
-// Both texts are stored in trace files and compared with them.
+// Both texts are stored in trace files, which the model checker's tests compare.
 struct Violation {
   std::string rule;
   std::string description;
@@ -64,7 +64,7 @@
  public:
   virtual ~Monitor() = default;
   virtual std::optional<Violation> observe(const Event& event) = 0;
-  // Called from time to time and at the end: reports what should have happened by now and has not.
+  // Called periodically and at the end: reports what should have happened by now and has not.
   virtual std::optional<Violation> check_deadlines(Ms) { return {}; }
   virtual void digest(engine::Digest& into) const = 0;
 };
--- a/src/rules/rule_monitors.h
+++ b/src/rules/rule_monitors.h
@@ -1,4 +1,4 @@
-// The monitors of all five rules together.
+// Runs the monitors of all five rules.
 #pragma once
 
 #include <memory>
@@ -14,14 +14,14 @@
   struct Tolerances {
     Ms reply_slack_ms = 50;
     Ms drain_grace_ms = 250;
-    Ms ceiling_slack_ms = 150;  // of a ceiling's rate
+    Ms ceiling_slack_ms = 150;  // in milliseconds of the ceiling's rate
     double warm_host_capacity =
-        0;  // requests a second of a host that has warmed up; 0: unknown, slow start unchecked
+        0;  // requests per second of a warm host; 0 if unknown: slow start is not checked
   };
   RuleMonitors(const AdmissionSettings& settings, const Tolerances& tolerances);
   void observe(const Event& event);
   void check_deadlines(Ms now);
-  // The first kMaxViolations of them, in order of time.
+  // In order of time; further violations are dropped once there are kMaxViolations.
   const std::vector<Violation>& violations() const { return violations_; }
   void digest(engine::Digest& into) const;
 
--- a/src/rules/single_reply_monitor.h
+++ b/src/rules/single_reply_monitor.h
@@ -1,5 +1,5 @@
-// Rule "no request lost": each request has one final reply in time, a served one carries the value that a
-// host produced for it, and nothing is sent for it afterwards.
+// Rule "no request lost": each request gets exactly one final reply in time, a value in it is one that a host
+// produced for the request, and no attempt is written after the reply.
 #pragma once
 
 #include <cstdint>
@@ -14,7 +14,7 @@
 
 class SingleReplyMonitor : public Monitor {
  public:
-  // `slack`: milliseconds beyond the deadline that a reply may take.
+  // `slack`: how much later than its deadline a reply may be, in milliseconds.
   explicit SingleReplyMonitor(Ms slack) : slack_(slack) {}
   std::optional<Violation> observe(const Event& event) override;
   std::optional<Violation> check_deadlines(Ms now) override;
--- a/src/rules/slow_start_monitor.cpp
+++ b/src/rules/slow_start_monitor.cpp
@@ -14,7 +14,7 @@
 
 double SlowStartMonitor::capacity_between(Ms started_at, Ms from, Ms to) const {
   const Ms warm_at = std::min(to, started_at + settings_.slow_start_duration_ms);
-  // The weight rises linearly, so its mean is that in the middle.
+  // The weight rises linearly, so its mean is its value in the middle of the interval.
   const double warming = from < warm_at ? weight((from + warm_at) / 2 - started_at) * (warm_at - from) : 0;
   const double warm = std::max(to - std::max(warm_at, from), 0.0);
   return warm_capacity_ * (warming + warm) / 1000;
--- a/src/rules/slow_start_monitor.h
+++ b/src/rules/slow_start_monitor.h
@@ -1,5 +1,5 @@
-// Rule "no cold host pushed over": within any `overload_window_ms`, all gateways together send a host that
-// has just started at most `overload_factor` times what it can serve in that time.
+// Rule "no cold host pushed over": in any `overload_window_ms`, all gateways together send a host that has
+// just started at most `overload_factor` times the requests that it can serve in that time.
 #pragma once
 
 #include <deque>
@@ -12,8 +12,8 @@
 
 class SlowStartMonitor : public Monitor {
  public:
-  // `warm_capacity`: requests a second of a host that has warmed up; 0: unknown, and nothing is checked.
-  // Capacity rises linearly from `slow_start_initial_weight` of it over `slow_start_duration_ms`.
+  // `warm_capacity`: requests per second of a warm host; 0 if unknown: nothing is checked. A host's capacity
+  // rises linearly from `slow_start_initial_weight` times this over `slow_start_duration_ms`.
   SlowStartMonitor(const AdmissionSettings& settings, double warm_capacity)
       : settings_(settings), warm_capacity_(warm_capacity) {}
   std::optional<Violation> observe(const Event& event) override;
--- a/src/rules/violation_text.h
+++ b/src/rules/violation_text.h
@@ -1,4 +1,4 @@
-// Parts of the texts of violations, shared by the monitors.
+// Helpers for the descriptions of violations.
 #pragma once
 
 #include <cstdint>
@@ -6,7 +6,7 @@
 
 namespace cometfold::rules {
 
-// Units and milliseconds by which a bound may be exceeded through rounding.
+// Tolerance for rounding errors, in units or milliseconds.
 inline constexpr double kRoundingTolerance = 1e-6;
 
 std::string format_number(double value);  // without trailing zeros
