--- a/src/rules/monitor.h
+++ b/src/rules/monitor.h
@@ -54,7 +54,7 @@
   return kind == Event::kServed || kind == Event::kRejected || kind == Event::kFailed;
 }
 
-// Both texts are stored in trace files, which the model checker's tests compare.
+// Both texts are stored in trace files, and tests compare them with those of a replay.
 struct Violation {
   std::string rule;
   std::string description;
--- a/src/rules/rule_monitors.h
+++ b/src/rules/rule_monitors.h
@@ -15,8 +15,8 @@
     Ms reply_slack_ms = 50;
     Ms drain_grace_ms = 250;
     Ms ceiling_slack_ms = 150;  // in milliseconds of the ceiling's rate
-    double warm_host_capacity =
-        0;  // requests per second of a warm host; 0 if unknown: slow start is not checked
+    // Requests per second of a warm host; 0 if unknown: slow start is not checked.
+    double warm_host_capacity = 0;
   };
   RuleMonitors(const AdmissionSettings& settings, const Tolerances& tolerances);
   void observe(const Event& event);
--- a/tests/engine_test.cpp
+++ b/tests/engine_test.cpp
@@ -1,5 +1,5 @@
-// The engine's guarantees, whatever its policy does. Each hard case runs twice: on the engine as it is, and
-// on one with the deliberate fault that the case guards against, which must show.
+// Tests the engine's guarantees, whatever its policy does. Many cases run twice: on the correct engine, and
+// on one with the mutant that the case guards against, where the check must fail.
 #include "engine/engine.h"
 
 #include <gtest/gtest.h>
@@ -21,7 +21,7 @@
   std::size_t bytes() const override { return 10; }
 };
 
-// A policy that does what a test sets for each call.
+// A policy whose actions for each call are set by the test.
 struct ScriptedPolicy : AdmissionPolicy {
   std::function<void(ActionSink&)> request_action;
   std::function<void(ActionSink&)> host_list_action;
@@ -54,7 +54,7 @@
   std::set<AttemptId> in_flight;
   std::set<AttemptId> written;
   std::set<HostId> retired;
-  std::map<AttemptId, HostId> hosts;  // of each attempt that was started
+  std::map<AttemptId, HostId> hosts;  // by attempt; all that were started
   AttemptId last_attempt = 0;
   StartResult start_result = StartResult::kStarted;
   bool connecting = false;  // started attempts wait for their connection
@@ -118,7 +118,7 @@
   return [=](ActionSink& out) { out.send(request, host, 0); };
 }
 
-// Runs `holds` on the engine as it is, where it must hold, and on one with `fault`, where it must not.
+// Checks that `holds` is true on the correct engine and false on one with `fault`.
 void expect_guarded(Mutant fault, const std::function<bool(Fixture&)>& holds) {
   {
     Fixture f;
@@ -159,7 +159,7 @@
     };
     f.accept(0);
     f.transport.written.insert(1);
-    f.end_attempt(5, 1, Outcome::kOk, "v");  // the policy cancels nothing
+    f.end_attempt(5, 1, Outcome::kOk, "v");  // the policy cancels no attempt
     return f.transport.in_flight.empty() && f.engine.open_count() == 0 && f.policy.attempt_ends.size() == 2;
   });
 }
@@ -186,7 +186,7 @@
   for (const bool answer_first : {true, false}) {
     expect_guarded(Mutant::kDuplicateReply, [&](Fixture& f) {
       f.policy.request_action = send_to(1);
-      // A policy that replies again to each event.
+      // A policy that replies again on each event.
       f.policy.attempt_end_action = [](const AttemptResult&, ActionSink& out) {
         out.fail(1, RejectionReason::kAttemptsExhausted);
         out.fail(1, RejectionReason::kAttemptsExhausted);
@@ -259,7 +259,7 @@
 
 TEST(Engine, LosesNothingIfThePolicyThrowsInAnyCall) {
   const auto throw_error = [](ActionSink&) { throw std::runtime_error("x"); };
-  {  // after a send: the attempt continues and may serve the request
+  {  // after it started an attempt: the attempt continues and may serve the request
     Fixture f;
     f.policy.request_action = [](ActionSink& out) {
       out.send(1, 1, 0);
@@ -270,7 +270,7 @@
     f.end_attempt(5, 1, Outcome::kOk, "v");
     EXPECT_EQ(f.handler.replies, Fixture::Replies{"served v"});
   }
-  {  // on the last attempt end: nothing else could answer the request
+  {  // on the end of the last attempt: no other attempt could answer the request
     Fixture f;
     f.policy.request_action = send_to(1);
     f.policy.attempt_end_action = [](const AttemptResult&, ActionSink&) { throw 7; };
@@ -279,7 +279,7 @@
     EXPECT_EQ(f.handler.replies, Fixture::Replies{"failed 3"});
     EXPECT_EQ(f.engine.open_count(), 0u);
   }
-  {  // at the start, on a timer and on a disconnected client
+  {  // on the start, on a timer and on a client's disconnect
     Fixture f;
     f.policy.start_action = f.policy.timer_action = f.policy.disconnect_action = throw_error;
     f.engine.start(0);
@@ -327,7 +327,7 @@
   EXPECT_EQ(rejections[static_cast<std::size_t>(RejectionReason::kLoadShed)], 1u);
   EXPECT_EQ(rejections[static_cast<std::size_t>(RejectionReason::kAttemptsExhausted)], 0u);
   EXPECT_TRUE(f.transport.in_flight.empty());
-  ASSERT_EQ(f.policy.attempt_ends.size(), 1u);  // the attempt never began
+  ASSERT_EQ(f.policy.attempt_ends.size(), 1u);  // the attempt was never started
   EXPECT_EQ(f.policy.attempt_ends[0].outcome, Outcome::kNotSent);
   EXPECT_EQ(f.engine.open_count(), 0u);
 }
@@ -351,11 +351,11 @@
 }
 
 TEST(Engine, KeepsItsLimits) {
-  Fixture f;  // limits: three open requests and 25 bytes; each has ten
+  Fixture f;  // limits: three open requests and 25 bytes; each request has ten
   f.policy.request_action = nullptr;
   EXPECT_EQ(f.accept(0, 1), AcceptResult::kAccepted);
   EXPECT_EQ(f.accept(0, 2), AcceptResult::kAccepted);
-  EXPECT_EQ(f.accept(0, 3), AcceptResult::kNoCapacity);  // by bytes
+  EXPECT_EQ(f.accept(0, 3), AcceptResult::kNoCapacity);  // over the limit on bytes
   f.engine.on_client_disconnected(1, 1);
   EXPECT_EQ(f.accept(1, 3), AcceptResult::kAccepted);
   // Timers of finished requests do not accumulate.
@@ -398,7 +398,7 @@
   return settings;
 }
 
-// Hosts 1 and 2 of one zone, 3 of another.
+// Lists hosts 1 and 2 in one zone, and 3 in another.
 void list_hosts(Engine& engine, Ms now) {
   std::vector<HostEntry> entries;
   for (const HostId id : {1, 2, 3}) entries.push_back({.id = id, .zone = id / 3, .cell = 0});
@@ -450,7 +450,7 @@
   }
 }
 
-// An attempt waits for its connection until its first byte may be written.
+// One request whose attempt is waiting for its connection.
 struct WaitingAttempt : Fixture {
   explicit WaitingAttempt(const AdmissionSettings& settings = settings_for(Idempotency::kIdempotencyKey)) {
     engine.update_settings(settings);
@@ -487,8 +487,8 @@
   EXPECT_EQ(prevented_first_bytes(f.engine, AttemptVerdict::kDeadlineExceeded), 1u);
 }
 
-// The hedged request was written while the first attempt still waited. The one written second is the retry,
-// whichever was decided on first.
+// The hedged request is written while the first attempt still waits. The attempt that is written second
+// counts as the retry, even if it was decided on first.
 TEST(AttemptRules, HoldAWaitingAttemptToAHedgedRequestWrittenMeanwhile) {
   const std::pair<Ms, std::optional<AttemptVerdict>> cases[] = {{300, {}},
                                                                 {1500, AttemptVerdict::kKeyExpired}};
@@ -496,7 +496,7 @@
     WaitingAttempt f;
     f.transport.connecting = false;
     f.policy.host_list_action = send_to(2);
-    list_hosts(f.engine, 1);  // any event on which the policy sends its hedged request
+    list_hosts(f.engine, 1);  // an event on which the policy sends its hedged request
     ASSERT_EQ(f.transport.hosts.size(), 2u);
     EXPECT_EQ(f.write_first_byte(now).has_value(), !verdict);
     if (!verdict) continue;
--- a/tests/monitors_test.cpp
+++ b/tests/monitors_test.cpp
@@ -1,4 +1,5 @@
-// The monitors on histories written by hand: each reports the bad one and not the nearest good one.
+// Tests the rule monitors on handwritten histories: each reports the violation, and not the closest valid
+// history.
 #include <gtest/gtest.h>
 
 #include "rules/rule_monitors.h"
@@ -174,7 +175,7 @@
     EXPECT_VIOLATION("after the gateway was notified", settings,
                      {request_received(0), leaving, host_update(340, leaving.entry),
                       attempt_event(Event::kAttemptFirstByte, 351, 1)});
-    // A notification binds only the gateway that got it.
+    // A notification applies only to the gateway that got it.
     auto other = attempt_event(Event::kAttemptFirstByte, 400, 1);
     other.gateway = 2;
     EXPECT_HOLDS(settings, {request_received(0), leaving, other});
@@ -182,7 +183,8 @@
 }
 
 TEST(SlowStartMonitor, BoundsAttemptsByCapacityTimesFactor) {
-  auto settings = settings_of_three_classes();  // from 0.2, warm after 10 settings, factor 2, fall 1 s
+  // Initial weight 0.2, warm after 10 s, overload factor 2, window 1 s.
+  auto settings = settings_of_three_classes();
   const auto flood = [&](Ms started, Ms from, int n) {
     std::vector<Event> history{host_update(0, {1, HostState::kReady, started, 0, 0, 1, 1})};
     for (int i = 0; i < n; ++i) {
@@ -192,11 +194,12 @@
     }
     return history;
   };
-  // Warm it serves 100 a second; in its first second 100 x 0.24, times the factor of 2 is 48.
+  // A warm host serves 100 requests per second. In the first second this one can serve 100 x 0.24, and twice
+  // that is 48.
   EXPECT_HOLDS(settings, flood(1000, 1000, 48), 0, 100);
   EXPECT_VIOLATION("the limit is", settings, flood(1000, 1000, 49), 0, 100);
-  EXPECT_HOLDS(settings, flood(1000, 11'500, 190), 0, 100);  // warm by then: not bound by this rule
-  EXPECT_HOLDS(settings, flood(0, 1000, 300), 0, 100);       // its start is unknown
+  EXPECT_HOLDS(settings, flood(1000, 11'500, 190), 0, 100);  // warm by then: 198 are allowed
+  EXPECT_HOLDS(settings, flood(0, 1000, 300), 0, 100);       // its start time is unknown
 }
 
 TEST(CeilingMonitor, BoundsRateAndConcurrencyOverAllGateways) {
@@ -218,7 +221,7 @@
   };
   EXPECT_HOLDS(settings, sends(6, 0));
   EXPECT_VIOLATION("exceeds its ceiling", settings, sends(7, 0));
-  EXPECT_HOLDS(settings, sends(100, 100));  // at the ceiling's rate
+  EXPECT_HOLDS(settings, sends(100, 100));  // exactly at the ceiling's rate
   EXPECT_VIOLATION("exceeds its ceiling", settings, sends(100, 90));
   // Retries draw no tokens.
   auto again = sends(6, 0);
--- a/tests/support.h
+++ b/tests/support.h
@@ -1,4 +1,4 @@
-// A sink that remembers actions, and settings to start from.
+// Shared helpers: an action sink that records actions, basic settings, and a gateway with a simulated clock.
 #pragma once
 
 #include <algorithm>
@@ -15,8 +15,8 @@
   enum Kind { kSend, kCancel, kRefuse, kFail, kWake, kProbe, kFollow, kFetch, kNote } kind;
   std::uint64_t id = 0;  // request or token
   HostId host = 0;
-  double value = 0;                                   // time, or the attempt's number
-  RejectionReason why = RejectionReason::kMalformed;  // of refusals and failures
+  double value = 0;                                   // milliseconds, or the attempt's index
+  RejectionReason why = RejectionReason::kMalformed;  // of rejections and failures
 };
 
 class Recorder : public ActionSink {
@@ -45,7 +45,7 @@
     }
     return nullptr;
   }
-  // Why this request was refused or given up; nothing if it was not.
+  // Why this request was rejected or failed; empty if it was neither.
   std::optional<RejectionReason> why(std::uint64_t id) const {
     for (const auto kind : {Act::kRefuse, Act::kFail}) {
       if (const Act* a = of(kind, id)) return a->why;
@@ -82,7 +82,7 @@
   return {id, state, started, 0, zone, zone * 10, 1};
 }
 
-// One gateway with its sink and a running clock.
+// An admission controller with its action sink and a simulated clock.
 struct Gateway {
   AdmissionSettings settings;
   AdmissionController control;
@@ -99,7 +99,7 @@
   void list(HostListUpdate kind, std::vector<HostEntry> hosts) {
     control.on_host_list(now, kind, hosts, out);
   }
-  // Hands in a request; true if it was sent on.
+  // Passes a request to the controller. Returns whether an attempt was sent.
   bool ask(RequestId id, double units = 1, double spread = 2, CustomerId customer = 1, std::uint32_t cls = 0,
            Ms lasts = 4000) {
     control.on_request(now, {id, cls, 0, customer, now + lasts, units, spread}, out);
@@ -116,13 +116,13 @@
     }
   }
   void tick() { control.on_timer(now, ~std::uint64_t{0}, out); }
-  void wait(Ms span) {  // ticks of 100 ms, as asked for by the module
+  void wait(Ms span) {  // in steps of 100 ms, with a timer event after each
     for (Ms left = span; left > 0; left -= 100) {
       now += std::min(left, 100.0);
       tick();
     }
   }
-  RequestId fill(RequestId id, int n) {  // n sends of customers of their own, answered at once
+  RequestId fill(RequestId id, int n) {  // n requests of different customers, each answered at once
     for (int i = 0; i < n; ++i, ++id) {
       ask(id, 1, 2, 1'000'000 + id);
       answer_all();
