--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -22,7 +22,7 @@
 }
 
 // A mutant that skips an earlier check must pass this one too, or the fault would have no effect.
-bool mutant_sends_after_answer() {
+bool mutant_sends_after_reply() {
   return mutant(Mutant::kSendsAfterReply) || mutant(Mutant::kServesAbandonedAttempt);
 }
 bool mutant_sends_to_drained_host() {
@@ -75,7 +75,7 @@
 AttemptVerdict AttemptGate::check_first_byte(Ms now, const PendingRequest& request,
                                              std::uint32_t attempt) const {
   const Attempt& own = request.attempts[attempt];
-  if (request.answered && !mutant_sends_after_answer()) return AttemptVerdict::kAnswered;
+  if (request.answered && !mutant_sends_after_reply()) return AttemptVerdict::kAnswered;
   if (request.client_disconnected()) return AttemptVerdict::kClientDisconnected;
   if (now >= own.expires_at) return AttemptVerdict::kDeadlineExceeded;
   const auto host = ready_hosts_.find(own.host);
--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -194,7 +194,7 @@
       runner_.withdraw_waiting(now_, *finished);
       requests_.erase_if_done(*finished);
     } else if (const auto faulted = policy_.pop_faulted_request()) {
-      fail_if_stranded(*faulted);
+      fail_if_unanswerable(*faulted);
     } else if (!runner_.has_unreported_ends()) {
       break;
     }
@@ -212,7 +212,7 @@
 // Fails a request on which the policy threw if no attempt is left that could answer it. It fails at once
 // rather than at its deadline, so that its client can retry sooner, and the policy is told that the client
 // disconnected, so that it forgets the request.
-void Engine::fail_if_stranded(RequestId id) {
+void Engine::fail_if_unanswerable(RequestId id) {
   PendingRequest* const request = requests_.find(id);
   if (!request || request->answered || request->in_flight_count > 0) return;
   if (mutant(Mutant::kDropsRequestOnPolicyException)) {
--- a/src/engine/engine.h
+++ b/src/engine/engine.h
@@ -137,7 +137,7 @@
                               IncomingRequest& incoming) const;
   void process_pending();
   void report_attempt_ends();
-  void fail_if_stranded(RequestId id);
+  void fail_if_unanswerable(RequestId id);
   void expire(RequestId id);
 
   EngineLogger logger_;
--- a/src/engine/request_table.h
+++ b/src/engine/request_table.h
@@ -64,7 +64,7 @@
   bool contains(RequestId id) const { return requests_.contains(id); }
   bool identity_in_use(std::uint64_t identity) const { return open_identities_.contains(identity); }
   // Whether `token` is the id of a request that has been erased.
-  bool is_forgotten(std::uint64_t token) const { return token <= last_request_id_ && !contains(token); }
+  bool is_erased(std::uint64_t token) const { return token <= last_request_id_ && !contains(token); }
 
   AttemptId next_attempt_id() { return ++last_attempt_id_; }
   void add_attempt_ref(AttemptId attempt, AttemptRef ref) { attempts_.emplace(attempt, ref); }
--- a/src/engine/timer_queue.cpp
+++ b/src/engine/timer_queue.cpp
@@ -27,12 +27,12 @@
 }
 
 void TimerQueue::drop_obsolete(const RequestTable& requests) {
-  while (!timers_.empty() && requests.is_forgotten(timers_.top().token)) timers_.pop();
+  while (!timers_.empty() && requests.is_erased(timers_.top().token)) timers_.pop();
   // Timers of finished requests with distant deadlines accumulate below the top.
   if (timers_.size() <= kMinRebuildSize + kMaxTimersPerRequest * requests.size()) return;
   std::vector<Timer> active;
   for (; !timers_.empty(); timers_.pop()) {
-    if (!requests.is_forgotten(timers_.top().token)) active.push_back(timers_.top());
+    if (!requests.is_erased(timers_.top().token)) active.push_back(timers_.top());
   }
   timers_ = decltype(timers_)(std::greater<>(), std::move(active));
 }
@@ -40,7 +40,7 @@
 void TimerQueue::digest(const RequestTable& requests, Digest& into) const {
   for (auto timers = timers_; !timers.empty(); timers.pop()) {
     const Timer& timer = timers.top();
-    if (requests.is_forgotten(timer.token)) continue;
+    if (requests.is_erased(timer.token)) continue;
     into.add(timer.at);
     into.add(timer.token * 2 + timer.kind);
   }
