--- a/src/rules/at_most_once_monitor.cpp
+++ b/src/rules/at_most_once_monitor.cpp
@@ -10,7 +10,7 @@
 
 namespace {
 
-Violation repeated(std::uint64_t request, const std::string& what) {
+Violation make_violation(std::uint64_t request, const std::string& what) {
   return {"no effect twice", format_request(request) + what};
 }
 
@@ -55,7 +55,7 @@
   const bool may_have_executed = std::any_of(request.attempts.begin(), request.attempts.end(),
                                              [](const auto& each) { return each.may_have_executed; });
   if (harmless || !may_have_executed) return {};
-  return repeated(event.request, " was rejected although an attempt may have been executed");
+  return make_violation(event.request, " was rejected although an attempt may have been executed");
 }
 
 std::optional<Violation> AtMostOnceMonitor::check_retry(const Event& event, const Request& request) const {
@@ -65,12 +65,12 @@
   for (const auto& earlier : request.attempts) {
     if (!earlier.may_have_executed) continue;
     if (settings.idempotency == Idempotency::kNonIdempotent) {
-      violation =
-          repeated(event.request, ", not idempotent, was retried although an attempt may have been executed");
+      violation = make_violation(event.request,
+                                 ", not idempotent, was retried although an attempt may have been executed");
     } else if (!in_same_scope(settings.idempotency_scope, earlier.host, event.host)) {
-      violation = repeated(event.request, " was retried outside the scope of its idempotency key");
+      violation = make_violation(event.request, " was retried outside the scope of its idempotency key");
     } else if (event.at > earlier.sent_at + settings.idempotency_key_ttl_ms) {
-      violation = repeated(event.request, " was retried after its idempotency key had expired");
+      violation = make_violation(event.request, " was retried after its idempotency key had expired");
     }
   }
   return violation;
@@ -83,10 +83,10 @@
   request.attempts.push_back({event.connection, event.host, event.at, true, true});
   if (violation) return violation;
   if (in_flight >= (settings_.hedging_allowed ? 2 : 1)) {
-    return repeated(event.request, " has more attempts in flight than the settings allow");
+    return make_violation(event.request, " has more attempts in flight than the settings allow");
   }
   if (static_cast<double>(request.attempts.size()) > settings_.max_attempts) {
-    return repeated(event.request, " had more attempts than the settings allow");
+    return make_violation(event.request, " had more attempts than the settings allow");
   }
   return {};
 }
--- a/src/rules/ceiling_monitor.cpp
+++ b/src/rules/ceiling_monitor.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-Violation exceeded(CustomerId customer, const std::string& what) {
+Violation make_violation(CustomerId customer, const std::string& what) {
   return {"ceilings kept", "customer " + std::to_string(customer) + what};
 }
 
@@ -43,9 +43,9 @@
   customer.in_flight += 1;
   const double max_in_flight = std::ceil(plan.max_concurrent_attempts + plan.ceiling_slack);
   if (plan.max_concurrent_attempts > 0 && customer.in_flight > max_in_flight + kRoundingTolerance) {
-    return exceeded(request.customer, " has " + format_number(customer.in_flight) +
-                                          " attempts in flight; its plan allows " +
-                                          format_number(plan.max_concurrent_attempts));
+    return make_violation(request.customer, " has " + format_number(customer.in_flight) +
+                                                " attempts in flight; its plan allows " +
+                                                format_number(plan.max_concurrent_attempts));
   }
   if (plan.ceiling_rate <= 0 || std::exchange(request.drew_tokens, true)) return {};
   return draw_tokens(event.at, request, customer);
@@ -62,8 +62,8 @@
   customer.refilled_at = now;
   const double slack = plan.ceiling_slack + plan.ceiling_rate * extra_slack_ / 1000;
   if (customer.tokens >= -slack - kRoundingTolerance) return {};
-  return exceeded(request.customer, " exceeds its ceiling by " + format_number(-customer.tokens) +
-                                        " units; the slack is " + format_number(slack));
+  return make_violation(request.customer, " exceeds its ceiling by " + format_number(-customer.tokens) +
+                                              " units; the slack is " + format_number(slack));
 }
 
 void CeilingMonitor::digest(engine::Digest& into) const {
--- a/src/rules/single_reply_monitor.cpp
+++ b/src/rules/single_reply_monitor.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-Violation lost(const std::string& description) { return {"no request lost", description}; }
+Violation make_violation(const std::string& description) { return {"no request lost", description}; }
 
 }  // namespace
 
@@ -24,7 +24,7 @@
   const auto found = requests_.find(event.request);
   if (found == requests_.end()) {
     if (!is_final_reply(event.kind)) return {};
-    return lost("a reply to unknown " + format_request(event.request));
+    return make_violation("a reply to unknown " + format_request(event.request));
   }
   Request& request = found->second;
   if (event.kind == Event::kExecuted) request.produced_values.emplace_back(event.value);
@@ -38,22 +38,22 @@
 
 std::optional<Violation> SingleReplyMonitor::check_write(const Event& event, const Request& request) const {
   const std::string sent = "an attempt of " + format_request(event.request) + " was written";
-  if (request.answered) return lost(sent + " after its reply");
-  if (request.client_disconnected) return lost(sent + " after its client had disconnected");
+  if (request.answered) return make_violation(sent + " after its reply");
+  if (request.client_disconnected) return make_violation(sent + " after its client had disconnected");
   return {};
 }
 
 std::optional<Violation> SingleReplyMonitor::check_reply(const Event& event, Request& request) const {
-  if (request.answered) return lost("a second reply to " + format_request(event.request));
+  if (request.answered) return make_violation("a second reply to " + format_request(event.request));
   request.answered = true;
   const auto& produced = request.produced_values;
   if (event.kind == Event::kServed &&
       std::find(produced.begin(), produced.end(), event.value) == produced.end()) {
-    return lost(format_request(event.request) + " was served with '" + std::string(event.value) +
-                "', which no host produced for it");
+    return make_violation(format_request(event.request) + " was served with '" + std::string(event.value) +
+                          "', which no host produced for it");
   }
   if (event.at > request.expires_at + slack_) {
-    return lost("the reply to " + format_request(event.request) + " came after its deadline");
+    return make_violation("the reply to " + format_request(event.request) + " came after its deadline");
   }
   return {};
 }
@@ -61,7 +61,7 @@
 std::optional<Violation> SingleReplyMonitor::check_deadlines(Ms now) {
   for (const auto& [id, request] : requests_) {
     if (!request.answered && !request.client_disconnected && now > request.expires_at + slack_) {
-      return lost(format_request(id) + " has no reply although its deadline has passed");
+      return make_violation(format_request(id) + " has no reply although its deadline has passed");
     }
   }
   return {};
