--- a/src/limits/attempt_limits.cpp
+++ b/src/limits/attempt_limits.cpp
@@ -15,7 +15,7 @@
 }
 
 // The names, separated by commas. Withdrawn classes have an empty name and are left out.
-std::string list_of(const std::vector<std::string>& class_names) {
+std::string join_names(const std::vector<std::string>& class_names) {
   std::string list;
   for (const auto& name : class_names) {
     if (name.empty()) continue;
@@ -40,7 +40,7 @@
 // Proves the entries of one file, one after the other.
 class FileProof {
  public:
-  FileProof(const LimitsFile& file, const PlatformTerms& platform)
+  FileProof(const LimitsFile& file, const PlatformConfig& platform)
       : file_(file), platform_(platform), has_entry_(platform.class_names.size(), false) {
     result_.bounds.by_class.resize(platform.class_names.size());
     result_.bounds.by_entry.resize(file.entries.size());
@@ -71,7 +71,8 @@
     const auto& names = platform_.class_names;
     const auto name = std::find(names.begin(), names.end(), entry.class_name);
     if (entry.class_name.empty() || name == names.end()) {
-      report(entry, "limits.class", "no class '" + entry.class_name + "'; the classes are " + list_of(names));
+      report(entry, "limits.class",
+             "no class '" + entry.class_name + "'; the classes are " + join_names(names));
       return;
     }
     const auto class_index = static_cast<std::size_t>(name - names.begin());
@@ -87,7 +88,7 @@
   }
 
   const LimitsFile& file_;
-  const PlatformTerms& platform_;
+  const PlatformConfig& platform_;
   std::vector<bool> has_entry_;  // by class
   ProofResult result_;
 };
@@ -111,7 +112,7 @@
   return chain;
 }
 
-ProofResult prove(const LimitsFile& file, const PlatformTerms& platform) {
+ProofResult prove(const LimitsFile& file, const PlatformConfig& platform) {
   return FileProof(file, platform).run();
 }
 
--- a/src/limits/attempt_limits.h
+++ b/src/limits/attempt_limits.h
@@ -54,7 +54,7 @@
 
 // The platform's configuration. `class_names` and `settings.classes` are both by class index; a withdrawn
 // class has an empty name.
-struct PlatformTerms {
+struct PlatformConfig {
   std::vector<std::string> class_names;
   AdmissionSettings settings;
   Ms connect_timeout_ms = 0;
@@ -82,7 +82,7 @@
   std::vector<LimitError> errors;
   bool valid() const { return errors.empty(); }
 };
-ProofResult prove(const LimitsFile& file, const PlatformTerms& platform);
+ProofResult prove(const LimitsFile& file, const PlatformConfig& platform);
 
 // When the last attempt of a chain is sent and ends, in milliseconds from the start of the first.
 struct AttemptChain {
--- a/src/limits/entry_proof.cpp
+++ b/src/limits/entry_proof.cpp
@@ -38,7 +38,7 @@
   if (entry_.attempt_timeout_ms) bounds.attempt_timeout_ms = entry_.attempt_timeout_ms->value;
   if (entry_.retry_window_ms) bounds.retry_window_ms = entry_.retry_window_ms->value;
   if (entry_.hedging_allowed) bounds.hedging_allowed = entry_.hedging_allowed->value;
-  check_hedging_right(bounds);
+  check_hedging_permitted(bounds);
   check_chain(bounds);
   return bounds;
 }
@@ -52,32 +52,33 @@
 void EntryProof::check_max_attempts(const RequestBounds& inherited) const {
   const auto& attempts = entry_.max_attempts;
   if (!attempts) return;
-  const double platform_most = platform_.settings.max_attempts;
-  const double most = std::min(inherited.max_attempts, platform_most);
+  const double platform_max = platform_.settings.max_attempts;
+  const double max_allowed = std::min(inherited.max_attempts, platform_max);
   if (!(attempts->value >= 1 && attempts->value <= kMaxAttempts) || !is_whole(attempts->value)) {
     report(attempts->line, kMaxAttemptsKey,
            "is " + number_text(attempts->value) + ", not a whole number from 1 to 64", "1");
-  } else if (attempts->value > most) {
-    const std::string source = inherited.max_attempts < platform_most ? "its class" : "the platform";
+  } else if (attempts->value > max_allowed) {
+    const std::string source = inherited.max_attempts < platform_max ? "its class" : "the platform";
     report(attempts->line, kMaxAttemptsKey,
-           "is " + number_text(attempts->value) + " where " + source + " allows " + number_text(most) +
+           "is " + number_text(attempts->value) + " where " + source + " allows " + number_text(max_allowed) +
                ", so it would have no effect",
-           number_text(most));
+           number_text(max_allowed));
   }
 }
 
 void EntryProof::check_time(const std::optional<SourceValue<Ms>>& value, const char* key,
                             Ms inherited) const {
   if (!value) return;
-  const Ms most = inherited > 0 ? inherited : client_deadline();
+  const Ms max_allowed = inherited > 0 ? inherited : client_deadline();
   if (!(value->value > 0)) {
-    report(value->line, key, "is " + number_text(value->value) + ", not a time above 0", ms_text(most));
-  } else if (!(value->value <= most)) {
+    report(value->line, key, "is " + number_text(value->value) + ", not a time above 0",
+           ms_text(max_allowed));
+  } else if (!(value->value <= max_allowed)) {
     const std::string source = inherited > 0 ? "its class allows " : "the client's deadline is ";
-    report(
-        value->line, key,
-        "is " + ms_text(value->value) + " where " + source + ms_text(most) + ", so it would have no effect",
-        ms_text(most));
+    report(value->line, key,
+           "is " + ms_text(value->value) + " where " + source + ms_text(max_allowed) +
+               ", so it would have no effect",
+           ms_text(max_allowed));
   }
 }
 
@@ -89,7 +90,7 @@
   report(hedging->line, kHedgingKey, "is true where " + source + " allows none", "false");
 }
 
-void EntryProof::check_hedging_right(const RequestBounds& bounds) const {
+void EntryProof::check_hedging_permitted(const RequestBounds& bounds) const {
   const auto& hedging = entry_.hedging_allowed;
   if (!hedging || !hedging->value) return;
   if (class_.idempotency == Idempotency::kNonIdempotent) {
@@ -153,10 +154,10 @@
              ", after its deadline of " + ms_text(deadline),
          timeout_helps ? ms_text(longest_timeout)
                        : std::string(kMaxAttemptsKey) + " = " +
-                             number_text(std::max(1.0, most_attempts_that_fit(bounds))));
+                             number_text(std::max(1.0, max_attempts_within_deadline(bounds))));
 }
 
-double EntryProof::most_attempts_that_fit(const RequestBounds& bounds) const {
+double EntryProof::max_attempts_within_deadline(const RequestBounds& bounds) const {
   return std::floor((client_deadline() - file_.network_delay.max) /
                     (bounds.attempt_timeout_ms + platform_.connect_timeout_ms));
 }
--- a/src/limits/entry_proof.h
+++ b/src/limits/entry_proof.h
@@ -16,7 +16,7 @@
 class EntryProof {
  public:
   // All references must outlive this object; errors are appended to `errors`.
-  EntryProof(const LimitsFile& file, const PlatformTerms& platform, const LimitEntry& entry,
+  EntryProof(const LimitsFile& file, const PlatformConfig& platform, const LimitEntry& entry,
              std::size_t class_index, std::vector<LimitError>& errors)
       : file_(file),
         platform_(platform),
@@ -36,7 +36,7 @@
   // `inherited` is 0 if there is no inherited bound.
   void check_time(const std::optional<SourceValue<Ms>>& value, const char* key, Ms inherited) const;
   // Checks that the class permits hedged requests and that the bounds allow a second attempt.
-  void check_hedging_right(const RequestBounds& bounds) const;
+  void check_hedging_permitted(const RequestBounds& bounds) const;
   // Checks the longest chain of attempts against the network delay, the client's deadline and the idempotency
   // key's lifetime.
   void check_chain(const RequestBounds& bounds) const;
@@ -44,11 +44,11 @@
   void check_deadline(const RequestBounds& bounds, const AttemptChain& chain) const;
 
   Ms client_deadline() const;
-  double most_attempts_that_fit(const RequestBounds& bounds) const;
+  double max_attempts_within_deadline(const RequestBounds& bounds) const;
   std::string describe(const RequestBounds& bounds, const AttemptChain& chain) const;
 
   const LimitsFile& file_;
-  const PlatformTerms& platform_;
+  const PlatformConfig& platform_;
   const LimitEntry& entry_;
   const ClassSettings& class_;
   std::vector<LimitError>& errors_;
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -22,8 +22,8 @@
 
 // The classes of a shop: `lookup` is idempotent, `hold` has idempotency keys that all hosts share for 25 s,
 // `order` is not idempotent, and `basket` has keys that are known to one host only.
-limits::PlatformTerms shop() {
-  limits::PlatformTerms platform;
+limits::PlatformConfig shop() {
+  limits::PlatformConfig platform;
   platform.class_names = {"lookup", "hold", "order", "basket"};
   platform.settings = plain_settings(4);
   platform.settings.classes = {
@@ -37,7 +37,7 @@
 }
 
 // The errors of a settings file, one per line, without the file's name; empty if the file is valid.
-std::string errors_of(const std::string& text, const limits::PlatformTerms& platform = shop()) {
+std::string errors_of(const std::string& text, const limits::PlatformConfig& platform = shop()) {
   const auto path =
       std::filesystem::temp_directory_path() / (std::to_string(::getpid()) + "-cometfold-limits.toml");
   std::ofstream(path) << text;
@@ -214,7 +214,7 @@
 
 // A limits file with one entry, and the platform that it is proved for.
 struct LimitCase {
-  limits::PlatformTerms platform = shop();
+  limits::PlatformConfig platform = shop();
   limits::LimitsFile file;
   std::size_t class_index = 0;
 
