--- a/tests/admission/fleet_quotas_test.cpp
+++ b/tests/admission/fleet_quotas_test.cpp
@@ -72,9 +72,9 @@
   int sent = 0;
   constexpr int kCustomers = 400;
   for (RequestId id = 1; id <= kCustomers; ++id) {
-    sent += gateway.ask(id, 4, spread, id);
+    sent += gateway.submit(id, 4, spread, id);
     gateway.answer_all();
-    gateway.wait(100);
+    gateway.advance(100);
   }
   return sent / static_cast<double>(kCustomers);
 }
@@ -105,13 +105,13 @@
     int sent = 0;
     RequestId id = 0;
     for (CustomerId customer = 1; customer <= 600; ++customer) {
-      const bool passed = gateway.ask(++id, 1, 200, customer);
+      const bool passed = gateway.submit(++id, 1, 200, customer);
       gateway.answer_all();
       sent += customer > 300 && passed;
-      gateway.wait(200);
+      gateway.advance(200);
       // 0.37 of the retries come to the same gateway; the others go elsewhere, which this gateway does not
       // see.
-      if (again && !passed && customer % 3 == 0) gateway.ask(++id, 1, 200, customer);
+      if (again && !passed && customer % 3 == 0) gateway.submit(++id, 1, 200, customer);
       gateway.answer_all();
     }
     return sent;
--- a/tests/admission/handover_test.cpp
+++ b/tests/admission/handover_test.cpp
@@ -29,20 +29,20 @@
     double given = 0;
     RequestId id = 0;
     const auto try_at = [&](Gateway& gateway) {
-      if (gateway.ask(++id)) given += 1;
+      if (gateway.submit(++id)) given += 1;
       gateway.answer_all(5);
     };
-    const auto step = [&] { first.wait(10), second.wait(10); };
+    const auto step = [&] { first.advance(10), second.advance(10); };
     for (int i = 0; i < 300; ++i) {
       step();
       if (random() % 3 == 0) try_at(first);
     }
-    first.out.take();
+    first.sink.take();
     // Admitted before the hand-over; counted anew after it.
     const double before = given;
     EXPECT_LE(before, burst + rate * 3 + 1);
-    const auto state = first.control.export_handover(first.now);
-    second.control.import_handover(second.now, state);
+    const auto state = first.controller.export_handover(first.now);
+    second.controller.import_handover(second.now, state);
     given = 0;
     const double left = state.customers.empty() ? burst : state.customers[0].ceiling_level / 0.8;
     for (int i = 0; i < 300; ++i) {
@@ -57,18 +57,18 @@
 TEST(Handover, ACustomerUnknownToThePredecessorHasItsCeilingAtTheSuccessorOnly) {
   const auto settings = with_ceiling();
   Gateway first(settings, {host(1)}, 100000), second(settings, {host(1)}, 100000, 9);
-  first.wait(10000), second.wait(10000);
-  second.control.import_handover(second.now, first.control.export_handover(first.now));
-  EXPECT_FALSE(first.ask(1, 1, 2, 77));
-  first.wait(1000);
-  EXPECT_FALSE(first.ask(2, 1, 2, 77));
-  EXPECT_TRUE(second.ask(3, 1, 2, 77));
+  first.advance(10000), second.advance(10000);
+  second.controller.import_handover(second.now, first.controller.export_handover(first.now));
+  EXPECT_FALSE(first.submit(1, 1, 2, 77));
+  first.advance(1000);
+  EXPECT_FALSE(first.submit(2, 1, 2, 77));
+  EXPECT_TRUE(second.submit(3, 1, 2, 77));
 }
 
 TEST(Handover, ANewGatewayHasAnEmptyCeiling) {
   const auto settings = with_ceiling();
   Gateway second(settings, {host(1)}, 100000);
-  EXPECT_FALSE(second.ask(1));
+  EXPECT_FALSE(second.submit(1));
 }
 
 // A successor that waited long for a predecessor that then crashed, or handed over nothing.
@@ -76,15 +76,15 @@
   const auto settings = with_ceiling();
   for (const bool died : {true, false}) {
     Gateway second(settings, {host(1)}, 100000);
-    second.wait(60000);
+    second.advance(60000);
     if (died) {
-      second.control.assume_unknown_predecessor(second.now);
+      second.controller.assume_unknown_predecessor(second.now);
     } else {
-      second.control.import_handover(second.now, {});
+      second.controller.import_handover(second.now, {});
     }
-    EXPECT_FALSE(second.ask(1));
-    second.wait(1000);
-    EXPECT_TRUE(second.ask(2));
+    EXPECT_FALSE(second.submit(1));
+    second.advance(1000);
+    EXPECT_TRUE(second.submit(2));
   }
 }
 
@@ -97,21 +97,22 @@
       Gateway first(settings, {host(1), host(2), host(3)}, 100000);
       Gateway second(settings, {host(1, HostState::kReady, started), host(2), host(3)}, 100000, 9);
       for (RequestId id = 1; id <= 100; ++id) {
-        first.ask(id, 1, 2, id);
-        for (const auto& action : first.out.take()) {
-          if (action.kind != Act::kSend) continue;
-          first.end(action.id, 0, action.host, action.host == 1 ? Outcome::kError : Outcome::kOk, 50, true);
+        first.submit(id, 1, 2, id);
+        for (const auto& action : first.sink.take()) {
+          if (action.kind != RecordedAction::kSend) continue;
+          first.end_attempt(action.id, 0, action.host, action.host == 1 ? Outcome::kError : Outcome::kOk, 50,
+                            true);
         }
-        first.out.take();
-        first.wait(20), second.wait(20);
+        first.sink.take();
+        first.advance(20), second.advance(20);
       }
-      const auto state = first.control.export_handover(first.now);
+      const auto state = first.controller.export_handover(first.now);
       EXPECT_EQ(state.hosts.size(), 3u);
-      if (handed) second.control.import_handover(second.now, state);
+      if (handed) second.controller.import_handover(second.now, state);
       int bad = 0;
       for (RequestId id = 1; id <= 12; ++id) {
-        second.ask(id, 1, 2, id);
-        bad += second.out.of(Act::kSend, id)->host == 1;
+        second.submit(id, 1, 2, id);
+        bad += second.sink.find(RecordedAction::kSend, id)->host == 1;
         second.answer_all();
       }
       if (handed && started == 0) {
@@ -119,7 +120,7 @@
       } else if (started == 0) {
         EXPECT_GE(bad, 2) << "the even part is 4";
       } else {
-        EXPECT_EQ(second.control.excluded_host_count(second.now), 0u);
+        EXPECT_EQ(second.controller.excluded_host_count(second.now), 0u);
       }
     }
   }
@@ -131,14 +132,14 @@
   settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
   Gateway first(settings), second(settings);
   for (RequestId id = 1; id <= 100; ++id) {
-    first.ask(id, 1, 2, id);
+    first.submit(id, 1, 2, id);
     first.answer_all(200);
-    first.wait(100);
+    first.advance(100);
   }
-  second.control.import_handover(second.now, first.control.export_handover(first.now));
-  second.ask(1);
+  second.controller.import_handover(second.now, first.controller.export_handover(first.now));
+  second.submit(1);
   second.answer_all(1000);
-  EXPECT_NEAR(second.control.export_handover(second.now).class_latency_ms.at(0), 220, 25);
+  EXPECT_NEAR(second.controller.export_handover(second.now).class_latency_ms.at(0), 220, 25);
 }
 
 // A customer may have two attempts in flight through a gateway; the predecessor's count until it has exited.
@@ -148,31 +149,31 @@
   settings.plans[0].max_concurrent_attempts = 4;
   settings.plans[0].over_quota_cost = 1;
   Gateway first(settings, {host(1), host(2)}, 100000), second(settings, {host(1), host(2)}, 100000, 9);
-  EXPECT_TRUE(first.ask(1));
-  EXPECT_TRUE(first.ask(2));
-  EXPECT_FALSE(first.ask(3));
-  second.control.import_handover(second.now, first.control.export_handover(first.now));
-  EXPECT_FALSE(second.ask(4));
+  EXPECT_TRUE(first.submit(1));
+  EXPECT_TRUE(first.submit(2));
+  EXPECT_FALSE(first.submit(3));
+  second.controller.import_handover(second.now, first.controller.export_handover(first.now));
+  EXPECT_FALSE(second.submit(4));
   first.answer_all();
-  EXPECT_FALSE(first.ask(5)) << "the places are the second's now";
-  second.control.on_predecessor_exited(second.now);
-  EXPECT_TRUE(second.ask(6));
-  EXPECT_TRUE(second.ask(7));
-  EXPECT_FALSE(second.ask(8));
+  EXPECT_FALSE(first.submit(5)) << "the places are the second's now";
+  second.controller.on_predecessor_exited(second.now);
+  EXPECT_TRUE(second.submit(6));
+  EXPECT_TRUE(second.submit(7));
+  EXPECT_FALSE(second.submit(8));
 }
 
 TEST(SettingsUpdate, ALowerCeilingHoldsFromTheNextRequest) {
   auto settings = with_ceiling();
   Gateway gateway(settings, {host(1), host(2)}, 100000);
-  gateway.wait(10000);
-  EXPECT_TRUE(gateway.ask(1));
+  gateway.advance(10000);
+  EXPECT_TRUE(gateway.submit(1));
   gateway.answer_all(5);
   settings.plans[0].ceiling_burst = 4;  // a slice of two units
   settings.plans[0].ceiling_rate = 0.001;
-  gateway.control.update_settings(gateway.now, settings);
+  gateway.controller.update_settings(gateway.now, settings);
   int given = 0;
   for (RequestId id = 2; id < 12; ++id) {
-    given += gateway.ask(id);
+    given += gateway.submit(id);
     gateway.answer_all(5);
   }
   EXPECT_EQ(given, 2);
@@ -186,19 +187,19 @@
   settings.plans[1].ceiling_burst = 4;  // a slice of two units
   settings.plans[1].ceiling_rate = 0.4;
   Gateway gateway(settings, {host(1), host(2)}, 100000);
-  gateway.wait(10000);
+  gateway.advance(10000);
   const auto asks = [&](RequestId id, std::uint32_t plan) {
     Request request;
     request.id = id, request.plan_index = plan, request.customer = 1, request.expires_at = gateway.now + 4000,
     request.units = 1, request.gateway_count = 2;
-    gateway.control.on_request(gateway.now, request, gateway.out);
-    const bool given = gateway.out.of(Act::kSend, id) != nullptr;
+    gateway.controller.on_request(gateway.now, request, gateway.sink);
+    const bool given = gateway.sink.find(RecordedAction::kSend, id) != nullptr;
     gateway.answer_all(5);
     return given;
   };
   EXPECT_TRUE(asks(1, 0));
   EXPECT_FALSE(asks(2, 1));
-  gateway.wait(12'000);
+  gateway.advance(12'000);
   EXPECT_TRUE(asks(3, 1));
   EXPECT_TRUE(asks(4, 1));
   EXPECT_FALSE(asks(5, 1));
@@ -210,29 +211,29 @@
   auto settings = plain_settings(1);
   settings.plans[0].quota_rate = settings.plans[0].quota_burst = 1000;
   Gateway gateway(settings);
-  ASSERT_TRUE(gateway.ask(1));
+  ASSERT_TRUE(gateway.submit(1));
   settings.classes.push_back(settings.classes[0]);
   settings.classes[1].idempotency = Idempotency::kNonIdempotent;
-  gateway.control.update_settings(gateway.now, settings);
-  const auto sent = *gateway.out.of(Act::kSend, 1);
-  gateway.out.take();
-  gateway.end(1, 0, sent.host, Outcome::kConnectionLost);
-  EXPECT_NE(gateway.out.of(Act::kSend, 1), nullptr);  // idempotent: retried
-  ASSERT_TRUE(gateway.ask(2, 1, 2, 5, 1));
-  const auto unsafe = *gateway.out.of(Act::kSend, 2);
-  gateway.out.take();
-  gateway.end(2, 0, unsafe.host, Outcome::kConnectionLost);
-  EXPECT_EQ(gateway.out.of(Act::kSend, 2), nullptr);
-  EXPECT_NE(gateway.out.of(Act::kFail, 2), nullptr);
+  gateway.controller.update_settings(gateway.now, settings);
+  const auto sent = *gateway.sink.find(RecordedAction::kSend, 1);
+  gateway.sink.take();
+  gateway.end_attempt(1, 0, sent.host, Outcome::kConnectionLost);
+  EXPECT_NE(gateway.sink.find(RecordedAction::kSend, 1), nullptr);  // idempotent: retried
+  ASSERT_TRUE(gateway.submit(2, 1, 2, 5, 1));
+  const auto unsafe = *gateway.sink.find(RecordedAction::kSend, 2);
+  gateway.sink.take();
+  gateway.end_attempt(2, 0, unsafe.host, Outcome::kConnectionLost);
+  EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, 2), nullptr);
+  EXPECT_NE(gateway.sink.find(RecordedAction::kFail, 2), nullptr);
 }
 
 TEST(SettingsUpdate, DrainingHostsAreExcluded) {
   Gateway gateway(plain_settings());
-  EXPECT_EQ(gateway.control.excluded_host_count(gateway.now), 0u);
-  gateway.list(HostListUpdate::kDelta, {host(2, HostState::kDraining)});
-  EXPECT_EQ(gateway.control.excluded_host_count(gateway.now), 1u);
-  gateway.list(HostListUpdate::kDelta, {host(2, HostState::kRemoved)});
-  EXPECT_EQ(gateway.control.excluded_host_count(gateway.now), 0u);
+  EXPECT_EQ(gateway.controller.excluded_host_count(gateway.now), 0u);
+  gateway.update_hosts(HostListUpdate::kDelta, {host(2, HostState::kDraining)});
+  EXPECT_EQ(gateway.controller.excluded_host_count(gateway.now), 1u);
+  gateway.update_hosts(HostListUpdate::kDelta, {host(2, HostState::kRemoved)});
+  EXPECT_EQ(gateway.controller.excluded_host_count(gateway.now), 0u);
 }
 
 }  // namespace
--- a/tests/admission/host_feedback_test.cpp
+++ b/tests/admission/host_feedback_test.cpp
@@ -20,21 +20,21 @@
   int unserved = 0;
   for (RequestId id = 1; id <= 400; ++id) {
     const auto plan = static_cast<std::uint32_t>(id % 2);
-    gateway.control.on_request(gateway.now, {id, 0, plan, id, gateway.now + 4000, 1, 2}, gateway.out);
+    gateway.controller.on_request(gateway.now, {id, 0, plan, id, gateway.now + 4000, 1, 2}, gateway.sink);
     for (std::uint32_t attempt = 0; attempt < 4; ++attempt) {
-      const auto* action = gateway.out.of(Act::kSend, id);
+      const auto* action = gateway.sink.find(RecordedAction::kSend, id);
       if (action == nullptr) {
         ++unserved;
         break;
       }
       const HostId host_id = action->host;
-      gateway.out.take();
+      gateway.sink.take();
       ++(plan == 0 ? throttled : other)[host_id];
       const bool full = plan == 0 && host_id <= 2;
-      gateway.end(id, attempt, host_id, full ? Outcome::kOverloaded : Outcome::kOk, 50);
+      gateway.end_attempt(id, attempt, host_id, full ? Outcome::kOverloaded : Outcome::kOk, 50);
       if (!full) break;
     }
-    gateway.out.take();
+    gateway.sink.take();
     gateway.now += 20;
     if (id % 5 == 0) gateway.tick();
   }
@@ -51,20 +51,20 @@
     int again = 0;
     for (RequestId id = 1; id <= 60; ++id) {  // every other request is not executed by its first host
       const auto plan = static_cast<std::uint32_t>(id % 2);
-      gateway.control.on_request(gateway.now, {id, 0, plan, id, gateway.now + 4000, 1, 2}, gateway.out);
-      const auto* first = gateway.out.of(Act::kSend, id);
+      gateway.controller.on_request(gateway.now, {id, 0, plan, id, gateway.now + 4000, 1, 2}, gateway.sink);
+      const auto* first = gateway.sink.find(RecordedAction::kSend, id);
       ASSERT_NE(first, nullptr);
       const HostId host_id = first->host;
-      gateway.out.take();
-      gateway.end(id, 0, host_id, plan == 0 ? outcome : Outcome::kOk, 50);
-      if (const auto* second = gateway.out.of(Act::kSend, id)) {
+      gateway.sink.take();
+      gateway.end_attempt(id, 0, host_id, plan == 0 ? outcome : Outcome::kOk, 50);
+      if (const auto* second = gateway.sink.find(RecordedAction::kSend, id)) {
         ++again;
         const HostId other = second->host;
         EXPECT_NE(other, host_id);
-        gateway.out.take();
-        gateway.end(id, 1, other, Outcome::kOk, 50);
+        gateway.sink.take();
+        gateway.end_attempt(id, 1, other, Outcome::kOk, 50);
       }
-      gateway.out.take();
+      gateway.sink.take();
       gateway.now += 20;
     }
     EXPECT_EQ(again, 30) << "the budget alone has 5 and a tenth of 60";
@@ -81,9 +81,9 @@
   Gateway gateway(probing(), host_list(30));
   int probes = 0;
   for (RequestId id = 1; id <= 200; ++id) {
-    gateway.wait(300);
-    gateway.ask(id, 1, 2, id);
-    probes += static_cast<int>(gateway.out.count(Act::kProbe));
+    gateway.advance(300);
+    gateway.submit(id, 1, 2, id);
+    probes += static_cast<int>(gateway.sink.count(RecordedAction::kHealthCheck));
     gateway.answer_all();
   }
   EXPECT_GE(probes, 70);
@@ -96,14 +96,14 @@
     Gateway gateway(probing(), host_list(6));
     std::map<HostId, int> sends;
     for (RequestId id = 1; id <= 300; ++id) {
-      gateway.wait(300);
+      gateway.advance(300);
       for (HostId host_id = 1; host_id <= 6; ++host_id) {
         LoadReport load{0, {}, 0.3};
         if (host_id == 1) load = silent == 0 ? LoadReport{} : LoadReport{9, {}, 1.0};
-        gateway.control.on_health_check_end(gateway.now, host_id, 1, !(host_id == 1 && silent == 1), load,
-                                            gateway.out);
+        gateway.controller.on_health_check_end(gateway.now, host_id, 1, !(host_id == 1 && silent == 1), load,
+                                               gateway.sink);
       }
-      if (gateway.ask(id, 1, 2, id)) ++sends[gateway.out.of(Act::kSend, id)->host];
+      if (gateway.submit(id, 1, 2, id)) ++sends[gateway.sink.find(RecordedAction::kSend, id)->host];
       gateway.answer_all();
     }
     EXPECT_LE(sends[1], 15) << silent;
@@ -122,10 +122,10 @@
     Gateway gateway(settings, std::move(hosts));
     RequestId id = 1;
     for (; id <= static_cast<RequestId>(before); ++id) {
-      gateway.control.on_request(gateway.now, {id, 0, plan, 5, gateway.now + 4000, 1, 2}, gateway.out);
+      gateway.controller.on_request(gateway.now, {id, 0, plan, 5, gateway.now + 4000, 1, 2}, gateway.sink);
     }
-    gateway.control.on_request(gateway.now, {id, 0, plan, 5, gateway.now + 4000, 1, 2}, gateway.out);
-    return gateway.out.why(id);
+    gateway.controller.on_request(gateway.now, {id, 0, plan, 5, gateway.now + 4000, 1, 2}, gateway.sink);
+    return gateway.sink.rejection_reason(id);
   };
   EXPECT_EQ(cause(9, 0, {host(1)}), RejectionReason::kMalformed);
   EXPECT_EQ(cause(1, 0, {host(1)}), RejectionReason::kCeiling) << "its slice begins empty";
--- a/tests/admission/invariants_test.cpp
+++ b/tests/admission/invariants_test.cpp
@@ -13,46 +13,47 @@
 
 TEST(FinalAnswer, ComesBeforeTheRequestsDeadline) {
   Gateway gateway(plain_settings());
-  ASSERT_TRUE(gateway.ask(1, 1, 2, 1, 0, 600));
+  ASSERT_TRUE(gateway.submit(1, 1, 2, 1, 0, 600));
   gateway.now += 596;
-  gateway.control.on_timer(gateway.now, 1, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kRefuse) + gateway.out.count(Act::kFail), 1u);
-  gateway.out.take();
+  gateway.controller.on_timer(gateway.now, 1, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kReject) + gateway.sink.count(RecordedAction::kFail), 1u);
+  gateway.sink.take();
   gateway.now += 4;
-  gateway.control.on_timer(gateway.now, 1, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kRefuse) + gateway.out.count(Act::kFail) + gateway.out.count(Act::kSend),
+  gateway.controller.on_timer(gateway.now, 1, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kReject) + gateway.sink.count(RecordedAction::kFail) +
+                gateway.sink.count(RecordedAction::kSend),
             0u);
 }
 
 TEST(FinalAnswer, ComesAtOnceWithoutHosts) {
   Gateway gateway(plain_settings(), {});
-  EXPECT_FALSE(gateway.ask(1));
-  EXPECT_EQ(gateway.out.count(Act::kRefuse), 1u);
+  EXPECT_FALSE(gateway.submit(1));
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kReject), 1u);
 }
 
 TEST(Idempotency, ANonIdempotentRequestThatMayHaveExecutedIsNeitherRetriedNorRejected) {
   auto settings = plain_settings();
   settings.classes[0].idempotency = Idempotency::kNonIdempotent;
   Gateway gateway(settings);
-  ASSERT_TRUE(gateway.ask(1));
-  const HostId first = gateway.out.of(Act::kSend, 1)->host;
-  gateway.out.take();
-  gateway.end(1, 0, first, Outcome::kConnectionLost);
-  EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
-  EXPECT_EQ(gateway.out.count(Act::kRefuse), 0u);
-  EXPECT_EQ(gateway.out.count(Act::kFail), 1u);
+  ASSERT_TRUE(gateway.submit(1));
+  const HostId first = gateway.sink.find(RecordedAction::kSend, 1)->host;
+  gateway.sink.take();
+  gateway.end_attempt(1, 0, first, Outcome::kConnectionLost);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend), 0u);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kReject), 0u);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kFail), 1u);
 }
 
 TEST(Idempotency, ANonIdempotentRequestThatWasNotExecutedIsRetried) {
   auto settings = plain_settings();
   settings.classes[0].idempotency = Idempotency::kNonIdempotent;
   Gateway gateway(settings);
-  ASSERT_TRUE(gateway.ask(1));
-  const HostId first = gateway.out.of(Act::kSend, 1)->host;
-  gateway.out.take();
-  gateway.end(1, 0, first, Outcome::kConnectFailed);
-  ASSERT_EQ(gateway.out.count(Act::kSend), 1u);
-  EXPECT_NE(gateway.out.of(Act::kSend, 1)->host, first);
+  ASSERT_TRUE(gateway.submit(1));
+  const HostId first = gateway.sink.find(RecordedAction::kSend, 1)->host;
+  gateway.sink.take();
+  gateway.end_attempt(1, 0, first, Outcome::kConnectFailed);
+  ASSERT_EQ(gateway.sink.count(RecordedAction::kSend), 1u);
+  EXPECT_NE(gateway.sink.find(RecordedAction::kSend, 1)->host, first);
 }
 
 TEST(Idempotency, RetriesStayWithinTheKeysScopeAndLifetime) {
@@ -62,46 +63,47 @@
   settings.classes[0].idempotency_key_ttl_ms = 500;
   Gateway gateway(settings, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0),
                              host(3, HostState::kReady, 0, 1), host(4, HostState::kReady, 0, 1)});
-  ASSERT_TRUE(gateway.ask(1));
-  const HostId first = gateway.out.of(Act::kSend, 1)->host;
-  gateway.out.take();
+  ASSERT_TRUE(gateway.submit(1));
+  const HostId first = gateway.sink.find(RecordedAction::kSend, 1)->host;
+  gateway.sink.take();
   gateway.now += 100;
-  gateway.end(1, 0, first, Outcome::kConnectionLost);
-  ASSERT_EQ(gateway.out.count(Act::kSend), 1u);
-  const HostId second = gateway.out.of(Act::kSend, 1)->host;
+  gateway.end_attempt(1, 0, first, Outcome::kConnectionLost);
+  ASSERT_EQ(gateway.sink.count(RecordedAction::kSend), 1u);
+  const HostId second = gateway.sink.find(RecordedAction::kSend, 1)->host;
   EXPECT_EQ(first <= 2, second <= 2);
-  gateway.out.take();
+  gateway.sink.take();
   gateway.now += 450;  // the first attempt's key expires at 500
-  gateway.end(1, 1, second, Outcome::kConnectionLost);
-  EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
-  EXPECT_EQ(gateway.out.count(Act::kFail), 1u) << "a refusal would promise that a retry does no harm";
+  gateway.end_attempt(1, 1, second, Outcome::kConnectionLost);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend), 0u);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kFail), 1u)
+      << "a refusal would promise that a retry does no harm";
 }
 
 TEST(Idempotency, NothingIsHedgedWhereHedgingIsNotAllowed) {
   auto settings = plain_settings();
   settings.hedging_allowed = false;
   Gateway gateway(settings);
-  ASSERT_TRUE(gateway.ask(1));
-  const HostId first = gateway.out.of(Act::kSend, 1)->host;
-  gateway.out.take();
+  ASSERT_TRUE(gateway.submit(1));
+  const HostId first = gateway.sink.find(RecordedAction::kSend, 1)->host;
+  gateway.sink.take();
   gateway.now += 900;
-  gateway.control.on_timer(gateway.now, 1, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
-  gateway.out.take();
-  gateway.end(1, 0, first, Outcome::kError);
-  EXPECT_LE(gateway.out.count(Act::kSend), 1u);
+  gateway.controller.on_timer(gateway.now, 1, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend), 0u);
+  gateway.sink.take();
+  gateway.end_attempt(1, 0, first, Outcome::kError);
+  EXPECT_LE(gateway.sink.count(RecordedAction::kSend), 1u);
 }
 
 TEST(Draining, ADrainingOrRemovedHostGetsNoNewAttempts) {
   Gateway gateway(plain_settings());
-  gateway.list(HostListUpdate::kDelta, {host(1, HostState::kDraining), host(2, HostState::kRemoved)});
+  gateway.update_hosts(HostListUpdate::kDelta, {host(1, HostState::kDraining), host(2, HostState::kRemoved)});
   for (RequestId id = 1; id <= 6; ++id) {
-    if (gateway.ask(id, 1, 2, 100 + id)) {
-      EXPECT_EQ(gateway.out.of(Act::kSend, id)->host, 3u);
+    if (gateway.submit(id, 1, 2, 100 + id)) {
+      EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, id)->host, 3u);
     }
   }
-  gateway.list(HostListUpdate::kSnapshot, {});  // a snapshot removes the hosts that it leaves out
-  EXPECT_FALSE(gateway.ask(9, 1, 2, 900));
+  gateway.update_hosts(HostListUpdate::kSnapshot, {});  // a snapshot removes the hosts that it leaves out
+  EXPECT_FALSE(gateway.submit(9, 1, 2, 900));
 }
 
 TEST(WarmingUpHosts, GetAPartOfWhatWarmHostsGet) {
@@ -111,16 +113,16 @@
   const auto minute = [&](int n, Ms gap) {
     std::map<HostId, int> sends;
     for (int i = 0; i < n; ++i, ++id, gateway.now += gap) {
-      if (gateway.ask(id, 1, 2, 5000 + id)) {
-        ++sends[gateway.out.of(Act::kSend, id)->host];
+      if (gateway.submit(id, 1, 2, 5000 + id)) {
+        ++sends[gateway.sink.find(RecordedAction::kSend, id)->host];
       }
       gateway.answer_all();
     }
     return sends;
   };
   minute(300, 10);
-  gateway.list(HostListUpdate::kDelta,
-               {host(2, HostState::kReady, gateway.now), host(3, HostState::kReady, gateway.now)});
+  gateway.update_hosts(HostListUpdate::kDelta,
+                       {host(2, HostState::kReady, gateway.now), host(3, HostState::kReady, gateway.now)});
   auto sends = minute(50, 20);  // weights 0.2 to 0.28; twice that would be overload
   EXPECT_LT(sends[2], 0.4 * sends[1]);
   EXPECT_LT(sends[3], 0.4 * sends[1]);
@@ -133,36 +135,38 @@
 TEST(InvalidInput, UnknownAndMalformedEventsDoNothing) {
   Gateway gateway(plain_settings());
   constexpr double kNan = std::numeric_limits<double>::quiet_NaN();
-  gateway.end(99, 0, 1, Outcome::kOk);
-  gateway.control.on_client_disconnected(gateway.now, 99, gateway.out);
-  gateway.control.on_timer(gateway.now, 99, gateway.out);
-  gateway.control.on_stream_started(gateway.now, 99, 3, gateway.out);
-  gateway.control.on_health_check_end(gateway.now, 77, kNan, true, {kNan, {}, {}}, gateway.out);
-  EXPECT_TRUE(gateway.out.acts.empty());
-  gateway.control.on_request(gateway.now, {1, 5, 0, 1, gateway.now + 100, 1, 1},
-                             gateway.out);  // class out of range
-  gateway.control.on_request(gateway.now, {2, 0, 9, 1, gateway.now + 100, 1, 1},
-                             gateway.out);  // plan out of range
-  EXPECT_EQ(gateway.out.count(Act::kRefuse), 2u);
-  gateway.out.take();
+  gateway.end_attempt(99, 0, 1, Outcome::kOk);
+  gateway.controller.on_client_disconnected(gateway.now, 99, gateway.sink);
+  gateway.controller.on_timer(gateway.now, 99, gateway.sink);
+  gateway.controller.on_stream_started(gateway.now, 99, 3, gateway.sink);
+  gateway.controller.on_health_check_end(gateway.now, 77, kNan, true, {kNan, {}, {}}, gateway.sink);
+  EXPECT_TRUE(gateway.sink.actions.empty());
+  gateway.controller.on_request(gateway.now, {1, 5, 0, 1, gateway.now + 100, 1, 1},
+                                gateway.sink);  // class out of range
+  gateway.controller.on_request(gateway.now, {2, 0, 9, 1, gateway.now + 100, 1, 1},
+                                gateway.sink);  // plan out of range
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kReject), 2u);
+  gateway.sink.take();
   for (const double odd : {kNan, -3.0, std::numeric_limits<double>::infinity()}) {
-    const auto id = static_cast<RequestId>(gateway.out.acts.size() + 10);
-    gateway.control.on_request(gateway.now, {id, 0, 0, id, odd, odd, odd}, gateway.out);
-    const bool answered =
-        gateway.out.of(Act::kRefuse, id) || gateway.out.of(Act::kFail, id) || gateway.out.of(Act::kWake, id);
+    const auto id = static_cast<RequestId>(gateway.sink.actions.size() + 10);
+    gateway.controller.on_request(gateway.now, {id, 0, 0, id, odd, odd, odd}, gateway.sink);
+    const bool answered = gateway.sink.find(RecordedAction::kReject, id) ||
+                          gateway.sink.find(RecordedAction::kFail, id) ||
+                          gateway.sink.find(RecordedAction::kScheduleTimer, id);
     EXPECT_TRUE(answered) << odd;
   }
 }
 
 TEST(InvalidInput, ARepeatedResultCountsOnce) {
   Gateway gateway(plain_settings());
-  ASSERT_TRUE(gateway.ask(1));
-  const HostId host_id = gateway.out.of(Act::kSend, 1)->host;
-  gateway.out.take();
-  gateway.end(1, 0, host_id, Outcome::kOk);
-  gateway.end(1, 0, host_id, Outcome::kError);
-  gateway.end(1, 4, host_id, Outcome::kError);
-  EXPECT_EQ(gateway.out.count(Act::kSend) + gateway.out.count(Act::kFail) + gateway.out.count(Act::kRefuse),
+  ASSERT_TRUE(gateway.submit(1));
+  const HostId host_id = gateway.sink.find(RecordedAction::kSend, 1)->host;
+  gateway.sink.take();
+  gateway.end_attempt(1, 0, host_id, Outcome::kOk);
+  gateway.end_attempt(1, 0, host_id, Outcome::kError);
+  gateway.end_attempt(1, 4, host_id, Outcome::kError);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend) + gateway.sink.count(RecordedAction::kFail) +
+                gateway.sink.count(RecordedAction::kReject),
             0u);
 }
 
@@ -216,14 +220,17 @@
   };
 
   const auto obey = [&] {
-    for (const auto& action : gateway.out.take()) {
-      if (action.kind == Act::kWake) timers.emplace(gateway.now + std::max(action.value, 1.0), action.id);
-      if (action.kind != Act::kSend && action.kind != Act::kRefuse && action.kind != Act::kFail) continue;
+    for (const auto& action : gateway.sink.take()) {
+      if (action.kind == RecordedAction::kScheduleTimer)
+        timers.emplace(gateway.now + std::max(action.value, 1.0), action.id);
+      if (action.kind != RecordedAction::kSend && action.kind != RecordedAction::kReject &&
+          action.kind != RecordedAction::kFail)
+        continue;
       auto& record = all.at(action.id);
       ASSERT_FALSE(record.ended) << "an action after the final answer";
       bool may = false, out = false;
       for (auto& attempt : record.tries) may |= attempt.out || attempt.may, out |= attempt.out;
-      if (action.kind == Act::kSend) {
+      if (action.kind == RecordedAction::kSend) {
         ASSERT_EQ(state[action.host], HostState::kReady) << "sent to a leaving host";
         ASSERT_LT(record.tries.size(), settings.max_attempts);
         if (!settings.hedging_allowed) {
@@ -247,7 +254,7 @@
         record.tries.push_back({action.host, gateway.now});
       } else {
         ASSERT_LE(gateway.now, record.expires + 16);
-        if (action.kind == Act::kRefuse && record.cls != 0) {
+        if (action.kind == RecordedAction::kReject && record.cls != 0) {
           ASSERT_FALSE(may) << "refused though it may have run";
         }
         record.ended = true;
@@ -260,7 +267,7 @@
     while (!timers.empty() && timers.begin()->first <= gateway.now) {
       const auto token = timers.begin()->second;
       timers.erase(timers.begin());
-      gateway.control.on_timer(gateway.now, token, gateway.out);
+      gateway.controller.on_timer(gateway.now, token, gateway.sink);
       ASSERT_NO_FATAL_FAILURE(obey());
     }
     const auto what = draw(10);
@@ -271,7 +278,7 @@
                             10 * plan, gateway.now + 300 + double(draw(2000)), 1 + double(draw(3)),
                             2};
       all[id] = {request.class_index, plan, request.expires_at, request.units, {}};
-      gateway.control.on_request(gateway.now, request, gateway.out);
+      gateway.controller.on_request(gateway.now, request, gateway.sink);
     } else if (what < 9) {
       for (auto& [id, record] : all) {
         std::size_t i = 0;
@@ -291,17 +298,17 @@
         const HostId host_id = attempt.host;
         const Ms took = gateway.now - attempt.sent;
         record.ended |= over;
-        gateway.control.on_attempt_end(
+        gateway.controller.on_attempt_end(
             gateway.now, {id, static_cast<std::uint32_t>(i), host_id, outcome, took, over, {}, {}},
-            gateway.out);
+            gateway.sink);
         break;
       }
     } else {
       const auto host_id = static_cast<HostId>(1 + draw(8));
       state[host_id] = static_cast<HostState>(draw(3));
       if (draw(2) != 0) state[host_id] = HostState::kReady;
-      gateway.list(HostListUpdate::kDelta,
-                   {host(host_id, state[host_id], draw(4) == 0 ? gateway.now : 0, host_id % 2)});
+      gateway.update_hosts(HostListUpdate::kDelta,
+                           {host(host_id, state[host_id], draw(4) == 0 ? gateway.now : 0, host_id % 2)});
     }
     ASSERT_NO_FATAL_FAILURE(obey());
   }
@@ -330,33 +337,34 @@
   }
   // The host that the retry is sent to, if any.
   std::optional<HostId> repeat() {
-    gateway.end(1, 0, 1, Outcome::kConnectionLost);
-    const Act* again = gateway.out.of(Act::kSend, 1);
+    gateway.end_attempt(1, 0, 1, Outcome::kConnectionLost);
+    const RecordedAction* again = gateway.sink.find(RecordedAction::kSend, 1);
     return again ? std::optional(again->host) : std::nullopt;
   }
   void take() {
-    ASSERT_TRUE(gateway.ask(1));
-    gateway.out.take();
+    ASSERT_TRUE(gateway.submit(1));
+    gateway.sink.take();
   }
   Gateway gateway{settings(), {host(1, HostState::kReady, 0, 1)}, 20'000};
 };
 
 TEST_P(KeyedRetry, StaysInTheScopeOfARemovedHost) {
   take();
-  gateway.list(HostListUpdate::kSnapshot, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
+  gateway.update_hosts(HostListUpdate::kSnapshot, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, GoesToAHostOfTheSameScope) {
   take();
-  gateway.list(HostListUpdate::kSnapshot,
-               {host(2, HostState::kReady, 0, 0), host(3, HostState::kReady, 0, 1), HostEntry::removed(1)});
+  gateway.update_hosts(HostListUpdate::kSnapshot, {host(2, HostState::kReady, 0, 0),
+                                                   host(3, HostState::kReady, 0, 1), HostEntry::removed(1)});
   EXPECT_EQ(repeat(), HostId{3});
 }
 
 TEST_P(KeyedRetry, IsBoundToTheHostsLocationAtTheTimeOfTheSend) {
   take();
-  gateway.list(HostListUpdate::kDelta, {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0)});
+  gateway.update_hosts(HostListUpdate::kDelta,
+                       {host(1, HostState::kReady, 0, 0), host(2, HostState::kReady, 0, 0)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
@@ -365,18 +373,18 @@
   nowhere.zone = nowhere.cell = std::nullopt;
   HostEntry first = nowhere;
   first.id = 1;
-  gateway.list(HostListUpdate::kSnapshot, {first});
+  gateway.update_hosts(HostListUpdate::kSnapshot, {first});
   take();
-  gateway.list(HostListUpdate::kSnapshot, {nowhere, HostEntry::removed(1)});
+  gateway.update_hosts(HostListUpdate::kSnapshot, {nowhere, HostEntry::removed(1)});
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
 TEST_P(KeyedRetry, KeepsTheSettingsThatItsRequestArrivedWith) {
   take();
-  gateway.list(HostListUpdate::kDelta, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
+  gateway.update_hosts(HostListUpdate::kDelta, {host(2, HostState::kReady, 0, 0), HostEntry::removed(1)});
   AdmissionSettings later = settings();
   later.classes[0].idempotency_scope = IdempotencyScope::kAll;
-  gateway.control.update_settings(gateway.now, later);
+  gateway.controller.update_settings(gateway.now, later);
   EXPECT_EQ(repeat(), std::nullopt);
 }
 
@@ -384,11 +392,11 @@
   AdmissionSettings short_lived = settings();
   short_lived.classes[0].idempotency_key_ttl_ms = 600;
   Gateway held(short_lived, {host(1, HostState::kReady, 0, 1), host(3, HostState::kReady, 0, 1)}, 20'000);
-  ASSERT_TRUE(held.ask(1));
-  const HostId first = held.out.take().front().host;
+  ASSERT_TRUE(held.submit(1));
+  const HostId first = held.sink.take().front().host;
   held.now += 600 - 140;  // within 0.8 of the lifetime, but the bytes may be written 0.15 s later
-  held.end(1, 0, first, Outcome::kConnectionLost);
-  EXPECT_EQ(held.out.of(Act::kSend, 1), nullptr);
+  held.end_attempt(1, 0, first, Outcome::kConnectionLost);
+  EXPECT_EQ(held.sink.find(RecordedAction::kSend, 1), nullptr);
 }
 
 INSTANTIATE_TEST_SUITE_P(Groups, KeyedRetry,
--- a/tests/admission/large_fleet_test.cpp
+++ b/tests/admission/large_fleet_test.cpp
@@ -17,8 +17,8 @@
   for (std::uint64_t seed = 1; seed <= 20; ++seed) {
     Gateway gateway(large(), host_list(100), 0, seed);
     for (RequestId id = 1; id <= 60; ++id) {
-      gateway.wait(300);
-      refused += !gateway.ask(id, 1, 2, id);
+      gateway.advance(300);
+      refused += !gateway.submit(id, 1, 2, id);
       gateway.now += 100;  // served in 100 ms of an objective of 1 s
       gateway.answer_all(100);
     }
@@ -34,25 +34,25 @@
   settings.plans[0].quota_burst = 8;
   settings.plans[0].over_quota_cost = 0.8;
   Gateway gateway(settings, host_list(50));
-  gateway.wait(20000);
+  gateway.advance(20000);
   int first = 0, later = 0;
   for (RequestId id = 1; id <= 50; ++id) {
-    first += gateway.ask(id, 1, 200, id);
+    first += gateway.submit(id, 1, 200, id);
     gateway.answer_all();
-    gateway.wait(300);
+    gateway.advance(300);
   }
   EXPECT_GE(first, 36) << "a quarter of the refused may ask again, for all that is known here";
   int still = 0;
   for (RequestId id = 1000; id < 1400; ++id) {  // no client retries
-    still += gateway.ask(id, 1, 200, id) && id >= 1350;
+    still += gateway.submit(id, 1, 200, id) && id >= 1350;
     gateway.answer_all();
-    gateway.wait(300);
+    gateway.advance(300);
   }
   EXPECT_GE(still, 43);
   for (RequestId id = 100; id < 120; ++id) {
-    later += gateway.ask(id, 1, 200, 7777);
+    later += gateway.submit(id, 1, 200, 7777);
     gateway.answer_all();
-    gateway.wait(300);
+    gateway.advance(300);
   }
   EXPECT_LE(later, 3);
   EXPECT_GE(later, 1);
@@ -66,15 +66,15 @@
   settings.plans[0].over_quota_cost = 1;
   for (const bool repeat : {false, true}) {
     Gateway gateway(settings, host_list(50));
-    gateway.wait(3000);  // a slice of a fifth a second lets half a request be expected
+    gateway.advance(3000);  // a slice of a fifth a second lets half a request be expected
     CustomerId customer = 7;
-    while (!gateway.ask(customer, 1, 20, customer))
+    while (!gateway.submit(customer, 1, 20, customer))
       ASSERT_LT(++customer, 20u);  // some are rejected by chance
     gateway.answer_all();
     gateway.now += 10;
-    gateway.control.on_request(gateway.now, {2, 0, 0, customer, gateway.now + 4000, 1, 20, repeat},
-                               gateway.out);
-    EXPECT_EQ(gateway.out.of(Act::kSend, 2) == nullptr, repeat);
+    gateway.controller.on_request(gateway.now, {2, 0, 0, customer, gateway.now + 4000, 1, 20, repeat},
+                                  gateway.sink);
+    EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, 2) == nullptr, repeat);
   }
 }
 
@@ -87,13 +87,13 @@
   settings.plans[0].ceiling_rate = 40;
   settings.plans[0].ceiling_burst = 40;
   Gateway gateway(settings, host_list(50), 0);
-  gateway.wait(30000);  // ceilings start empty
+  gateway.advance(30000);  // ceilings start empty
   int sent = 0;
   for (RequestId id = 1; id <= 10; ++id) {  // two at once from each of ten customers, a slice of half a unit
-    sent += gateway.ask(2 * id, 1, 20, id);
-    sent += gateway.ask(2 * id + 1, 1, 20, id);
+    sent += gateway.submit(2 * id, 1, 20, id);
+    sent += gateway.submit(2 * id + 1, 1, 20, id);
     gateway.answer_all();
-    gateway.wait(1000);
+    gateway.advance(1000);
   }
   EXPECT_GE(sent, 18);
 }
@@ -104,17 +104,17 @@
   int asked = 0, sent = 0;
   for (std::uint64_t seed = 1; seed <= 10; ++seed) {
     Gateway gateway(large(), host_list(100), 0, seed);
-    std::vector<std::pair<Ms, Act>> answers;
+    std::vector<std::pair<Ms, RecordedAction>> answers;
     for (RequestId id = 1; id <= 150; ++id) {
-      const bool on = gateway.ask(id, 1, 2, id);
+      const bool on = gateway.submit(id, 1, 2, id);
       if (id > 50) ++asked, sent += on;
-      for (const auto& action : gateway.out.take()) {
-        if (action.kind == Act::kSend) answers.emplace_back(gateway.now + 450, action);
+      for (const auto& action : gateway.sink.take()) {
+        if (action.kind == RecordedAction::kSend) answers.emplace_back(gateway.now + 450, action);
       }
       for (int i = 0; i < 10; ++i) {
         gateway.now += 20;
         while (!answers.empty() && answers.front().first <= gateway.now) {
-          gateway.end(answers.front().second.id, 0, answers.front().second.host, Outcome::kOk, 450);
+          gateway.end_attempt(answers.front().second.id, 0, answers.front().second.host, Outcome::kOk, 450);
           answers.erase(answers.begin());
         }
         if (i % 5 == 4) gateway.tick();
@@ -130,8 +130,8 @@
   Gateway gateway(large(), host_list(100));
   int sent = 0;
   for (RequestId id = 1; id <= 200; ++id) {
-    gateway.wait(300);
-    const bool on = gateway.ask(id, 1, 2, id);
+    gateway.advance(300);
+    const bool on = gateway.submit(id, 1, 2, id);
     if (id > 100) sent += on;
     gateway.now += 5;
     gateway.answer_all(950);  // of an objective of 1 s
@@ -156,8 +156,8 @@
   for (RequestId id = 1; id <= 60 * kAsked; ++id) {  // a minute, of which the second half counts
     const Ms now = static_cast<Ms>(id) * 1000 / kAsked;
     Gateway& gateway = *all[random() % all.size()];
-    while (gateway.now + 100 <= now) gateway.wait(100);
-    const bool on = gateway.ask(id, 1, kGateways, 7);
+    while (gateway.now + 100 <= now) gateway.advance(100);
+    const bool on = gateway.submit(id, 1, kGateways, 7);
     if (id > 30 * kAsked) sent += on;
     gateway.answer_all();
   }
@@ -177,21 +177,21 @@
     Gateway gateway(settings, host_list(40));
     int refused = 0;
     for (RequestId id = 1; id <= 200; ++id) {
-      gateway.ask(id, 1, 24, id);
+      gateway.submit(id, 1, 24, id);
       for (std::uint32_t attempt = 0; attempt < 4; ++attempt) {
-        const Act* action = gateway.out.of(Act::kSend, id);
+        const RecordedAction* action = gateway.sink.find(RecordedAction::kSend, id);
         if (action == nullptr) break;
         const HostId host_id = action->host;
-        gateway.out.take();
+        gateway.sink.take();
         const bool full = attempt == 0 && id % 3 == 0;
         AttemptResult end{id, attempt, host_id, full ? Outcome::kOverloaded : Outcome::kOk,
                           60, !full,   {},      {}};
         if (!full) end.load_report.queue_length = queue;
-        gateway.control.on_attempt_end(gateway.now, end, gateway.out);
+        gateway.controller.on_attempt_end(gateway.now, end, gateway.sink);
       }
-      refused += gateway.out.why(id).has_value();
-      gateway.out.take();
-      gateway.wait(200);
+      refused += gateway.sink.rejection_reason(id).has_value();
+      gateway.sink.take();
+      gateway.advance(200);
     }
     if (queue > 0) {
       EXPECT_GE(refused, 20) << "behind full queues it is one";
@@ -210,11 +210,11 @@
   settings.max_request_units = 2;
   for (const double units : {1.0, 2.0}) {
     Gateway gateway(settings, host_list(50));
-    gateway.wait(9000);
+    gateway.advance(9000);
     int sent = 0;
     for (CustomerId customer = 1; customer <= 4; ++customer) {
-      gateway.ask(2 * customer, 1, 100, customer);
-      sent += gateway.ask(2 * customer + 1, units, 100, customer);
+      gateway.submit(2 * customer, 1, 100, customer);
+      sent += gateway.submit(2 * customer + 1, units, 100, customer);
       gateway.answer_all();
     }
     EXPECT_EQ(sent, 0) << units;
@@ -241,8 +241,8 @@
       double draw = at;
       for (RequestId tries = 0; tries < 2; ++tries) {  // a client retries once, at another gateway
         Gateway& gateway = *all[static_cast<std::size_t>(kGateways * std::pow(draw, 2.5))];
-        while (gateway.now + 100 <= now) gateway.wait(100);
-        const bool passed = gateway.ask(id + 10'000 * tries, 1, kGateways, 7);
+        while (gateway.now + 100 <= now) gateway.advance(100);
+        const bool passed = gateway.submit(id + 10'000 * tries, 1, kGateways, 7);
         gateway.answer_all();
         sent += passed;
         if (passed) break;
--- a/tests/admission/model_fleet_test.cpp
+++ b/tests/admission/model_fleet_test.cpp
@@ -20,9 +20,9 @@
   for (std::uint64_t i = 0; i < kGateways; ++i) {
     Gateway gateway(settings, host_list(60, 36, 1e6), 1e6 + 10'000, 300 + i);
     for (RequestId id = 1; id <= 18; ++id) {  // nine a second
-      gateway.wait(111);
-      if (!gateway.ask(id, 1, 60, id)) continue;
-      cold += gateway.out.of(Act::kSend, id)->host <= 36, ++all;
+      gateway.advance(111);
+      if (!gateway.submit(id, 1, 60, id)) continue;
+      cold += gateway.sink.find(RecordedAction::kSend, id)->host <= 36, ++all;
       gateway.answer_all(400);
     }
   }
@@ -73,12 +73,12 @@
       settings.gateway_count = 100;
       settings.connection_idle_timeout_ms = conn_idle;
       Gateway gateway(settings, {host(1)}, 100'000, seed);
-      gateway.ask(1);
+      gateway.submit(1);
       gateway.answer_all();
-      gateway.list(HostListUpdate::kDelta, {host(2)});
-      gateway.wait(5000);
-      gateway.ask(2, 1, 2, 2);
-      const auto* sent = gateway.out.of(Act::kSend, 2);
+      gateway.update_hosts(HostListUpdate::kDelta, {host(2)});
+      gateway.advance(5000);
+      gateway.submit(2, 1, 2, 2);
+      const auto* sent = gateway.sink.find(RecordedAction::kSend, 2);
       asked += sent && sent->host == 2;
     }
     return asked;
--- a/tests/admission/regression_test.cpp
+++ b/tests/admission/regression_test.cpp
@@ -20,18 +20,18 @@
   Gateway gateway(roomy());
   std::map<HostId, int> sends;
   for (RequestId id = 1; id <= 300; ++id) {
-    gateway.ask(id);
+    gateway.submit(id);
     gateway.now += 5;
     for (std::uint32_t attempt = 0; attempt < 3; ++attempt) {  // the retry elsewhere is answered too
-      const auto* action = gateway.out.of(Act::kSend, id);
+      const auto* action = gateway.sink.find(RecordedAction::kSend, id);
       if (action == nullptr) break;
       const HostId host_id = action->host;
-      gateway.out.take();
+      gateway.sink.take();
       ++sends[host_id];
       const bool bad = host_id == 1;
-      gateway.end(id, attempt, host_id, bad ? Outcome::kOverloaded : Outcome::kOk, bad ? 1 : 60);
+      gateway.end_attempt(id, attempt, host_id, bad ? Outcome::kOverloaded : Outcome::kOk, bad ? 1 : 60);
     }
-    gateway.out.take();
+    gateway.sink.take();
     if (id % 20 == 0) gateway.tick();
   }
   EXPECT_LT(sends[1], 60) << "of 300, a third would be its even part";
@@ -41,9 +41,9 @@
 // i5f6c38: attempts in flight are bounded where no answer comes.
 TEST(HostSelection, WithoutAnswersNoMoreIsSent) {
   Gateway gateway(roomy());
-  RequestId id = gateway.fill(1, 50);
+  RequestId id = gateway.complete_requests(1, 50);
   int sent = 0;
-  for (int i = 0; i < 200; ++i, gateway.now += 10) sent += gateway.ask(id++, 1, 2, 7);
+  for (int i = 0; i < 200; ++i, gateway.now += 10) sent += gateway.submit(id++, 1, 2, 7);
   // 3 hosts, 2 gateways: a few attempts for each core, and no long queues.
   EXPECT_LE(sent, 40);
   EXPECT_GE(sent, 3);
@@ -51,15 +51,15 @@
 
 TEST(HostSelection, ASilentHostIsAvoidedBeforeATimeOut) {
   Gateway gateway(roomy());
-  RequestId id = gateway.fill(1, 50);
+  RequestId id = gateway.complete_requests(1, 50);
   std::map<HostId, int> sends;
   for (int i = 0; i < 60; ++i) {
-    gateway.ask(++id);
+    gateway.submit(++id);
     gateway.now += 20;
-    for (const auto& action : gateway.out.take()) {
-      if (action.kind != Act::kSend) continue;
+    for (const auto& action : gateway.sink.take()) {
+      if (action.kind != RecordedAction::kSend) continue;
       ++sends[action.host];
-      if (action.host != 1) gateway.end(action.id, 0, action.host, Outcome::kOk, 20);
+      if (action.host != 1) gateway.end_attempt(action.id, 0, action.host, Outcome::kOk, 20);
     }
   }
   EXPECT_LE(sends[1], 4);
@@ -77,9 +77,9 @@
 int passed_in(Gateway& gateway, RequestId first, int n, Ms gap) {
   int passed = 0;
   for (int i = 0; i < n; ++i) {
-    passed += gateway.ask(first + static_cast<RequestId>(i));
+    passed += gateway.submit(first + static_cast<RequestId>(i));
     gateway.answer_all();
-    gateway.wait(gap);
+    gateway.advance(gap);
   }
   return passed;
 }
@@ -102,10 +102,10 @@
     const Ms gap = 1000 / (2.4 * slice);
     int passed = 0;
     for (RequestId id = 1; id <= 200; ++id) {
-      const bool sent = gateway.ask(id, 1, spread);
+      const bool sent = gateway.submit(id, 1, spread);
       passed += id > 100 && sent;
       gateway.answer_all();
-      gateway.wait(gap);
+      gateway.advance(gap);
     }
     if (spread > 2) {
       EXPECT_GE(passed, 90);
@@ -128,7 +128,7 @@
   Gateway gateway(sold());
   int passed = 0;
   for (RequestId id = 1; id <= 20; ++id) {
-    passed += gateway.ask(id);
+    passed += gateway.submit(id);
     gateway.answer_all();
   }
   EXPECT_EQ(passed, 5);
@@ -137,35 +137,35 @@
 // Hedging requests that merely take long wastes work.
 TEST(Retries, WaitForALongRequest) {
   Gateway gateway(roomy());
-  gateway.fill(1, 50);
-  ASSERT_TRUE(gateway.ask(500));
-  gateway.out.take();
+  gateway.complete_requests(1, 50);
+  ASSERT_TRUE(gateway.submit(500));
+  gateway.sink.take();
   gateway.now += 590;  // below 0.6 of the objective of 1 s
-  gateway.control.on_timer(gateway.now, 500, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kSend), 0u);
+  gateway.controller.on_timer(gateway.now, 500, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend), 0u);
   gateway.now += 20;
-  gateway.control.on_timer(gateway.now, 500, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kSend), 1u);
+  gateway.controller.on_timer(gateway.now, 500, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kSend), 1u);
 }
 
 TEST(Retries, HaveABudget) {
   Gateway gateway(roomy());
-  RequestId id = gateway.fill(1, 300);
+  RequestId id = gateway.complete_requests(1, 300);
   int again = 0;
   for (int i = 0; i < 200; ++i, ++id, gateway.now += 20) {
-    gateway.out.take();
-    gateway.ask(id);
-    const auto* first = gateway.out.of(Act::kSend, id);
+    gateway.sink.take();
+    gateway.submit(id);
+    const auto* first = gateway.sink.find(RecordedAction::kSend, id);
     if (first == nullptr) continue;
     const HostId host_id = first->host;
-    gateway.out.take();
-    gateway.end(id, 0, host_id, Outcome::kError, 5);
-    const auto* second = gateway.out.of(Act::kSend, id);
+    gateway.sink.take();
+    gateway.end_attempt(id, 0, host_id, Outcome::kError, 5);
+    const auto* second = gateway.sink.find(RecordedAction::kSend, id);
     if (second == nullptr) continue;
     ++again;
     const HostId second_host_id = second->host;
-    gateway.out.take();
-    gateway.end(id, 1, second_host_id, Outcome::kOk, 20);
+    gateway.sink.take();
+    gateway.end_attempt(id, 1, second_host_id, Outcome::kOk, 20);
   }
   EXPECT_GE(again, 10);
   EXPECT_LE(again, 10 + 200 / 10 + 1) << "what was saved up and a tenth of first sends";
@@ -179,17 +179,17 @@
       settings.hedging_allowed = false;
       settings.max_attempts = attempts;
       Gateway gateway(settings, alone ? std::vector{host(1)} : std::vector{host(1), host(2)});
-      RequestId id = gateway.fill(1, 50);
-      ASSERT_TRUE(gateway.ask(500, 1, 2, 77));
-      gateway.out.take();
+      RequestId id = gateway.complete_requests(1, 50);
+      ASSERT_TRUE(gateway.submit(500, 1, 2, 77));
+      gateway.sink.take();
       std::size_t cancels = 0;
       for (int i = 0; i < 30; ++i) {  // 1.5 s, with answers to others all the time
-        gateway.fill(++id + 1000, 1);
+        gateway.complete_requests(++id + 1000, 1);
         gateway.now += 50;
         gateway.tick();
-        gateway.control.on_timer(gateway.now, 500, gateway.out);
-        cancels += gateway.out.count(Act::kCancel);
-        gateway.out.take();
+        gateway.controller.on_timer(gateway.now, 500, gateway.sink);
+        cancels += gateway.sink.count(RecordedAction::kCancel);
+        gateway.sink.take();
       }
       EXPECT_EQ(cancels > 0, !alone && attempts > 1) << alone << ' ' << attempts;
     }
@@ -201,16 +201,16 @@
   Gateway gateway(roomy(), {host(1), host(2), host(3), host(4)});
   int first_sends = 0;
   for (RequestId id = 1; id <= 400; ++id) {
-    gateway.wait(100);
-    gateway.out.take();
-    const bool on = gateway.ask(id, 1, 2, id);
+    gateway.advance(100);
+    gateway.sink.take();
+    const bool on = gateway.submit(id, 1, 2, id);
     if (id > 200) first_sends += on;
     for (std::uint32_t attempt = 0; attempt < 4; ++attempt) {
-      const auto* sent = gateway.out.of(Act::kSend, id);
+      const auto* sent = gateway.sink.find(RecordedAction::kSend, id);
       if (sent == nullptr) break;
       const HostId host_id = sent->host;
-      gateway.out.take();
-      gateway.end(id, attempt, host_id, Outcome::kError, 5);
+      gateway.sink.take();
+      gateway.end_attempt(id, attempt, host_id, Outcome::kError, 5);
     }
   }
   EXPECT_GE(first_sends, 180);
@@ -221,20 +221,20 @@
   auto settings = roomy();
   settings.max_attempts = 1;  // a lost attempt is in flight until its deadline
   Gateway gateway(settings);
-  RequestId id = gateway.fill(1, 50);
+  RequestId id = gateway.complete_requests(1, 50);
   int asked = 0, sent = 0;
-  std::vector<std::pair<Ms, Act>> answers;
+  std::vector<std::pair<Ms, RecordedAction>> answers;
   for (int i = 0; i < 600; ++i) {
     ++id;
-    const bool on = gateway.ask(id, 1, 2, id, 0, 20000);
+    const bool on = gateway.submit(id, 1, 2, id, 0, 20000);
     if (i >= 300) ++asked, sent += on;
-    for (const auto& action : gateway.out.take()) {
-      if (action.kind == Act::kSend && i % 6 != 0)
+    for (const auto& action : gateway.sink.take()) {
+      if (action.kind == RecordedAction::kSend && i % 6 != 0)
         answers.emplace_back(gateway.now + 60, action);  // each sixth is lost
     }
-    gateway.wait(20);
+    gateway.advance(20);
     while (!answers.empty() && answers.front().first <= gateway.now) {
-      gateway.end(answers.front().second.id, 0, answers.front().second.host, Outcome::kOk, 60);
+      gateway.end_attempt(answers.front().second.id, 0, answers.front().second.host, Outcome::kOk, 60);
       answers.erase(answers.begin());
     }
   }
@@ -242,21 +242,21 @@
 }
 
 TEST(Discovery, ANewGatewayPollsTheHostListAtOnce) {
-  Recorder out;
+  RecordingSink out;
   AdmissionController control(plain_settings(), 1);
   control.start(0, out);
-  EXPECT_EQ(out.count(Act::kFetch), 1u);
+  EXPECT_EQ(out.count(RecordedAction::kPollHosts), 1u);
 }
 
 TEST(Discovery, AFailedWatchIsRenewed) {
   auto settings = plain_settings();
   settings.host_watch_required = true;
   Gateway gateway(settings);
-  gateway.list(HostListUpdate::kFailed, {});
-  ASSERT_EQ(gateway.out.count(Act::kWake), 1u);
-  const auto token = gateway.out.take().front().id;
-  gateway.control.on_timer(gateway.now + 1000, token, gateway.out);
-  EXPECT_EQ(gateway.out.count(Act::kFollow), 1u);
+  gateway.update_hosts(HostListUpdate::kFailed, {});
+  ASSERT_EQ(gateway.sink.count(RecordedAction::kScheduleTimer), 1u);
+  const auto token = gateway.sink.take().front().id;
+  gateway.controller.on_timer(gateway.now + 1000, token, gateway.sink);
+  EXPECT_EQ(gateway.sink.count(RecordedAction::kWatchHosts), 1u);
 }
 
 }  // namespace
--- a/tests/admission/throttled_log_test.cpp
+++ b/tests/admission/throttled_log_test.cpp
@@ -8,14 +8,14 @@
 namespace {
 
 TEST(ThrottledLog, RepeatsARemarkAfterFiveSecondsOnly) {
-  testing::Recorder sink;
+  testing::RecordingSink sink;
   ThrottledLog log;
   log.log("first", 0, sink);
   log.log("first", 4999, sink);
   log.log("second", 4999, sink);
-  EXPECT_EQ(sink.acts.size(), 2u);
+  EXPECT_EQ(sink.actions.size(), 2u);
   log.log("first", 5000, sink);
-  EXPECT_EQ(sink.acts.size(), 3u);
+  EXPECT_EQ(sink.actions.size(), 3u);
 }
 
 }  // namespace
--- a/tests/admission/warm_up_test.cpp
+++ b/tests/admission/warm_up_test.cpp
@@ -23,7 +23,7 @@
     Gateway gateway(settings, host_list(40, 16, 1e6 - 500), 1e6, 100 + static_cast<std::uint64_t>(i));
     for (RequestId id = 1; id <= static_cast<RequestId>(each); ++id) {
       gateway.now += 1000.0 / each;
-      if (gateway.ask(id, 1, 2, id)) ++sends[gateway.out.of(Act::kSend, id)->host];
+      if (gateway.submit(id, 1, 2, id)) ++sends[gateway.sink.find(RecordedAction::kSend, id)->host];
       gateway.answer_all();
     }
   }
@@ -48,23 +48,23 @@
     settings.slow_start_initial_weight = 0.16;
     settings.slow_start_duration_ms = 16'000;
     Gateway gateway(settings, host_list(24, 16, 1e6), 1e6 + 6000, seed);
-    std::vector<std::pair<Ms, Act>> answers;
+    std::vector<std::pair<Ms, RecordedAction>> answers;
     for (RequestId id = 1; id <= 20; ++id) {
-      gateway.ask(id, 1, 2, id);
-      for (const auto& action : gateway.out.take()) {
-        if (action.kind != Act::kSend) continue;
+      gateway.submit(id, 1, 2, id);
+      for (const auto& action : gateway.sink.take()) {
+        if (action.kind != RecordedAction::kSend) continue;
         answers.emplace_back(gateway.now + (action.host <= 16 ? 250 : 900), action);
         cold += action.host <= 16, ++all;
       }
       for (int i = 0; i < 3; ++i) {
-        gateway.wait(100);
+        gateway.advance(100);
         std::erase_if(answers, [&](const auto& due) {
           if (due.first > gateway.now) return false;
           const bool warm = due.second.host > 16;
           AttemptResult end{
               due.second.id, 0, due.second.host, Outcome::kOk, warm ? 900.0 : 250.0, true, {}, {}};
           end.load_report.queue_length = warm ? 4 : 0;
-          gateway.control.on_attempt_end(gateway.now, end, gateway.out);
+          gateway.controller.on_attempt_end(gateway.now, end, gateway.sink);
           return true;
         });
       }
@@ -83,25 +83,26 @@
   RequestId id = 1;
   const auto burst = [&] {
     int sent = 0;
-    for (int i = 0; i < 50; ++i, ++id) sent += gateway.ask(id, 1, 1, id);
+    for (int i = 0; i < 50; ++i, ++id) sent += gateway.submit(id, 1, 1, id);
     return sent;
   };
   const auto answered = [&] {
-    const auto acts = gateway.out.take();
-    gateway.wait(100);
+    const auto acts = gateway.sink.take();
+    gateway.advance(100);
     for (const auto& action : acts) {
-      if (action.kind == Act::kSend) gateway.end(action.id, 0, action.host, Outcome::kOk, 100);
+      if (action.kind == RecordedAction::kSend)
+        gateway.end_attempt(action.id, 0, action.host, Outcome::kOk, 100);
     }
-    gateway.out.take();
+    gateway.sink.take();
   };
   EXPECT_GE(burst(), 45) << "at the start";
   answered();
   EXPECT_GE(burst(), 45) << "at once again";
   answered();
-  gateway.wait(10'000);
+  gateway.advance(10'000);
   EXPECT_GE(burst(), 45) << "after a lull";
-  gateway.out.take();
-  gateway.wait(1000);  // no answers
+  gateway.sink.take();
+  gateway.advance(1000);  // no answers
   EXPECT_LE(burst(), 4) << "behind fifty that are stuck";
 }
 
@@ -109,7 +110,7 @@
 TEST(IdleHosts, HostsThatWarmUpGetTheLeastLimitAtFirst) {
   Gateway gateway(large(1), {host(1, HostState::kReady, 1e6), host(2, HostState::kReady, 1e6)}, 1e6 + 5000);
   int sent = 0;
-  for (RequestId id = 1; id <= 200; ++id) sent += gateway.ask(id, 1, 1, id);
+  for (RequestId id = 1; id <= 200; ++id) sent += gateway.submit(id, 1, 1, id);
   EXPECT_LE(sent, 10);
 }
 
--- a/tests/decision_log_test.cpp
+++ b/tests/decision_log_test.cpp
@@ -12,10 +12,10 @@
 namespace cometfold::net::testing {
 namespace {
 
-using cometfold::testing::Act;
 using cometfold::testing::host;
 using cometfold::testing::plain_settings;
-using cometfold::testing::Recorder;
+using cometfold::testing::RecordedAction;
+using cometfold::testing::RecordingSink;
 
 TEST(DecisionLog, LogsPlansClassesAndDecisionsWithoutChangingThem) {
   auto settings = plain_settings();
@@ -26,8 +26,8 @@
   engine::ControllerPolicy plain(settings, 7), logged(settings, 7);
   DecisionLog log(logged, settings, [&](const std::string& line) { lines.push_back(line); });
   const HostEntry list[] = {host(1), host(2)};
-  Recorder without, with;
-  const auto play = [&](engine::AdmissionPolicy& policy, Recorder& out) {
+  RecordingSink without, with;
+  const auto play = [&](engine::AdmissionPolicy& policy, RecordingSink& out) {
     policy.start(0, out);
     policy.on_host_list(0, HostListUpdate::kSnapshot, list, out);
     for (RequestId id = 1; id <= 12; ++id) {
@@ -38,11 +38,11 @@
   };
   play(plain, without);
   play(log, with);
-  ASSERT_EQ(with.acts.size(), without.acts.size());
-  for (std::size_t i = 0; i < with.acts.size(); ++i) {
-    EXPECT_EQ(with.acts[i].kind, without.acts[i].kind) << i;
-    EXPECT_EQ(with.acts[i].id, without.acts[i].id) << i;
-    EXPECT_EQ(with.acts[i].host, without.acts[i].host) << i;
+  ASSERT_EQ(with.actions.size(), without.actions.size());
+  for (std::size_t i = 0; i < with.actions.size(); ++i) {
+    EXPECT_EQ(with.actions[i].kind, without.actions[i].kind) << i;
+    EXPECT_EQ(with.actions[i].id, without.actions[i].id) << i;
+    EXPECT_EQ(with.actions[i].host, without.actions[i].host) << i;
   }
   ASSERT_EQ(lines.size(), 14u);
   EXPECT_EQ(lines[0], "plan=0 rate=4 burst=8 pays=1 cost=1.5 earns=0 ceiling=0 ceilingburst=0 open=0");
@@ -55,8 +55,8 @@
     sent += last == "sent";
     rejected += last.starts_with("refused=");
   }
-  EXPECT_EQ(sent, static_cast<int>(with.count(Act::kSend)));
-  EXPECT_EQ(rejected, static_cast<int>(with.count(Act::kRefuse)));
+  EXPECT_EQ(sent, static_cast<int>(with.count(RecordedAction::kSend)));
+  EXPECT_EQ(rejected, static_cast<int>(with.count(RecordedAction::kReject)));
   EXPECT_GT(rejected, 0);
 }
 
--- a/tests/limits_test.cpp
+++ b/tests/limits_test.cpp
@@ -335,36 +335,36 @@
 TEST(Bounds, AttemptsStayWithinTheRequestsBound) {
   for (const double most : {1.0, 2.0, 9.0}) {
     Gateway gateway(plain_settings());
-    gateway.control.on_request(0, bounded(1, {.max_attempts = most}), gateway.out);
+    gateway.controller.on_request(0, bounded(1, {.max_attempts = most}), gateway.sink);
     int sent = 0;
-    while (const Act* send = gateway.out.of(Act::kSend, 1)) {
+    while (const RecordedAction* send = gateway.sink.find(RecordedAction::kSend, 1)) {
       const HostId host = send->host;
-      gateway.out.take();
-      gateway.end(1, static_cast<std::uint32_t>(sent), host, Outcome::kConnectFailed);
+      gateway.sink.take();
+      gateway.end_attempt(1, static_cast<std::uint32_t>(sent), host, Outcome::kConnectFailed);
       ++sent;
     }
     EXPECT_EQ(sent, std::min(most, 4.0)) << "the platform's four apply as well";
-    EXPECT_EQ(gateway.out.count(Act::kRefuse), 1u);
+    EXPECT_EQ(gateway.sink.count(RecordedAction::kReject), 1u);
   }
 }
 
 TEST(Bounds, AnAttemptHasTheRequestsTimeout) {
   Gateway gateway(plain_settings());
-  gateway.control.on_request(0, bounded(1, {.attempt_timeout_ms = 300}), gateway.out);
-  EXPECT_EQ(gateway.out.of(Act::kSend, 1)->value, 300);
-  gateway.control.on_request(0, bounded(2, {}), gateway.out);
-  EXPECT_EQ(gateway.out.of(Act::kSend, 2)->value, 0);
+  gateway.controller.on_request(0, bounded(1, {.attempt_timeout_ms = 300}), gateway.sink);
+  EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, 1)->value, 300);
+  gateway.controller.on_request(0, bounded(2, {}), gateway.sink);
+  EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, 2)->value, 0);
 }
 
 TEST(Bounds, NoRetryAfterTheRetryWindow) {
   for (const Ms at : {200.0, 201.0}) {
     Gateway gateway(plain_settings());
-    gateway.control.on_request(0, bounded(1, {.retry_window_ms = 200}), gateway.out);
-    const HostId host = gateway.out.of(Act::kSend, 1)->host;
-    gateway.out.take();
+    gateway.controller.on_request(0, bounded(1, {.retry_window_ms = 200}), gateway.sink);
+    const HostId host = gateway.sink.find(RecordedAction::kSend, 1)->host;
+    gateway.sink.take();
     gateway.now = at;
-    gateway.end(1, 0, host, Outcome::kConnectFailed);
-    EXPECT_EQ(gateway.out.of(Act::kSend, 1) != nullptr, at <= 200) << at;
+    gateway.end_attempt(1, 0, host, Outcome::kConnectFailed);
+    EXPECT_EQ(gateway.sink.find(RecordedAction::kSend, 1) != nullptr, at <= 200) << at;
   }
 }
 
@@ -373,12 +373,12 @@
 TEST(Bounds, HedgingOnlyWhereTheRequestAllowsIt) {
   const auto after_long = [](RequestBounds bounds) {
     Gateway gateway(plain_settings());
-    gateway.fill(100, 40);
-    gateway.control.on_request(gateway.now, bounded(1, bounds), gateway.out);
-    gateway.out.take();
+    gateway.complete_requests(100, 40);
+    gateway.controller.on_request(gateway.now, bounded(1, bounds), gateway.sink);
+    gateway.sink.take();
     gateway.now += 700;
-    gateway.control.on_timer(gateway.now, 1, gateway.out);
-    return std::pair{gateway.out.count(Act::kSend), gateway.out.count(Act::kCancel)};
+    gateway.controller.on_timer(gateway.now, 1, gateway.sink);
+    return std::pair{gateway.sink.count(RecordedAction::kSend), gateway.sink.count(RecordedAction::kCancel)};
   };
   EXPECT_EQ(after_long({}), (std::pair<std::size_t, std::size_t>{1, 0}));
   EXPECT_EQ(after_long({.hedging_allowed = false}), (std::pair<std::size_t, std::size_t>{0, 1}));
--- a/tests/support.h
+++ b/tests/support.h
@@ -11,48 +11,64 @@
 
 namespace cometfold::testing {
 
-struct Act {
-  enum Kind { kSend, kCancel, kRefuse, kFail, kWake, kProbe, kFollow, kFetch, kNote } kind;
+struct RecordedAction {
+  enum Kind {
+    kSend,
+    kCancel,
+    kReject,
+    kFail,
+    kScheduleTimer,
+    kHealthCheck,
+    kWatchHosts,
+    kPollHosts,
+    kLog
+  } kind;
   std::uint64_t id = 0;  // request or token
   HostId host = 0;
-  double value = 0;                                   // milliseconds, or the attempt's index
-  RejectionReason why = RejectionReason::kMalformed;  // of rejections and failures
+  double value = 0;                                      // milliseconds, or the attempt's index
+  RejectionReason reason = RejectionReason::kMalformed;  // of rejections and failures
 };
 
-class Recorder : public ActionSink {
+class RecordingSink : public ActionSink {
  public:
-  std::vector<Act> acts;
+  std::vector<RecordedAction> actions;
 
-  void send(RequestId r, HostId h, Ms t) override { acts.push_back({Act::kSend, r, h, t}); }
-  void cancel(RequestId r, std::uint32_t a) override { acts.push_back({Act::kCancel, r, 0, double(a)}); }
-  void reject(RequestId r, Ms t, RejectionReason why) override {
-    acts.push_back({Act::kRefuse, r, 0, t, why});
+  void send(RequestId r, HostId h, Ms t) override { actions.push_back({RecordedAction::kSend, r, h, t}); }
+  void cancel(RequestId r, std::uint32_t a) override {
+    actions.push_back({RecordedAction::kCancel, r, 0, double(a)});
   }
-  void fail(RequestId r, RejectionReason why) override { acts.push_back({Act::kFail, r, 0, 0, why}); }
-  void schedule_timer(Ms t, std::uint64_t token) override { acts.push_back({Act::kWake, token, 0, t}); }
-  void send_health_check(HostId h) override { acts.push_back({Act::kProbe, 0, h, 0}); }
-  void watch_hosts() override { acts.push_back({Act::kFollow, 0, 0, 0}); }
-  void poll_hosts() override { acts.push_back({Act::kFetch, 0, 0, 0}); }
-  void log(std::string_view) override { acts.push_back({Act::kNote, 0, 0, 0}); }
+  void reject(RequestId r, Ms t, RejectionReason reason) override {
+    actions.push_back({RecordedAction::kReject, r, 0, t, reason});
+  }
+  void fail(RequestId r, RejectionReason reason) override {
+    actions.push_back({RecordedAction::kFail, r, 0, 0, reason});
+  }
+  void schedule_timer(Ms t, std::uint64_t token) override {
+    actions.push_back({RecordedAction::kScheduleTimer, token, 0, t});
+  }
+  void send_health_check(HostId h) override { actions.push_back({RecordedAction::kHealthCheck, 0, h, 0}); }
+  void watch_hosts() override { actions.push_back({RecordedAction::kWatchHosts, 0, 0, 0}); }
+  void poll_hosts() override { actions.push_back({RecordedAction::kPollHosts, 0, 0, 0}); }
+  void log(std::string_view) override { actions.push_back({RecordedAction::kLog, 0, 0, 0}); }
 
-  std::size_t count(Act::Kind kind) const {
-    return static_cast<std::size_t>(
-        std::count_if(acts.begin(), acts.end(), [&](const Act& a) { return a.kind == kind; }));
+  std::size_t count(RecordedAction::Kind kind) const {
+    return static_cast<std::size_t>(std::count_if(actions.begin(), actions.end(),
+                                                  [&](const RecordedAction& a) { return a.kind == kind; }));
   }
-  const Act* of(Act::Kind kind, std::uint64_t id) const {
-    for (const auto& a : acts) {
+  const RecordedAction* find(RecordedAction::Kind kind, std::uint64_t id) const {
+    for (const auto& a : actions) {
       if (a.kind == kind && a.id == id) return &a;
     }
     return nullptr;
   }
   // Why this request was rejected or failed; empty if it was neither.
-  std::optional<RejectionReason> why(std::uint64_t id) const {
-    for (const auto kind : {Act::kRefuse, Act::kFail}) {
-      if (const Act* a = of(kind, id)) return a->why;
+  std::optional<RejectionReason> rejection_reason(std::uint64_t id) const {
+    for (const auto kind : {RecordedAction::kReject, RecordedAction::kFail}) {
+      if (const RecordedAction* a = find(kind, id)) return a->reason;
     }
     return {};
   }
-  std::vector<Act> take() { return std::exchange(acts, {}); }
+  std::vector<RecordedAction> take() { return std::exchange(actions, {}); }
 };
 
 inline AdmissionSettings plain_settings(std::size_t classes = 1) {
@@ -85,46 +101,47 @@
 // An admission controller with its action sink and a simulated clock.
 struct Gateway {
   AdmissionSettings settings;
-  AdmissionController control;
-  Recorder out;
+  AdmissionController controller;
+  RecordingSink sink;
   Ms now = 0;
 
   explicit Gateway(const AdmissionSettings& s, std::vector<HostEntry> hosts = {host(1), host(2), host(3)},
                    Ms start = 0, std::uint64_t seed = 7)
-      : settings(s), control(s, seed), now(start) {
-    control.start(now, out);
-    control.on_host_list(now, HostListUpdate::kCached, hosts, out);
-    out.take();
+      : settings(s), controller(s, seed), now(start) {
+    controller.start(now, sink);
+    controller.on_host_list(now, HostListUpdate::kCached, hosts, sink);
+    sink.take();
   }
-  void list(HostListUpdate kind, std::vector<HostEntry> hosts) {
-    control.on_host_list(now, kind, hosts, out);
+  void update_hosts(HostListUpdate kind, std::vector<HostEntry> hosts) {
+    controller.on_host_list(now, kind, hosts, sink);
   }
   // Passes a request to the controller. Returns whether an attempt was sent.
-  bool ask(RequestId id, double units = 1, double spread = 2, CustomerId customer = 1, std::uint32_t cls = 0,
-           Ms lasts = 4000) {
-    control.on_request(now, {id, cls, 0, customer, now + lasts, units, spread}, out);
-    return out.of(Act::kSend, id) != nullptr;
+  bool submit(RequestId id, double units = 1, double spread = 2, CustomerId customer = 1,
+              std::uint32_t cls = 0, Ms timeout = 4000) {
+    controller.on_request(now, {id, cls, 0, customer, now + timeout, units, spread}, sink);
+    return sink.find(RecordedAction::kSend, id) != nullptr;
   }
-  void end(RequestId id, std::uint32_t attempt, HostId h, Outcome outcome, Ms took = 50,
-           bool finished = false, std::optional<double> units = {}) {
-    control.on_attempt_end(
-        now, {id, attempt, h, outcome, took, finished || outcome == Outcome::kOk, units, {}}, out);
+  void end_attempt(RequestId id, std::uint32_t attempt, HostId h, Outcome outcome, Ms duration = 50,
+                   bool finished = false, std::optional<double> units = {}) {
+    controller.on_attempt_end(
+        now, {id, attempt, h, outcome, duration, finished || outcome == Outcome::kOk, units, {}}, sink);
   }
-  void answer_all(Ms took = 50) {
-    for (const auto& a : out.take()) {
-      if (a.kind == Act::kSend) end(a.id, 0, a.host, Outcome::kOk, took);
+  void answer_all(Ms duration = 50) {
+    for (const auto& a : sink.take()) {
+      if (a.kind == RecordedAction::kSend) end_attempt(a.id, 0, a.host, Outcome::kOk, duration);
     }
   }
-  void tick() { control.on_timer(now, ~std::uint64_t{0}, out); }
-  void wait(Ms span) {  // in steps of 100 ms, with a timer event after each
+  void tick() { controller.on_timer(now, ~std::uint64_t{0}, sink); }
+  void advance(Ms span) {  // in steps of 100 ms, with a timer event after each
     for (Ms left = span; left > 0; left -= 100) {
       now += std::min(left, 100.0);
       tick();
     }
   }
-  RequestId fill(RequestId id, int n) {  // n requests of different customers, each answered at once
+  RequestId complete_requests(RequestId id,
+                              int n) {  // n requests of different customers, each answered at once
     for (int i = 0; i < n; ++i, ++id) {
-      ask(id, 1, 2, 1'000'000 + id);
+      submit(id, 1, 2, 1'000'000 + id);
       answer_all();
     }
     return id;
