--- a/tests/support.h
+++ b/tests/support.h
@@ -132,14 +132,15 @@
     }
   }
   void tick() { controller.on_timer(now, ~std::uint64_t{0}, sink); }
-  void advance(Ms span) {  // in steps of 100 ms, with a timer event after each
+  // Advances the clock in steps of 100 ms, with a timer event after each.
+  void advance(Ms span) {
     for (Ms left = span; left > 0; left -= 100) {
       now += std::min(left, 100.0);
       tick();
     }
   }
-  RequestId complete_requests(RequestId id,
-                              int n) {  // n requests of different customers, each answered at once
+  // Submits `n` requests of different customers, each answered at once.
+  RequestId complete_requests(RequestId id, int n) {
     for (int i = 0; i < n; ++i, ++id) {
       submit(id, 1, 2, 1'000'000 + id);
       answer_all();
