--- a/src/admission/numeric.h
+++ b/src/admission/numeric.h
@@ -10,7 +10,7 @@
 namespace cometfold::admission {
 
 inline constexpr Ms kInfiniteMs = std::numeric_limits<Ms>::infinity();
-inline constexpr double kEpsilon = 1e-9;  // units, units a second or milliseconds; absorbs rounding
+inline constexpr double kEpsilon = 1e-9;  // units, units per second or milliseconds; absorbs rounding
 
 // Period of the controller's timer, which lends class quotas and decays statistics.
 inline constexpr Ms kTickIntervalMs = 100;
--- a/tests/admission/concurrency_limiter_test.cpp
+++ b/tests/admission/concurrency_limiter_test.cpp
@@ -55,7 +55,7 @@
   Ms now = 100'000;
   parts.limiter.record_send(host, now);
   host.attempts_in_flight = 1;
-  for (int i = 0; i < 1000; ++i, now += 10) {  // 100 completions a second
+  for (int i = 0; i < 1000; ++i, now += 10) {  // 100 completions per second
     parts.hosts.decay(host, now);
     parts.hosts.record_answer(host, now, now);
     parts.limiter.record_completion(host, now);
--- a/tests/admission/model_fleet_test.cpp
+++ b/tests/admission/model_fleet_test.cpp
@@ -19,7 +19,7 @@
   int cold = 0, all = 0;
   for (std::uint64_t i = 0; i < kGateways; ++i) {
     Gateway gateway(settings, host_list(60, 36, 1e6), 1e6 + 10'000, 300 + i);
-    for (RequestId id = 1; id <= 18; ++id) {  // nine a second
+    for (RequestId id = 1; id <= 18; ++id) {  // nine per second
       gateway.wait(111);
       if (!gateway.ask(id, 1, 60, id)) continue;
       cold += gateway.out.of(Act::kSend, id)->host <= 36, ++all;
--- a/tests/admission/quota_rules_test.cpp
+++ b/tests/admission/quota_rules_test.cpp
@@ -14,7 +14,7 @@
   gateway.answer_all();
   EXPECT_FALSE(gateway.ask(5));
   ASSERT_NE(gateway.out.of(Act::kRefuse, 5), nullptr);
-  EXPECT_NEAR(gateway.out.of(Act::kRefuse, 5)->value, 500, 1e-6);  // one unit at 2 a second
+  EXPECT_NEAR(gateway.out.of(Act::kRefuse, 5)->value, 500, 1e-6);  // one unit at 2 per second
 }
 
 TEST(QuotaRules, ASliceRefillsAtItsRateUpToItsCapacity) {  // (2), (3)
