--- a/src/explore/arbitrary_policy.cpp
+++ b/src/explore/arbitrary_policy.cpp
@@ -19,7 +19,7 @@
 void World::ArbitraryPolicy::on_request(Ms, const Request& request, ActionSink& out) {
   requests_.push_back(request.id);
   out.schedule_timer(kTimerDelayMs, request.id);
-  ++actions_left_;  // the first action on a request does not count
+  ++actions_left_;  // one action for each request does not count against the limit
   take_actions(out, request.id, "asked", true);
 }
 
@@ -74,7 +74,7 @@
   const bool has_reply = world_.answered_at_.contains(request);
   world_.cover(CoverageGoal::kPolicyThrew, action.kind == Action::kThrow);
   world_.cover(CoverageGoal::kPolicyActedAfterReply, action.kind != Action::kCancel && has_reply);
-  if (action.kind == Action::kThrow) throw std::runtime_error("as chosen");
+  if (action.kind == Action::kThrow) throw std::runtime_error("exception chosen by the model checker");
 }
 
 void World::ArbitraryPolicy::digest(engine::Digest& into) const {
--- a/src/explore/arbitrary_policy.h
+++ b/src/explore/arbitrary_policy.h
@@ -1,6 +1,6 @@
-// A policy of a world that may decide anything the interface can express, invalid actions too: attempts after
-// the reply and to removed hosts, cancellation of ended attempts, second replies, exceptions. Only for the
-// files of World.
+// A policy for World that may take any action the interface allows, including invalid ones: attempts after
+// the reply and to removed hosts, cancellation of ended attempts, second replies, exceptions. Private to the
+// implementation of World.
 #pragma once
 
 #include <cstdint>
@@ -32,12 +32,13 @@
     enum Kind : std::uint8_t { kNothing, kSend, kReject, kFail, kCancel, kThrow };
     Kind kind = kNothing;
     std::uint32_t target = 0;  // host or attempt
-    std::string label;         // as in trace files
+    std::string label;         // as stored in trace files
   };
 
-  // The first option is the usual one: to send a new request, else to do nothing.
+  // The first option is the default: to send a new request to a host, otherwise to do nothing.
   std::vector<Action> possible_actions(bool is_new_request) const;
-  // Any number of actions on a request. `when` names the event in trace files.
+  // Takes actions on a request until the chooser picks none or the limit is reached. `when` is the part of
+  // the label that names the event.
   void take_actions(ActionSink& out, RequestId request, const char* when, bool is_new_request);
   void take(ActionSink& out, RequestId request, const Action& action);
 
--- a/src/explore/chooser.h
+++ b/src/explore/chooser.h
@@ -1,5 +1,5 @@
-// Records the choice points of a run. Every free decision is made here, so that a run is the sequence of its
-// choices: it can be replayed, and its neighbours can be enumerated.
+// Makes and records every nondeterministic choice of a run. The sequence of choices determines the run, so
+// that it can be replayed and its alternatives can be enumerated.
 #pragma once
 
 #include <cstddef>
@@ -15,17 +15,17 @@
 
 class Chooser {
  public:
-  // Replays `path`, then always takes the first option.
+  // Replays `path`, then takes the first option at each choice point.
   explicit Chooser(ChoicePath path) : path_(std::move(path)) {}
-  // Replays options by their labels, then always takes the first option.
+  // Replays options by their labels, then takes the first option at each choice point.
   explicit Chooser(std::vector<std::string> labels) : labels_(std::move(labels)), by_label_(true) {}
 
-  // The option taken, of `count` (1 to kMaxOptions); `label_of(i)` names one, and is called only if labels
-  // matter. Choices are made inside calls whose exceptions the engine catches, so a wrong choice is kept in
-  // `error`, not thrown.
+  // Returns the index of the option taken, of `count` (1 to kMaxOptions). `label_of(i)` returns the label of
+  // option i and is called only if labels are in use. Some choices are made inside calls whose exceptions the
+  // engine catches, so a choice that can't be made as asked is reported by `error`, not thrown.
   template <class LabelOf>
   std::size_t choose(std::size_t count, LabelOf&& label_of) {
-    if (count > kMaxOptions) error_ = "too many options at one choice";
+    if (count > kMaxOptions) error_ = "too many options at one choice point";
     const std::size_t option = by_label_ ? find_label(count, label_of) : next_of_path();
     ++position_;
     path_taken_.push_back(static_cast<std::uint8_t>(option));
@@ -43,13 +43,13 @@
   const ChoicePath& path_taken() const { return path_taken_; }
   // How many options there were at each choice point past the path.
   const ChoicePath& free_option_counts() const { return free_option_counts_; }
-  // Replays `more` next, as if the path had been longer.
+  // Appends `more` to the path to replay, and starts `free_option_counts` afresh.
   void extend(const ChoicePath& more) {
     path_.insert(path_.end(), more.begin(), more.end());
     free_option_counts_.clear();
   }
 
-  // Receives the label of each option as it is taken.
+  // Called with the label of each option as it is taken.
   std::function<void(const std::string&)> on_choice;
 
  private:
@@ -62,7 +62,8 @@
     for (std::size_t option = 0; option < count; ++option) {
       if (label_of(option) == labels_[position_]) return option;
     }
-    error_ = "the trace does not fit, nothing here is: " + labels_[position_];
+    error_ =
+        "the trace does not match the scenario, no option at this choice point is: " + labels_[position_];
     return 0;
   }
 
--- a/src/explore/coverage.cpp
+++ b/src/explore/coverage.cpp
@@ -5,37 +5,37 @@
 const char* name_of(CoverageGoal goal) {
   switch (goal) {
     case CoverageGoal::kHedgedAttemptInFlight:
-      return "a second copy out";
+      return "a hedged attempt in flight";
     case CoverageGoal::kThirdAttempt:
       return "a third attempt";
     case CoverageGoal::kReplyAfterRetry:
-      return "an earlier attempt answered after a retry";
+      return "a reply to an earlier attempt after a retry";
     case CoverageGoal::kAttemptLost:
-      return "an attempt lost after its last byte";
+      return "an attempt lost after its last byte was written";
     case CoverageGoal::kDrainWhileWaiting:
-      return "a drain told while an attempt waits for its connection";
+      return "a drain or removal while an attempt waits to connect";
     case CoverageGoal::kDrainDuringRetry:
-      return "a drain told during a resend";
+      return "a drain or removal during a retry";
     case CoverageGoal::kReplacedWhileWaiting:
-      return "a host replaced at its address while an attempt waits";
+      return "a host replaced while an attempt waits to connect";
     case CoverageGoal::kReplyAtDeadline:
-      return "an answer at the deadline, before its timer";
+      return "a reply at the deadline, before its timer";
     case CoverageGoal::kDeadlineBeforeReply:
-      return "a deadline's timer with an attempt out";
+      return "a deadline timer with an attempt in flight";
     case CoverageGoal::kDisconnectWithAttemptInFlight:
-      return "a client gone with an attempt out";
+      return "a client disconnect after an attempt was written";
     case CoverageGoal::kDisconnectAtInstantOfReply:
-      return "a client gone at the instant of its answer";
+      return "a client disconnect at the instant of a reply";
     case CoverageGoal::kShutdownWithHedgedAttempt:
-      return "a stop with a second copy out";
+      return "a shutdown with a hedged attempt in flight";
     case CoverageGoal::kCrashWithAttemptInFlight:
-      return "a crash with an attempt out";
+      return "a crash with an attempt in flight";
     case CoverageGoal::kIdentityReused:
-      return "an id used again after its answer";
+      return "an id reused after its reply";
     case CoverageGoal::kPolicyThrew:
-      return "the module threw";
+      return "the policy threw an exception";
     case CoverageGoal::kPolicyActedAfterReply:
-      return "the module sent or answered after the end";
+      return "the policy acted on a request after its reply";
     case CoverageGoal::kCount:
       break;
   }
--- a/src/explore/coverage.h
+++ b/src/explore/coverage.h
@@ -1,11 +1,11 @@
-// Which situations the runs of a scenario have reached.
+// Coverage goals: which situations the runs of a scenario have reached.
 #pragma once
 
 #include <cstdint>
 
 namespace cometfold::explore {
 
-// The situations that a scenario is meant to reach; a scenario that reaches none of them proves nothing.
+// Situations that the scenarios are meant to reach. A scenario that reaches none of them proves nothing.
 enum class CoverageGoal : std::uint8_t {
   kHedgedAttemptInFlight,
   kThirdAttempt,
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -18,14 +18,14 @@
 
 namespace {
 
-// Activates a deliberate fault on this thread for as long as it lives.
+// Activates a mutant on the current thread for the lifetime of the object.
 class ActiveMutant {
  public:
   explicit ActiveMutant([[maybe_unused]] engine::Mutant mutant) {
 #ifdef COMETFOLD_MUTANTS
     engine::active_mutant = mutant;
 #else
-    if (mutant != engine::Mutant::kNone) throw std::runtime_error("this build has no mutants");
+    if (mutant != engine::Mutant::kNone) throw std::runtime_error("mutants are not compiled into this build");
 #endif
   }
   ~ActiveMutant() {
@@ -37,7 +37,7 @@
   ActiveMutant& operator=(const ActiveMutant&) = delete;
 };
 
-// The fingerprints seen so far, in shards so that threads seldom wait for each other.
+// The fingerprints seen so far, sharded to reduce lock contention.
 class VisitedStates {
  public:
   bool add(std::uint64_t fingerprint) {
@@ -45,7 +45,7 @@
     const std::lock_guard lock(shard.mutex);
     return shard.fingerprints.insert(fingerprint).second;
   }
-  // Only while no thread adds.
+  // Must not run concurrently with `add`.
   std::size_t size() const {
     std::size_t total = 0;
     for (const auto& shard : shards_) total += shard.fingerprints.size();
@@ -66,22 +66,22 @@
   rules::Violation violation;
 };
 
-// What one thread collects at one depth.
+// What one thread collects while it expands the states of one depth.
 struct Statistics {
   std::vector<ChoicePath> frontier;  // paths to the new states
   std::size_t transitions = 0;
   std::size_t terminal_runs = 0;
   std::size_t truncated_states = 0;
   Coverage coverage = 0;
-  std::optional<Counterexample> counterexample;  // the least path
+  std::optional<Counterexample> counterexample;  // the one with the least path
 };
 
 void keep_least(std::optional<Counterexample>& least, const Counterexample& other) {
   if (!least || other.path < least->path) least = other;
 }
 
-// Adds the alternatives at the choice points that a run passed freely, after the first `fixed` of its path.
-// Paths in `pending` are relative to the first `base` choices.
+// Adds the options not taken at the choice points after the first `fixed` choices of a run, where it took the
+// first option by default. Paths in `pending` omit the first `base` choices.
 void add_alternatives(const Chooser& chooser, std::size_t base, std::size_t fixed,
                       std::vector<ChoicePath>& pending) {
   const ChoicePath& taken = chooser.path_taken();
@@ -95,7 +95,8 @@
   }
 }
 
-// Plays all events that can follow `path`, which has `events` of them, with all choices made inside them.
+// Plays each event that can follow the `events` events of `path`, with every combination of the choices made
+// inside it.
 void expand(const Scenario& scenario, const ChoicePath& path, std::size_t events, VisitedStates& visited,
             Statistics& statistics) {
   std::vector<ChoicePath> pending{{}};
@@ -121,7 +122,7 @@
   }
 }
 
-// Expands all states of one depth on several threads; one result for each thread.
+// Expands all states of one depth on `thread_count` threads. Returns the statistics of each thread.
 std::vector<Statistics> expand_layer(const Scenario& scenario, engine::Mutant mutant, unsigned thread_count,
                                      const std::vector<ChoicePath>& layer, std::size_t events,
                                      VisitedStates& visited) {
@@ -197,7 +198,7 @@
   bool stepped = true;
   while (stepped && !chooser.at_end() && chooser.error().empty()) stepped = world.step();
   const std::string error = chooser.error();
-  // Played to the end, so that a violation by omission shows.
+  // Runs to the end, as a violation by omission, such as a missing reply, is found only there.
   while (stepped) stepped = world.step();
   if (match == TraceMatch::kStrict && !error.empty()) throw std::runtime_error(error);
   return world.violation();
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -1,4 +1,5 @@
-// cometfold-explore: plays every run of small configurations and checks the five rules on each.
+// cometfold-explore: the model checker's command line. Explores every run of small configurations and checks
+// the five rules on each.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <iostream>
@@ -27,7 +28,7 @@
   std::string out;
   std::string replay;
   ExplorationLimits limits;
-  // Instead of the scenario's; -1 or 0: the scenario's.
+  // Overrides of the scenario's values; -1 or 0: no override.
   int faults = -1;
   std::size_t hosts = 0;
   std::size_t requests = 0;
@@ -35,25 +36,28 @@
 };
 
 void add_options(CLI::App& app, Options& options) {
-  app.add_flag("--small", options.small, "fewer faults at once; ends within a minute");
-  app.add_flag("--list", options.list, "name the scenarios and mutants, and exit");
-  app.add_option("--only", options.only, "explore this scenario alone");
+  app.add_flag("--small", options.small, "smaller scenarios with fewer faults; ends within a minute");
+  app.add_flag("--list", options.list, "list the scenarios and mutants, and exit");
+  app.add_option("--only", options.only, "explore only this scenario");
   app.add_option("--mutant", options.mutant,
-                 "explore an engine with a deliberate fault (where mutants are built in)");
+                 "explore the engine with this deliberate fault (needs a build with mutants)");
   app.add_flag("--hunt", options.hunt,
-               "for each mutant, find the scenario and the shortest trace that shows it");
-  app.add_option("--threads", options.limits.threads, "threads")->check(CLI::Range(1U, 64U));
-  app.add_option("--most-states", options.limits.max_states, "give up a scenario beyond so many states");
-  app.add_option("--faults", options.faults, "faults in a run, instead of the scenario's")
+               "for each mutant, find the first scenario that exposes it and a shortest counterexample");
+  app.add_option("--threads", options.limits.threads, "number of threads")->check(CLI::Range(1U, 64U));
+  app.add_option("--most-states", options.limits.max_states,
+                 "stop exploring a scenario beyond this number of states");
+  app.add_option("--faults", options.faults, "maximum number of faults in a run, overrides the scenario")
       ->check(CLI::Range(0, 6));
-  app.add_option("--hosts", options.hosts, "hosts, instead of the scenario's")->check(CLI::Range(1, 4));
-  app.add_option("--requests", options.requests, "requests, instead of the scenario's")
+  app.add_option("--hosts", options.hosts, "number of hosts, overrides the scenario")
       ->check(CLI::Range(1, 4));
-  app.add_option("--attempts", options.attempts, "attempts of a request, instead of the scenario's")
+  app.add_option("--requests", options.requests, "number of requests, overrides the scenario")
+      ->check(CLI::Range(1, 4));
+  app.add_option("--attempts", options.attempts, "maximum attempts of a request, overrides the scenario")
       ->check(CLI::Range(1, 6));
-  app.add_option("--out", options.out, "write counterexamples here, as DIR/SCENARIO--MUTANT.jsonl");
-  app.add_option("--replay", options.replay,
-                 "play a counterexample with every event and action; 1 if a rule is broken");
+  app.add_option("--out", options.out, "directory to write counterexamples to, as SCENARIO--MUTANT.jsonl");
+  app.add_option(
+      "--replay", options.replay,
+      "replay a counterexample and print every event and action; exit code 1 if a rule is violated");
 }
 
 void print_header() {
@@ -66,7 +70,7 @@
     return "BROKEN after " + std::to_string(result.counterexample_events) +
            " events: " + result.violation->rule;
   }
-  return result.complete ? "all rules hold" : "no breach, not complete";
+  return result.complete ? "all rules hold" : "no violation, not complete";
 }
 
 void print_result(const Scenario& scenario, Mutant mutant, const ExplorationResult& result) {
@@ -76,25 +80,25 @@
   std::fflush(stdout);
 }
 
-// Each goal with the scenarios that reached it.
+// Prints each coverage goal with the scenarios that reached it.
 void print_coverage(const std::vector<std::pair<std::string, Coverage>>& by_scenario) {
-  std::printf("\n%-60s %s\n", "been through", "in");
+  std::printf("\n%-60s %s\n", "coverage goal", "reached in");
   for (unsigned i = 0; i < static_cast<unsigned>(CoverageGoal::kCount); ++i) {
     const auto goal = static_cast<CoverageGoal>(i);
     std::string reached_in;
     for (const auto& [scenario, coverage] : by_scenario) {
       if ((coverage & coverage_bit(goal)) != 0) reached_in += " " + scenario;
     }
-    std::printf("%-60s%s\n", name_of(goal), reached_in.empty() ? " nowhere" : reached_in.c_str());
+    std::printf("%-60s%s\n", name_of(goal), reached_in.empty() ? " none" : reached_in.c_str());
   }
 }
 
-// Returns the exit code: 1 if a rule is broken.
+// Returns the exit code: 1 if a rule is violated.
 int run_replay(const std::string& file) {
   const Trace trace = read_trace(file);
   const auto violation = replay(trace.scenario, trace.mutant, trace.choices,
                                 [](const std::string& line) { std::printf("%s\n", line.c_str()); });
-  std::printf("%s\n", violation ? "" : "no rule is broken");
+  std::printf("%s\n", violation ? "" : "no rule is violated");
   return violation ? 1 : 0;
 }
 
@@ -115,7 +119,7 @@
   auto selected = scenarios(options.small);
   if (!options.only.empty()) {
     const auto* one = find_scenario(selected, options.only);
-    if (!one) throw std::runtime_error("--only " + options.only + ": no such scenario; --list names them");
+    if (!one) throw std::runtime_error("--only " + options.only + ": no such scenario; see --list");
     selected = {Scenario(*one)};
   }
   for (auto& scenario : selected) {
@@ -130,7 +134,7 @@
 std::vector<Mutant> selected_mutants(const Options& options) {
   const auto mutant = mutant_named(options.mutant);
   if (!mutant) {
-    throw std::runtime_error("--mutant " + options.mutant + ": no such mutant; --list names them");
+    throw std::runtime_error("--mutant " + options.mutant + ": no such mutant; see --list");
   }
   return options.hunt ? all_mutants() : std::vector<Mutant>{*mutant};
 }
@@ -144,7 +148,8 @@
   if (!options.hunt) std::cout << to_text(trace);
 }
 
-// For each mutant the first scenario that shows it. Returns the exit code: 1 if a mutant is not found.
+// Prints for each mutant the first scenario that exposes it. Returns the exit code: 1 if a mutant is not
+// found.
 int run_hunt(const Options& options) {
   const auto selected = selected_scenarios(options);
   const auto mutants = selected_mutants(options);
@@ -165,7 +170,7 @@
   return all_found ? 0 : 1;
 }
 
-// Returns the exit code: 1 if a rule is broken in some scenario.
+// Returns the exit code: 1 if a rule is violated in any scenario.
 int run_exploration(const Options& options) {
   const auto selected = selected_scenarios(options);
   const Mutant mutant = selected_mutants(options).front();
@@ -197,7 +202,9 @@
 
 int main(int argc, char** argv) {
   try {
-    CLI::App app{"Plays the real engine and connections through every interleaving of small configurations."};
+    CLI::App app{
+        "Model checker: runs the real engine and connections through every interleaving of small "
+        "configurations."};
     Options options;
     add_options(app, options);
     CLI11_PARSE(app, argc, argv);
--- a/src/explore/mutant_names.h
+++ b/src/explore/mutant_names.h
@@ -1,5 +1,5 @@
-// The names by which the command line and trace files call the deliberate faults. Trace files store them:
-// they stay.
+// The names of the mutants on the command line and in trace files. Stored traces contain them, so they must
+// not change.
 #pragma once
 
 #include <optional>
--- a/src/explore/recording_policy.cpp
+++ b/src/explore/recording_policy.cpp
@@ -48,7 +48,7 @@
                            std::uint64_t{result.request_finished});
   if (!in_flight_.erase({result.request, result.attempt})) {
     world_.report_violation("the engine's promise",
-                            "the module was told of an attempt's end that is not out");
+                            "the policy was notified of the end of an attempt that is not in flight");
   }
   forward(out, [&] { inner_->on_attempt_end(now, result, *this); });
 }
--- a/src/explore/recording_policy.h
+++ b/src/explore/recording_policy.h
@@ -1,5 +1,6 @@
-// A policy of a world that passes everything on and records its input: the state of a deterministic policy is
-// a function of that. Also checks that the end of each attempt is reported once. Only for the files of World.
+// A policy decorator for World. Forwards all calls and records the inputs of the inner policy, as the state
+// of a deterministic policy is a function of them. Also checks that the end of each attempt is reported only
+// once. Private to the implementation of World.
 #pragma once
 
 #include <cstdint>
@@ -31,8 +32,9 @@
   std::size_t in_flight_count() const { return in_flight_.size(); }
 
  private:
+  // Adds the time and the kind of a call to the digest of inputs.
   void record(Ms now, std::uint64_t kind);
-  // Makes one call of the inner policy, whose actions go to `out` until it returns or throws.
+  // Makes a call to the inner policy, and forwards its actions to `out` until the call returns or throws.
   template <class Call>
   void forward(ActionSink& out, Call&& call);
 
--- a/src/explore/scenario.cpp
+++ b/src/explore/scenario.cpp
@@ -19,7 +19,7 @@
   return "";
 }
 
-// Faults of replies and connections, and changes of the host list meanwhile.
+// Faults of replies and connections, and changes of the host list.
 FaultSet connection_and_list_faults() {
   return {.malformed_reply = true,
           .connection_loss = true,
@@ -36,7 +36,8 @@
           .list_reload = true};
 }
 
-// The real policy with requests of one kind: two of them, and one alone with more faults, shutdown and crash.
+// Adds scenarios of the real policy with requests of one kind: one with two requests, and one with a single
+// request, more faults, shutdown and crash.
 void add_single_kind(std::vector<Scenario>& all, Idempotency idempotency, int faults) {
   Scenario scenario;
   scenario.name = std::string("real-") + scenario_suffix(idempotency);
@@ -55,7 +56,7 @@
   all.push_back(scenario);
 }
 
-// The real policy on one connection with two kinds of requests, and under other settings of the site.
+// Adds scenarios of the real policy with two kinds of requests on one connection, and with other settings.
 void add_other_settings(std::vector<Scenario>& all, int faults) {
   Scenario scenario;
   scenario.name = "real-mixed-pipelined";
@@ -71,7 +72,7 @@
   all.push_back(scenario);
 
   scenario.name = "real-no-cancel";
-  scenario.description = "the real policy where it may neither cancel nor hedge";
+  scenario.description = "the real policy without cancellation and hedging";
   scenario.requests = {Idempotency::kIdempotent};
   scenario.shared_connection = false;
   scenario.hedging_allowed = false;
@@ -80,24 +81,24 @@
   all.push_back(scenario);
 
   scenario.name = "real-one-at-a-time";
-  scenario.description = "the real policy where it may cancel but not hedge";
+  scenario.description = "the real policy with cancellation but without hedging";
   scenario.cancellation_allowed = true;
   all.push_back(scenario);
 
   scenario.name = "real-keyed-cell";
-  scenario.description = "the real policy, a class with idempotency keys whose scope is one host";
+  scenario.description = "the real policy, idempotency keys whose scope is one cell";
   scenario.requests = {Idempotency::kIdempotencyKey};
   scenario.idempotency_scope = IdempotencyScope::kCell;
   scenario.hedging_allowed = true;
   all.push_back(scenario);
 }
 
-// A policy that may decide anything: the engine's guarantees must hold all the same.
+// Adds scenarios of a policy that may take any action; the engine's guarantees must hold with it as well.
 void add_arbitrary_policy(std::vector<Scenario>& all, int faults, bool small) {
   Scenario scenario;
   scenario.real_policy = false;
   scenario.name = "any-one";
-  scenario.description = "a policy that may decide anything, one request, any fault, shutdown and crash";
+  scenario.description = "a policy that may take any action, one request, any fault, shutdown and crash";
   scenario.requests = {Idempotency::kIdempotent};
   scenario.max_policy_actions = 1;
   scenario.max_faults = faults;
@@ -107,7 +108,7 @@
   all.push_back(scenario);
 
   scenario.name = "any-two";
-  scenario.description = "a policy that may decide anything, two requests on one connection, ids reused";
+  scenario.description = "a policy that may take any action, two requests on one connection, ids reused";
   scenario.requests = {Idempotency::kIdempotent, Idempotency::kNonIdempotent};
   scenario.shared_connection = true;
   scenario.max_policy_actions = small ? 0 : 1;
--- a/src/explore/scenario.h
+++ b/src/explore/scenario.h
@@ -1,4 +1,4 @@
-// Small configurations to explore: which requests there are, which faults may occur and how many.
+// Small configurations to explore: their requests, the faults that may occur and the number of faults.
 #pragma once
 
 #include <cstddef>
@@ -32,7 +32,7 @@
 struct Scenario {
   std::string name;
   std::string description;
-  bool real_policy = true;  // false: a policy that may decide anything
+  bool real_policy = true;  // false: a policy that may take any action
   std::vector<Idempotency> requests{Idempotency::kIdempotent, Idempotency::kIdempotent};  // in this order
   bool shared_connection = false;  // false: each request has its own client connection
   IdempotencyScope idempotency_scope = IdempotencyScope::kAll;
@@ -41,8 +41,7 @@
   bool cancellation_allowed = true;
   double max_attempts = 3;
   int max_faults = 2;
-  int max_policy_actions =
-      3;  // of the policy that may decide anything, beyond its first action on each request
+  int max_policy_actions = 3;  // of the policy that may take any action, in addition to one for each request
   Ms client_timeout_ms = 260;
   Ms latency_objective_ms = 0;  // of the class; 0: its deadline
   std::size_t max_events = 32;  // in one run
--- a/src/explore/simulated_gateway.h
+++ b/src/explore/simulated_gateway.h
@@ -1,4 +1,4 @@
-// The gateway under test in a world: all that a crash loses. Only for the files of World.
+// The gateway under test: all state that a crash loses. Private to the implementation of World.
 #pragma once
 
 #include <cstdint>
--- a/src/explore/simulated_stream.cpp
+++ b/src/explore/simulated_stream.cpp
@@ -46,7 +46,8 @@
 void World::SimulatedStream::shutdown_send() {
   connection_->send_shutdown = true;
   if (reply_expected()) {
-    world_.report_violation("no request lost", "the gateway ended a connection on which it owes an answer");
+    world_.report_violation("no request lost",
+                            "the gateway shut down a connection with an outstanding reply");
   }
 }
 
@@ -55,7 +56,7 @@
   if (connection_->to_host) {
     world_.end_attempt(*connection_, false);
   } else if (reply_expected() && !connection_->peer_closed) {
-    world_.report_violation("no request lost", "the gateway closed a connection on which it owes an answer");
+    world_.report_violation("no request lost", "the gateway closed a connection with an outstanding reply");
   }
 }
 
--- a/src/explore/simulated_stream.h
+++ b/src/explore/simulated_stream.h
@@ -1,4 +1,4 @@
-// The simulated connections of a world and their clients. Only for the files of World.
+// The simulated connections and clients. Private to the implementation of World.
 #pragma once
 
 #include <cstdint>
@@ -15,13 +15,14 @@
 
 namespace cometfold::explore {
 
-// A connection of the gateway, as the simulated system sees it. Its peer is a simulated host or client.
+// A connection of the gateway, as the simulated operating system sees it. Its peer is a simulated host or
+// client.
 struct World::Connection {
   enum State : std::uint8_t { kConnecting, kUp, kClosed };
   std::uint64_t id = 0;
   bool to_host = false;
-  HostId host = 0;         // to_host: whose process it reaches
-  std::size_t client = 0;  // else: index of its client
+  HostId host = 0;         // if to_host: the host at the other end
+  std::size_t client = 0;  // otherwise: index of the client at the other end
   State state = kConnecting;
   std::weak_ptr<resp::StreamCallbacks> callbacks;
   Ms connect_by = 0;
@@ -29,22 +30,22 @@
   bool reading = false;
   bool awaits_close = false;
   bool awaits_writable = false;
-  bool blocked = false;  // nothing more can be written
-  bool posted = false;   // the gateway asked to be called back
-  std::string incoming;  // has arrived and is not read yet
+  bool blocked = false;  // the send buffer is full
+  bool posted = false;   // a call of on_posted is pending
+  std::string incoming;  // received and not read yet
   bool peer_closed = false;
-  bool send_shutdown = false;      // the gateway sends no more: what arrives now crosses its close
-  bool stalled = false;            // its peer is slow: time may pass before it does anything
-  std::string sent;                // by the gateway, of the request that is being written
-  std::uint64_t request = 0;       // whose bytes those are
-  bool request_complete = false;   // the request is written completely and has no reply
-  std::size_t attempt_number = 0;  // among the request's attempts that were written, from 1
+  bool send_shutdown = false;      // the gateway sends no more, the peer may still have bytes under way
+  bool stalled = false;            // the peer is slow: time may pass before it acts
+  std::string sent;                // bytes from the gateway; to a host: of the current request
+  std::uint64_t request = 0;       // to a host: the request in `sent`, 0 if none
+  bool request_complete = false;   // `request` is written completely and has no reply
+  std::size_t attempt_number = 0;  // among the completely written attempts of `request`, from 1
 
   bool open() const { return state != kClosed; }
   bool has_attempt_in_flight() const { return to_host && open() && request_complete; }
   bool has_unread() const { return !incoming.empty() || peer_closed; }
   bool read_possible() const { return reading && has_unread(); }
-  // A host's reply, or the end of a connect, is still to come.
+  // The host has yet to reply or to complete the connect.
   bool awaits_host() const { return to_host && (state == kConnecting || request_complete); }
   void digest(engine::Digest& into) const;
 };
@@ -54,7 +55,7 @@
     std::uint64_t request = 0;  // 0: an invalid request, which must get an error
   };
   std::shared_ptr<Connection> connection;
-  std::vector<std::size_t> requests;  // indices of those to send on this connection, in order
+  std::vector<std::size_t> requests;  // indices of those that this client sends, in order
   std::size_t sent_count = 0;
   std::vector<ExpectedReply> expected_replies;  // in order
   resp::RespReader reader{resp::RespLimits{}, false};
--- a/src/explore/trace.cpp
+++ b/src/explore/trace.cpp
@@ -43,7 +43,7 @@
 void read_head(const json::object& head, Trace& trace) {
   const auto all = scenarios(false);
   const auto* found = find_scenario(all, text_at(head, "scenario"));
-  if (!found) throw std::runtime_error("no such scenario; cometfold-explore --list names them");
+  if (!found) throw std::runtime_error("no such scenario; see cometfold-explore --list");
   trace.scenario = *found;
   Scenario& scenario = trace.scenario;
   scenario.max_faults = head.at("faults").to_number<int>();
@@ -56,7 +56,7 @@
     scenario.requests.push_back(static_cast<Idempotency>(request.to_number<int>()));
   }
   const auto mutant = mutant_named(text_at(head, "mutant"));
-  if (!mutant) throw std::runtime_error("no such mutant; cometfold-explore --list names them");
+  if (!mutant) throw std::runtime_error("no such mutant; see cometfold-explore --list");
   trace.mutant = *mutant;
 }
 
@@ -79,13 +79,13 @@
         trace.violation = {text_at(object, "rule"), text_at(object, "why")};
       }
     } catch (const std::exception& error) {
-      throw std::runtime_error(
-          path + ":" + std::to_string(line_number) + ": " + error.what() +
-          " (a trace has a line with the scenario, then one choice a line, then the rule)");
+      throw std::runtime_error(path + ":" + std::to_string(line_number) + ": " + error.what() +
+                               " (expected a line with the scenario, then one line for each choice, then one "
+                               "with the violated rule)");
     }
   }
   if (line_number == 0)
-    throw std::runtime_error(path + ": empty; a trace begins with a line that names its scenario");
+    throw std::runtime_error(path + ": empty; the first line of a trace must name its scenario");
   return trace;
 }
 
--- a/src/explore/world.cpp
+++ b/src/explore/world.cpp
@@ -1,4 +1,4 @@
-// The run of a world: its start, one step, the checks and the fingerprint.
+// Construction of a World, the step, the checks and the fingerprint.
 #include "explore/world.h"
 
 #include <algorithm>
@@ -72,7 +72,8 @@
   try {
     (this->*chosen.apply)(chosen);
   } catch (const std::exception& error) {
-    report_violation("the engine's promise", std::string("an exception came out: ") + error.what());
+    report_violation("the engine's promise",
+                     std::string("the engine let an exception escape: ") + error.what());
   }
   check_monitors();
   return !violation_;
@@ -82,7 +83,7 @@
   monitors_.check_deadlines(now_);
   for (; violations_read_ < monitors_.violations().size(); ++violations_read_) {
     const auto& violation = monitors_.violations()[violations_read_];
-    // A policy that decides anything violates the rules that only the policy can keep.
+    // An arbitrary policy may violate the rules that only the policy can uphold.
     const bool kept_by_engine = violation.rule == "no request lost" || violation.rule == "drains kept";
     if (scenario_.real_policy || kept_by_engine) report_violation(violation.rule, violation.description);
   }
@@ -91,7 +92,7 @@
 void World::report_violation(const std::string& rule, const std::string& description) {
   if (violation_) return;
   violation_ = rules::Violation{rule, description};
-  log("BROKEN: " + rule + ": " + description);
+  log("rule violated: " + rule + ": " + description);
 }
 
 void World::log(const std::string& text) {
@@ -127,19 +128,22 @@
 
 void World::check_end_state() {
   if (has_open_requests()) {
-    return report_violation("no request lost", "an answer is owed, and nothing can happen any more");
+    return report_violation("no request lost", "a request is still open, and no further event is possible");
   }
   if (gateway_->engine.unanswered_count() > 0) {
-    return report_violation("the engine's promise", "it counts requests that nobody has open");
+    return report_violation("the engine's promise",
+                            "the engine counts unanswered requests although none is open");
   }
   if (gateway_->engine.payload_bytes() > 0) {
-    return report_violation("the engine's promise", "it holds payloads of nothing");
+    return report_violation("the engine's promise",
+                            "the engine counts payload bytes although no request is open");
   }
   if (gateway_->totals.unsent_bytes > 0) {
-    return report_violation("the engine's promise", "it counts unsent answers, and all are sent");
+    return report_violation("the engine's promise",
+                            "unsent reply bytes are counted although every reply has been sent");
   }
   if (scenario_.real_policy && gateway_->policy->in_flight_count() > 0) {
-    return report_violation("the engine's promise", "the module was not told of an attempt's end");
+    return report_violation("the engine's promise", "the policy was not notified of the end of an attempt");
   }
 }
 
--- a/src/explore/world.h
+++ b/src/explore/world.h
@@ -1,5 +1,6 @@
-// One gateway's real engine, host pool, client connections and RESP2 front end between simulated clients,
-// hosts and streams, under simulated time. The chooser takes every free decision.
+// The system that the model checker explores: the real engine, host pool, client connections and RESP2 front
+// end of one gateway, with simulated clients, hosts, streams and time. The chooser makes every
+// nondeterministic choice.
 #pragma once
 
 #include <functional>
@@ -31,13 +32,13 @@
   World(const Scenario& scenario, Chooser& chooser, Log log = {});
   ~World() override;
 
-  // Plays one event, as chosen. False if nothing can happen any more, a rule is violated or the run is at
-  // `Scenario::max_events`.
+  // Plays one event that the chooser selects. False if no event is possible, a rule is violated or the run is
+  // at `Scenario::max_events`.
   bool step();
   // The first violation of a rule or of a guarantee of the engine.
   const std::optional<rules::Violation>& violation() const { return violation_; }
   bool truncated() const { return truncated_; }  // ended by `Scenario::max_events`
-  // Identifies the state.
+  // A hash that identifies the state.
   std::uint64_t fingerprint() const;
   Coverage coverage() const { return coverage_; }
 
@@ -48,7 +49,7 @@
   struct Connection;
   struct Client;
   struct Gateway;
-  // What a host may do with a complete request.
+  // How a host may respond to a complete request.
   enum ReplyKind : std::size_t {
     kValidReply,
     kErrorReply,
@@ -61,8 +62,8 @@
   };
   // What may happen to host 1 on the host list.
   enum HostChange : std::size_t { kHostDrains, kHostRestarted, kHostRemoved, kHostReplaced };
-  // Something that can happen next. In `label`, {c} stands for the connection, {r} for its request, {h} for
-  // its host and {n} for `number`.
+  // A possible next event. In `label`, {c} stands for the connection, {r} for its request, {h} for its host
+  // and {n} for `number`.
   struct Step {
     const char* label;
     bool is_fault;
@@ -89,9 +90,9 @@
   void on_closed(std::uint64_t connection) override;
   void send_reply(Ms now, resp::ResponseHandle response, std::string_view reply) override;
   void send_error(Ms now, resp::ResponseHandle response, std::string_view error) override;
-  // The simulated hosts reply with short values only.
+  // The simulated hosts send short values only, which are not streamed.
   void start_value(Ms, resp::ResponseHandle, std::size_t) override {
-    report_violation("the explorer", "a long value");
+    report_violation("the explorer", "a value was streamed to the client");
   }
   bool append_value(Ms, resp::ResponseHandle, std::string_view) override { return true; }
   void finish_value(Ms, resp::ResponseHandle) override {}
@@ -107,7 +108,7 @@
   void collect_timer_steps(std::vector<Step>& steps);
   std::string label(const Step& step) const;
 
-  // The steps' effects.
+  // The effects of the steps.
   void send_request(const Step& step);
   void close_client(const Step& step);
   void run_posted(const Step& step);
@@ -135,7 +136,7 @@
   void receive_at_client(Connection& connection);
   void end_attempt(Connection& connection, bool never_executed);
   bool has_open_requests() const;
-  bool has_immediate_event() const;  // time does not pass before it
+  bool has_immediate_event() const;  // one that occurs before time passes
   std::optional<Ms> next_time() const;
   void check_end_state();
   void check_monitors();
@@ -159,13 +160,13 @@
   int faults_left_ = 0;
   bool truncated_ = false;
   Coverage coverage_ = 0;
-  std::map<std::uint64_t, std::size_t> attempts_written_;  // completely, of each request
+  std::map<std::uint64_t, std::size_t> attempts_written_;  // complete ones, by request
   std::map<std::uint64_t, Ms> deadlines_;
-  std::map<std::uint64_t, Ms> answered_at_;  // the reply has reached the client
+  std::map<std::uint64_t, Ms> answered_at_;  // when the reply reached the client
   rules::RuleMonitors monitors_;
   std::size_t violations_read_ = 0;
   std::optional<rules::Violation> violation_;
-  engine::Digest policy_input_;  // all calls that the policy got since the gateway's start
+  engine::Digest policy_input_;  // of all calls to the policy since the gateway's start
   std::vector<HostEntry> hosts_;
   std::vector<std::shared_ptr<Connection>> connections_;
   std::vector<Client> clients_;
--- a/src/explore/world_actions.cpp
+++ b/src/explore/world_actions.cpp
@@ -1,4 +1,4 @@
-// What the steps of a world do.
+// The effects of the steps of a World.
 #include <algorithm>
 #include <cstdio>
 #include <utility>
@@ -20,7 +20,7 @@
   return text;
 }
 
-// A request as clients send it. `body` names it whatever its id is.
+// A request as clients send it. `body` identifies it even if its id is reused.
 std::string request_bytes(Idempotency idempotency, std::uint64_t id, Ms timeout, const std::string& body) {
   std::string text;
   resp::append_array(text, 5);
@@ -37,7 +37,7 @@
 
 // ---- clients ----
 
-// As far as clients can know: until the last byte of its reply.
+// As the clients see it: an id is in use until the last byte of its reply has arrived.
 bool World::id_of_first_request_in_use() const {
   for (const auto& client : clients_) {
     for (const auto& reply : client.expected_replies) {
@@ -160,7 +160,7 @@
 
 void World::cover_host_change(HostChange change) {
   const bool leaves = change == kHostDrains || change == kHostRemoved;
-  // While some request has been sent before, what waits for its connection is its retry.
+  // Once any request has been written, an attempt that waits for its connection counts as a retry.
   const bool retrying = std::any_of(attempts_written_.begin(), attempts_written_.end(),
                                     [](const auto& attempts) { return attempts.second > 0; });
   for (const auto& connection : connections_) {
@@ -219,7 +219,7 @@
 void World::fail_remaining(const Step&) {
   gateway_->engine.fail_all(now_);
   if (gateway_->engine.unanswered_count() > 0) {
-    report_violation("no request lost", "the stop left a request without its answer");
+    report_violation("no request lost", "the shutdown left a request without a reply");
   }
 }
 
@@ -231,7 +231,7 @@
     connection->state = Connection::kClosed;
     connection->callbacks.reset();
   }
-  // The requests are lost with the gateway; a client that has more to send connects anew.
+  // Open requests are lost with the gateway; a client that has more to send reconnects.
   for (auto& client : clients_) {
     client.expected_replies.clear();
     client.connection.reset();
@@ -253,7 +253,7 @@
 
 void World::advance_time(const Step&) {
   now_ = *next_time();
-  log("  it is " + std::to_string(static_cast<long>(now_)));
+  log("  time: " + std::to_string(static_cast<long>(now_)));
 }
 
 }  // namespace cometfold::explore
--- a/src/explore/world_peers.cpp
+++ b/src/explore/world_peers.cpp
@@ -1,4 +1,4 @@
-// The simulated hosts, clients and system of a world, as the gateway meets them.
+// The simulated hosts, clients and operating system of a World, as the gateway sees them.
 #include <algorithm>
 #include <cstring>
 #include <utility>
@@ -44,7 +44,7 @@
 
 void World::send_reply(Ms now, resp::ResponseHandle response, std::string_view reply) {
   if (!replied_.insert({response.connection, response.sequence}).second) {
-    report_violation("the engine's promise", "a second answer reached the front end for one request");
+    report_violation("the engine's promise", "a second reply was sent for one request");
   }
   const auto found = gateway_->clients.find(response.connection);
   if (found == gateway_->clients.end()) return;
@@ -59,7 +59,7 @@
   client->send_error(now, response.sequence, error);
 }
 
-// The client reads what the gateway has written: replies in the order of its requests.
+// The client reads what the gateway has written: the replies, in the order of its requests.
 void World::receive_at_client(Connection& connection) {
   Client& client = clients_[connection.client];
   while (!connection.sent.empty()) {
@@ -71,7 +71,7 @@
     resp::Frame frame;
     while (client.reader.next(frame) == resp::ReadResult::kFrame) {
       if (client.expected_replies.empty()) {
-        report_violation("no request lost", "an answer came on a connection on which none is owed");
+        report_violation("no request lost", "a reply arrived on a connection without an outstanding request");
         return;
       }
       receive_reply(client, frame);
@@ -87,11 +87,12 @@
   log("  client: request " + std::to_string(request) + " gets '" + std::string(item.text) + "'");
   answered_at_[request] = now_;
   if (request == 0) {
-    if (is_value) report_violation("no request lost", "a mistaken request was served");
+    if (is_value) report_violation("no request lost", "an invalid request was served");
     return;
   }
   if (item.text.starts_with("ERR another open request")) {
-    report_violation("the engine's promise", "a request whose id is free was turned away");
+    report_violation("the engine's promise",
+                     "a request was rejected as a duplicate although its id was free");
   }
   const bool is_rejection = item.text.starts_with("BUSY");
   const auto kind = is_value ? Event::kServed : is_rejection ? Event::kRejected : Event::kFailed;
@@ -105,7 +106,7 @@
   const auto connection = std::make_shared<Connection>();
   connection->id = ++last_connection_id_;
   connection->to_host = true;
-  // The process at the address is the one that was listed there last.
+  // Connects to the host listed at the address; one that is not removed takes precedence.
   const auto cell = static_cast<std::uint32_t>(std::stoul(address.ip.substr(address.ip.rfind('.') + 1)));
   for (const auto& host : hosts_) {
     const bool preferred = connection->host == 0 || host.state != HostState::kRemoved;
@@ -129,7 +130,8 @@
                  .host = connection.host};
   };
   if (connection.request == 0) {
-    // The body names the request, whatever its id; a partial write holds all but the last byte.
+    // The body identifies the request even if its id is reused. It is complete, as a partial write omits only
+    // the last byte.
     connection.request = std::stoull(connection.sent.substr(connection.sent.rfind("\r\nL") + 3));
     report(event(Event::kAttemptFirstByte));
   }
@@ -138,8 +140,8 @@
   connection.attempt_number = ++attempts_written_[connection.request];
   cover(CoverageGoal::kThirdAttempt, connection.attempt_number > 2);
   cover(CoverageGoal::kHedgedAttemptInFlight, hedged_attempt_in_flight());
-  log("  host " + std::to_string(connection.host) + ": has request " + std::to_string(connection.request) +
-      " completely");
+  log("  host " + std::to_string(connection.host) + ": received request " +
+      std::to_string(connection.request) + " completely");
   report(event(Event::kAttemptWritten));
 }
 
@@ -166,9 +168,9 @@
   gateway_->engine.on_attempt_end(now, attempt, outcome, value, {});
 }
 
-// ---- the system ----
+// ---- the operating system ----
 
-// `bytes` arrive, and the gateway reads what has arrived if it wants to.
+// Appends `bytes` to what the gateway has received, and completes its reads as long as it has one pending.
 void World::deliver(Connection& connection, const std::string& bytes) {
   connection.incoming += bytes;
   while (connection.state == Connection::kUp && connection.read_possible()) {
--- a/src/explore/world_settings.h
+++ b/src/explore/world_settings.h
@@ -1,4 +1,4 @@
-// The fixed settings of a simulated world, and the bytes and entries that its peers use.
+// The fixed settings of World, and the bytes and host entries that its simulated peers send.
 #pragma once
 
 #include <string>
@@ -15,14 +15,15 @@
 inline constexpr HostId kFirstHost = 1;
 inline constexpr rules::GatewayId kGatewayId = 1;
 
-// The wire's name of a class: one class for each kind of idempotency, in the order of the enumerators.
+// The name of a class on the wire. There is one class for each kind of idempotency, in the order of the
+// enumerators.
 const char* class_name(Idempotency idempotency);
 AdmissionSettings settings_of(const Scenario& scenario);
-// In simulated time nothing is late but through rounding.
+// Replies and drains need no slack for scheduling delays in simulated time, only for rounding.
 rules::RuleMonitors::Tolerances exact_tolerances();
 // A host's reply with this value.
 std::string reply_bytes(const std::string& value);
-// A host whose address follows from its cell.
+// The entry of a host in the host list. The host's cell is `id`, and its address follows from the cell.
 HostEntry host_entry(HostId id, HostState state, Ms started_at = 0);
 
 }  // namespace cometfold::explore
--- a/src/explore/world_steps.cpp
+++ b/src/explore/world_steps.cpp
@@ -1,4 +1,5 @@
-// Which steps are possible in the present state of a world. Trace files store the labels: they stay.
+// Collects the steps that are possible in the current state of a World. Trace files store the labels, so they
+// must not change.
 #include <algorithm>
 
 #include "explore/simulated_gateway.h"
@@ -8,7 +9,7 @@
 
 namespace cometfold::explore {
 
-// The order of steps is that of their options at the choice point.
+// The order of the steps is the order of the options at the choice point.
 void World::collect_steps(std::vector<Step>& steps) {
   steps.clear();
   collect_connection_steps(steps);
@@ -52,7 +53,8 @@
     const bool connected = client.connection && client.connection->state == Connection::kUp;
     const bool can_send =
         client.connection ? connected && !client.connection->send_shutdown : !draining_clients_;
-    // Clients are alike, so they start in order: another order is the same run with other names.
+    // Clients are interchangeable, so they start in order of index: any other order is the same run with the
+    // clients renumbered.
     const bool may_start = i == 0 || clients_[i - 1].sent_count > 0 || clients_[i - 1].disconnected;
     if (can_send && may_start && !client.disconnected && client.sent_count < client.requests.size()) {
       const std::size_t request = client.requests[client.sent_count];
--- a/tests/explore_test.cpp
+++ b/tests/explore_test.cpp
@@ -1,5 +1,5 @@
-// The model checker: small explorations find no violation; the stored counterexamples show theirs with their
-// mutant and not without.
+// Tests of the model checker: small explorations find no violation, and each stored counterexample reproduces
+// its violation with its mutant and shows none without it.
 #include <gtest/gtest.h>
 
 #include <filesystem>
@@ -25,7 +25,7 @@
     EXPECT_GT(result.terminal_runs, 10u) << scenario.name;
     reached |= result.coverage;
   }
-  // A scenario that never reaches its goals proves nothing.
+  // An exploration that never reaches its coverage goals proves nothing.
   for (const auto goal :
        {CoverageGoal::kDrainWhileWaiting, CoverageGoal::kReplacedWhileWaiting,
         CoverageGoal::kDisconnectWithAttemptInFlight, CoverageGoal::kCrashWithAttemptInFlight,
