--- a/src/explore/arbitrary_policy.cpp
+++ b/src/explore/arbitrary_policy.cpp
@@ -52,12 +52,12 @@
   return actions;
 }
 
-void World::ArbitraryPolicy::take_actions(ActionSink& out, RequestId request, const char* when,
+void World::ArbitraryPolicy::take_actions(ActionSink& out, RequestId request, const char* event_name,
                                           bool is_new_request) {
   while (actions_left_ > 0) {
     const auto actions = possible_actions(std::exchange(is_new_request, false));
     const auto label_of = [&](std::size_t i) {
-      return std::string("module, ") + when + ": " + actions[i].label;
+      return std::string("module, ") + event_name + ": " + actions[i].label;
     };
     const Action& action = actions[world_.chooser_.choose(actions.size(), label_of)];
     if (action.kind == Action::kNothing) return;
--- a/src/explore/arbitrary_policy.h
+++ b/src/explore/arbitrary_policy.h
@@ -37,9 +37,9 @@
 
   // The first option is the default: to send a new request to a host, otherwise to do nothing.
   std::vector<Action> possible_actions(bool is_new_request) const;
-  // Takes actions on a request until the chooser picks none or the limit is reached. `when` is the part of
-  // the label that names the event.
-  void take_actions(ActionSink& out, RequestId request, const char* when, bool is_new_request);
+  // Takes actions on a request until the chooser picks none or the limit is reached. `event_name` is the part
+  // of the label that names the event.
+  void take_actions(ActionSink& out, RequestId request, const char* event_name, bool is_new_request);
   void take(ActionSink& out, RequestId request, const Action& action);
 
   World& world_;
--- a/src/explore/explorer.cpp
+++ b/src/explore/explorer.cpp
@@ -131,12 +131,13 @@
   std::atomic<std::size_t> next_chunk{0};
   std::vector<std::jthread> threads;
   threads.reserve(thread_count);
-  for (auto& own : statistics) {
+  for (auto& thread_statistics : statistics) {
     threads.emplace_back([&] {
       const ActiveMutant active(mutant);
       for (std::size_t from; (from = next_chunk.fetch_add(kChunkSize)) < layer.size();) {
         const auto to = std::min(from + kChunkSize, layer.size());
-        for (std::size_t i = from; i < to; ++i) expand(scenario, layer[i], events, visited, own);
+        for (std::size_t i = from; i < to; ++i)
+          expand(scenario, layer[i], events, visited, thread_statistics);
       }
     });
   }
@@ -167,13 +168,14 @@
   for (std::size_t events = 0; !layer.empty() && !counterexample && result.complete; ++events) {
     auto statistics = expand_layer(scenario, mutant, limits.threads, layer, events, visited);
     layer.clear();
-    for (auto& own : statistics) {
-      result.transitions += own.transitions;
-      result.terminal_runs += own.terminal_runs;
-      result.truncated_states += own.truncated_states;
-      result.coverage |= own.coverage;
-      if (own.counterexample) keep_least(counterexample, *own.counterexample);
-      std::move(own.frontier.begin(), own.frontier.end(), std::back_inserter(layer));
+    for (auto& thread_statistics : statistics) {
+      result.transitions += thread_statistics.transitions;
+      result.terminal_runs += thread_statistics.terminal_runs;
+      result.truncated_states += thread_statistics.truncated_states;
+      result.coverage |= thread_statistics.coverage;
+      if (thread_statistics.counterexample) keep_least(counterexample, *thread_statistics.counterexample);
+      std::move(thread_statistics.frontier.begin(), thread_statistics.frontier.end(),
+                std::back_inserter(layer));
     }
     if (!layer.empty()) result.max_depth = events + 1;
     if (counterexample) result.counterexample_events = events + 1;
--- a/src/explore/main.cpp
+++ b/src/explore/main.cpp
@@ -174,7 +174,7 @@
 int run_exploration(const Options& options) {
   const auto selected = selected_scenarios(options);
   const Mutant mutant = selected_mutants(options).front();
-  bool broken = false;
+  bool violation_found = false;
   std::vector<std::pair<std::string, Coverage>> coverage;
   print_header();
   for (const auto& scenario : selected) {
@@ -182,11 +182,11 @@
     coverage.emplace_back(scenario.name, result.coverage);
     print_result(scenario, mutant, result);
     if (!result.violation) continue;
-    broken = true;
+    violation_found = true;
     report_counterexample(options, scenario, mutant, result);
   }
   print_coverage(coverage);
-  return broken ? 1 : 0;
+  return violation_found ? 1 : 0;
 }
 
 int run(const Options& options) {
