--- a/src/engine/attempt_gate.cpp
+++ b/src/engine/attempt_gate.cpp
@@ -8,7 +8,7 @@
 
 namespace {
 
-// An attempt with the field names that cometfold/attempt_rules.h requires.
+// An attempt with the field names that the templates in cometfold/attempt_rules.h require.
 struct RuleAttempt {
   HostId host = 0;
   HostLocation place;
@@ -21,8 +21,8 @@
   return {attempt.host, attempt.location, attempt.sent_at, attempt.in_flight, attempt.may_have_executed};
 }
 
-// A deliberate fault that skips an earlier guard must get past this one too, or it would never show.
-bool mutant_sends_after_answer() {
+// A mutant that skips an earlier check must pass this one too, or the fault would have no effect.
+bool mutant_sends_after_reply() {
   return mutant(Mutant::kSendsAfterReply) || mutant(Mutant::kServesAbandonedAttempt);
 }
 bool mutant_sends_to_drained_host() {
@@ -75,7 +75,7 @@
 AttemptVerdict AttemptGate::check_first_byte(Ms now, const PendingRequest& request,
                                              std::uint32_t attempt) const {
   const Attempt& own = request.attempts[attempt];
-  if (request.answered && !mutant_sends_after_answer()) return AttemptVerdict::kAnswered;
+  if (request.answered && !mutant_sends_after_reply()) return AttemptVerdict::kAnswered;
   if (request.client_disconnected()) return AttemptVerdict::kClientDisconnected;
   if (now >= own.expires_at) return AttemptVerdict::kDeadlineExceeded;
   const auto host = ready_hosts_.find(own.host);
