--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -14,8 +14,8 @@
 constexpr int kCorrectionsPerTick = 8;
 constexpr std::size_t kMaxRecordsPerCorrection = 5;
 constexpr int kLeaveAnnouncements = 3;
-constexpr Ms kReportedPauseMs = 1000;        // shorter pauses raise no event
-constexpr std::size_t kEventsPerMember = 4;  // that are kept until the embedder takes them
+constexpr Ms kReportedPauseMs = 1000;        // pauses up to this long raise no event
+constexpr std::size_t kEventsPerMember = 4;  // capacity of the event queue
 constexpr std::size_t kMapNodeBytes = 48;
 constexpr std::size_t kPointerBytes = sizeof(void*);
 
@@ -44,14 +44,15 @@
   Member& member = table_.insert(table_.self().name);
   table_.set_record(now, member, table_.self());
   gossip_.enqueue_record(member);
-  rejoiner_.hurry();
+  rejoiner_.start_fast_rejoin();
   next_tick_ = now + static_cast<Ms>(draw_(static_cast<std::uint64_t>(settings_.ping_interval_ms)));
   rejoiner_.start(now);
 }
 
 void Membership::receive(Ms now, const Message& message) {
   if (message.sender.name == table_.self().name) {
-    if (message.sender.process_nonce != table_.self().process_nonce) receive_from_namesake(now, message);
+    if (message.sender.process_nonce != table_.self().process_nonce)
+      receive_from_conflicting_process(now, message);
     return;
   }
   if (!accepts(message)) return;
@@ -67,15 +68,16 @@
   }
 }
 
-// What waited in the socket during a long pause is outdated: at first only answers to later messages count.
+// Datagrams that waited in the socket during a long pause are outdated: until the first answer to a message
+// that was sent after the pause, all others are ignored.
 bool Membership::accepts(const Message& message) {
-  if (!answers_only_above_) return true;
+  if (!answer_sequence_floor_) return true;
   const bool answer = message.type == Message::kSyncReply || message.type == Message::kAck ||
                       message.type == Message::kCorrection;
   const bool late_enough =
-      message.sequence > *answers_only_above_ && message.sequence <= outbox_.last_sequence();
+      message.sequence > *answer_sequence_floor_ && message.sequence <= outbox_.last_sequence();
   if (!answer || !late_enough) return false;
-  answers_only_above_.reset();
+  answer_sequence_floor_.reset();
   return true;
 }
 
@@ -91,8 +93,8 @@
   if (has_digest) anti_entropy_.compare_digest(now, message);
 }
 
-// The sender's view of a member that was forgotten here is corrected: the member is over, or it takes a new
-// incarnation when it learns of the correction.
+// Corrects the sender's record of a member whose tombstone this gateway may have forgotten: either the member
+// has ended, or it takes a new incarnation when it learns of the correction.
 void Membership::merge_records(Ms now, const Message& message) {
   std::vector<MemberRecord> forgotten;
   for (const auto& record : message.records) {
@@ -124,8 +126,8 @@
   }
 }
 
-// The sender is over, as far as this gateway knows, and gets a correction. What it says of this gateway
-// counts, as after a partition each side takes the other for over.
+// To this gateway the sender is not a current member: it gets a correction. Its records of this gateway count
+// all the same, as after a partition each side has declared the other failed.
 void Membership::receive_stale(Ms now, const Message& message, const Member* sender) {
   ++metrics_.stale_messages;
   const std::uint64_t incarnation = table_.self().incarnation;
@@ -145,12 +147,12 @@
   correct(now, message, std::move(correction));
 }
 
-void Membership::receive_from_namesake(Ms now, const Message& message) {
+void Membership::receive_from_conflicting_process(Ms now, const Message& message) {
   if (precedence_of(message.sender) > precedence_of(table_.self())) {
     identity_.merge(now, message.sender);
     return;
   }
-  identity_.receive_from_namesake(now, message);
+  identity_.receive_from_conflicting_process(now, message);
   Message correction = outbox_.make(Message::kCorrection);
   correction.records.push_back(table_.self());
   correct(now, message, std::move(correction));
@@ -193,21 +195,22 @@
                   MemberState::kAlive, std::to_string(std::lround(*pause))});
   }
   if (*pause > settings_.tombstone_retention_ms / 2 && !mutant(Mutant::kKeepsMembersAfterPause)) {
-    start_over(now);
+    reset_after_long_pause(now);
     return;
   }
-  detector_.forgive_silence(now);
-  table_.forgive_silence(*pause);
+  detector_.discard_unanswered_pings(now);
+  table_.discount_pause(*pause);
 }
 
-// After so long a pause others may have forgotten tombstones that this gateway never received: its records of
-// alive members would bring failed ones back. It keeps their addresses, as seeds, and its tombstones.
-void Membership::start_over(Ms now) {
+// After such a long pause others may have forgotten tombstones that this gateway never received, so its
+// records of alive members would revive failed ones. It removes them, and keeps their addresses as seeds and
+// its own tombstones.
+void Membership::reset_after_long_pause(Ms now) {
   for (const auto& address : table_.remove_alive_members()) rejoiner_.add_seed(address);
   detector_.clear_subjects();
   rings_.clear();
-  rejoiner_.hurry();
-  answers_only_above_ = outbox_.restart_sequences();
+  rejoiner_.start_fast_rejoin();
+  answer_sequence_floor_ = outbox_.restart_sequences();
   identity_.rejoin_above(now, table_.self().incarnation, IncarnationReason::kPausedTooLong);
 }
 
--- a/tests/membership_schedules_test.cpp
+++ b/tests/membership_schedules_test.cpp
@@ -1,5 +1,5 @@
-// Membership in the model: each deliberate fault (membership/faults.h) is found by hard cases or random
-// schedules of faults, and without one all of them end in agreement.
+// Runs membership in the modelled network through hard cases and random schedules of network and process
+// faults. All members must agree at the end, and each mutant (membership/faults.h) must cause a violation.
 #include <gtest/gtest.h>
 
 #include <cstdlib>
@@ -11,8 +11,9 @@
 namespace cometfold::membership::testing {
 namespace {
 
-// The cluster's violations, and `violation` if there was one; `hard_case` names the case.
-Violations named(const char* hard_case, Cluster& cluster, bool violated, const char* violation) {
+// The violations of the cluster's checks, and `violation` if `violated`, each prefixed with the name of the
+// case.
+Violations collect_violations(const char* hard_case, Cluster& cluster, bool violated, const char* violation) {
   Violations all;
   for (const auto& found : cluster.check_final_view()) all.push_back(std::string(hard_case) + ": " + found);
   if (violated) all.push_back(std::string(hard_case) + ": " + violation);
@@ -26,7 +27,8 @@
   cluster.run(6000);
   cluster.heal();
   cluster.run(8000);
-  return named("partitioned minority", cluster, cluster.new_incarnations > 6, "it declared others failed");
+  return collect_violations("partitioned minority", cluster, cluster.new_incarnations > 6,
+                            "there were more than six new incarnations");
 }
 
 Violations paused_process() {
@@ -38,11 +40,11 @@
   cluster.model.resume(7);
   cluster.run(300);
   for (std::size_t i = 0; i < 12; ++i) {
-    if (cluster.state(7, i) == MemberState::kSuspect) all.push_back("paused process: it suspects others");
+    if (cluster.state(7, i) == MemberState::kSuspect) all.push_back("paused process: suspects others");
   }
   cluster.run(6000);
   const bool harmed = cluster.false_failures > 0 || cluster.new_incarnations > 1;
-  for (auto& found : named("paused process", cluster, harmed, "others were declared failed")) {
+  for (auto& found : collect_violations("paused process", cluster, harmed, "others were declared failed")) {
     all.push_back(std::move(found));
   }
   return all;
@@ -55,19 +57,20 @@
   cluster.run(10'000);
   cluster.model.is_blocked = [](std::size_t, std::size_t) { return false; };
   cluster.run(8000);
-  return named("broken link", cluster, cluster.false_failures > 0, "a running member was declared failed");
+  return collect_violations("broken link", cluster, cluster.false_failures > 0,
+                            "a running member was declared failed");
 }
 
 Violations name_conflict() {
   Cluster cluster(8);
   cluster.run(5000);
-  const std::size_t twin = cluster.model.add("g3");
-  cluster.start(twin);
+  const std::size_t duplicate = cluster.model.add("g3");
+  cluster.start(duplicate);
   cluster.run(6000);
-  const bool unnoticed =
-      cluster.real(3).conflicting_address().empty() || cluster.real(twin).conflicting_address().empty();
-  return named("name conflict", cluster, unnoticed || cluster.new_incarnations > 4,
-               "it is not reported, or does not end");
+  const bool unnoticed = cluster.membership_of(3).conflicting_address().empty() ||
+                         cluster.membership_of(duplicate).conflicting_address().empty();
+  return collect_violations("name conflict", cluster, unnoticed || cluster.new_incarnations > 4,
+                            "the conflict is not reported, or does not end");
 }
 
 Violations seventy_percent_killed() {
@@ -75,7 +78,7 @@
   cluster.run(6000);
   for (std::size_t i = 18; i < 60; ++i) cluster.model.kill(i);
   cluster.run(40'000);
-  return named("seventy percent killed", cluster, false, "");
+  return collect_violations("seventy percent killed", cluster, false, "");
 }
 
 Violations pause_beyond_retention() {
@@ -92,11 +95,12 @@
   for (int i = 0; i < 20; ++i) {
     cluster.run(100);
     if (cluster.state(12, 5) != MemberState::kLeft) {
-      all.push_back("pause beyond retention: a failed member is back at one that never had it");
+      all.push_back("pause beyond retention: a new member shows one that was killed during the pause");
     }
   }
   cluster.run(8000);
-  for (auto& found : named("pause beyond retention", cluster, false, "")) all.push_back(std::move(found));
+  for (auto& found : collect_violations("pause beyond retention", cluster, false, ""))
+    all.push_back(std::move(found));
   return all;
 }
 
@@ -111,7 +115,7 @@
 
 using RandomIndex = std::function<std::size_t(std::uint64_t below)>;
 
-// Starts a member that does not run, sometimes with a wall clock that went back or at another address.
+// Restarts a member that does not run, sometimes with its wall clock set back or at a new address.
 void restart_if_killed(Cluster& cluster, std::size_t index, const RandomIndex& draw) {
   if (cluster.model.member(index).running) return;
   cluster.left.erase(index);
@@ -170,8 +174,8 @@
   }
 }
 
-// Plays one random schedule.
-Violations play(std::uint64_t seed) {
+// Runs one random schedule of faults and returns the violations.
+Violations run_schedule(std::uint64_t seed) {
   std::mt19937_64 random(seed);
   const RandomIndex draw = [&random](std::uint64_t below) {
     return static_cast<std::size_t>(random() % below);
@@ -197,7 +201,7 @@
     active_mutant = static_cast<Mutant>(i);
     auto violations = violations_in_hard_cases();
     std::uint64_t seed = 0;
-    while (violations.empty() && seed < 400) violations = play(++seed);
+    while (violations.empty() && seed < 400) violations = run_schedule(++seed);
     active_mutant = Mutant::kNone;
     EXPECT_FALSE(violations.empty()) << "mutant " << i;
     if (violations.empty()) continue;
@@ -210,7 +214,7 @@
   const char* requested = std::getenv("COMETFOLD_SCHEDULES");
   const int count = requested ? std::atoi(requested) : 60;
   for (int seed = 1; seed <= count; ++seed) {
-    ASSERT_EQ(play(static_cast<std::uint64_t>(seed)), Violations{}) << seed;
+    ASSERT_EQ(run_schedule(static_cast<std::uint64_t>(seed)), Violations{}) << seed;
   }
 }
 
