--- a/src/resp/resp_reader.cpp
+++ b/src/resp/resp_reader.cpp
@@ -7,12 +7,12 @@
 namespace {
 
 constexpr std::size_t kInitialBufferBytes = 2048;
-// A larger buffer is freed once it is empty.
+// A larger buffer is reduced to this size once it is empty.
 constexpr std::size_t kMaxIdleBufferBytes = std::size_t{16} * 1024;
 constexpr std::size_t kMaxLengthDigits = 9;  // keeps a length within 32 bits
 constexpr std::size_t kLineEndBytes = 2;     // CR LF
 
-// A length without sign or leading zeros; empty for anything else.
+// Parses a length without sign or leading zeros. Returns nothing for anything else.
 std::optional<std::size_t> parse_length(std::string_view digits) {
   if (digits.empty() || digits.size() > kMaxLengthDigits) return {};
   if (digits.size() > 1 && digits[0] == '0') return {};
@@ -28,7 +28,7 @@
   return error == std::errc{} && end == text.data() + text.size();
 }
 
-// The type of a value that stands on one line, by its first character; empty for others.
+// Returns the type of a single-line value by its first character, or nothing for other characters.
 std::optional<ItemType> line_type(char marker) {
   switch (marker) {
     case '+':
@@ -74,8 +74,8 @@
   return ReadResult::kProtocolError;
 }
 
-// The next line without its CR LF.
-RespReader::Stop RespReader::read_line(std::string_view& text) {
+// Reads the next line. `text` is the line without its CR LF.
+RespReader::StepResult RespReader::read_line(std::string_view& text) {
   const char* from = buffer_.data() + begin_ + parsed_;
   const std::size_t available = end_ - begin_ - parsed_;
   const std::size_t max_bytes = limits_.max_line_bytes + kLineEndBytes;
@@ -91,7 +91,7 @@
   return {};
 }
 
-RespReader::Stop RespReader::read_array_header(std::string_view length) {
+RespReader::StepResult RespReader::read_array_header(std::string_view length) {
   const auto elements = parse_length(length);
   if (!elements) return fail(ProtocolError::kInvalidArrayLength);
   if (*elements > limits_.max_elements) return fail(ProtocolError::kTooManyElements);
@@ -99,8 +99,8 @@
   return {};
 }
 
-// `offset`: where the length stands, from `begin_`.
-RespReader::Stop RespReader::read_bulk_header(std::string_view length, std::size_t offset) {
+// `offset`: position of the length, from `begin_`.
+RespReader::StepResult RespReader::read_bulk_header(std::string_view length, std::size_t offset) {
   if (!commands_only_ && length == "-1") {
     items_.push_back({ItemType::kNull, offset, 0});
     --missing_elements_;
@@ -110,7 +110,7 @@
   if (!size) return fail(ProtocolError::kInvalidBulkLength);
   const bool is_first_of_array = is_array_ && items_.empty();
   if (*size > limits_.max_value_bytes && *size <= limits_.max_streamed_value_bytes && is_first_of_array) {
-    begin_ += parsed_;  // the headers before it are not needed any more
+    begin_ += parsed_;  // the headers before it are no longer needed
     parsed_ = 0;
     in_streamed_value_ = true;
     streamed_size_ = *size;
@@ -125,8 +125,8 @@
   return {};
 }
 
-// A value that is no array, from its first line.
-RespReader::Stop RespReader::read_element(std::string_view header) {
+// Reads a value other than an array, starting with its first line.
+RespReader::StepResult RespReader::read_element(std::string_view header) {
   const char marker = header[0];
   const auto text = header.substr(1);
   const std::size_t offset = parsed_ - kLineEndBytes - text.size();
@@ -140,10 +140,10 @@
   return {};
 }
 
-// The first line of a frame or of one of its elements.
-RespReader::Stop RespReader::read_header() {
+// Reads the first line of a frame or of one of its elements.
+RespReader::StepResult RespReader::read_header() {
   std::string_view header;
-  if (const Stop stop = read_line(header)) return stop;
+  if (const StepResult result = read_line(header)) return result;
   if (frame_started_) return read_element(header);
   is_array_ = header[0] == '*';
   if (commands_only_ && !is_array_) return fail(ProtocolError::kExpectedArray);
@@ -152,7 +152,7 @@
   return is_array_ ? read_array_header(header.substr(1)) : read_element(header);
 }
 
-RespReader::Stop RespReader::read_bulk_bytes() {
+RespReader::StepResult RespReader::read_bulk_bytes() {
   if (end_ - begin_ < parsed_ + bulk_size_ + kLineEndBytes) return ReadResult::kNeedMore;
   const char* after = buffer_.data() + begin_ + parsed_ + bulk_size_;
   if (after[0] != '\r' || after[1] != '\n') return fail(ProtocolError::kBulkStringWithoutCrLf);
@@ -163,8 +163,9 @@
   return {};
 }
 
-// The CR LF behind a streamed value, whose item is empty as its bytes were given out before.
-RespReader::Stop RespReader::finish_streamed_value() {
+// Reads the CR LF that ends a streamed value. Its item is empty, as its bytes have already been returned in
+// chunks.
+RespReader::StepResult RespReader::finish_streamed_value() {
   if (streamed_remaining_ > 0) return ReadResult::kStreamedValue;
   if (end_ - begin_ < kLineEndBytes) return ReadResult::kNeedMore;
   if (buffer_[begin_] != '\r' || buffer_[begin_ + 1] != '\n') {
@@ -197,10 +198,10 @@
   if (error_) return ReadResult::kProtocolError;
   drop_consumed();
   while (!frame_started_ || missing_elements_ > 0) {
-    const Stop stop = in_streamed_value_ ? finish_streamed_value()
-                      : in_bulk_         ? read_bulk_bytes()
-                                         : read_header();
-    if (stop) return *stop;
+    const StepResult result = in_streamed_value_ ? finish_streamed_value()
+                              : in_bulk_         ? read_bulk_bytes()
+                                                 : read_header();
+    if (result) return *result;
   }
   fill(frame);
   items_.clear();
