--- a/src/http2/flood_guard.h
+++ b/src/http2/flood_guard.h
@@ -1,5 +1,5 @@
-// Limits the frames that cost their sender little and make the receiver work, such as PING, SETTINGS, resets
-// and empty DATA: a token bucket, which work that was really requested fills as well.
+// Token bucket that limits frames which are cheap to send but costly to process, such as PING, SETTINGS,
+// RST_STREAM and empty DATA. It is refilled over time, and also by each unit of work that the peer requested.
 #pragma once
 
 #include "cometfold/admission_controller.h"
@@ -8,12 +8,14 @@
 
 class FloodGuard {
  public:
-  // `rate`: frames a second. `burst`: frames at once. `earned`: more frames for each piece of work done.
+  // `rate`: frames per second. `burst`: capacity of the bucket in frames. `earned`: frames credited for each
+  // unit of work done.
   FloodGuard(double rate, double burst, double earned, Ms now)
       : rate_(rate), burst_(burst), earned_(earned), tokens_(burst), refilled_at_(now) {}
 
+  // Credits `earned` frames.
   void on_work_done();
-  // A cheap frame has come. False: the sender exceeds its rate.
+  // Counts one received frame. Returns false if the sender exceeds its rate.
   bool admit(Ms now);
 
  private:
--- a/src/http2/grpc.cpp
+++ b/src/http2/grpc.cpp
@@ -7,7 +7,7 @@
 
 namespace {
 
-constexpr std::size_t kMaxIdleBufferBytes = 4096;  // a larger buffer is freed after its message
+constexpr std::size_t kMaxIdleBufferBytes = 4096;  // a larger buffer is freed once its message is delivered
 constexpr std::size_t kMaxTimeoutChars = 9;        // eight digits and a unit
 
 std::size_t length_of(std::string_view prefix) {
@@ -57,7 +57,7 @@
   delivered_ = false;
 }
 
-// False, with a status, if no message with this prefix is accepted.
+// Returns false and sets the status if a message with this prefix is not accepted.
 bool MessageReader::check_prefix(std::string_view prefix) {
   if (prefix[0] != 0) {
     status_ = {Code::kUnimplemented, "compressed messages are not taken: send them with identity encoding"};
@@ -72,7 +72,7 @@
   return true;
 }
 
-// A message that has arrived as a whole is not copied.
+// Returns a complete message as a view into `bytes`; an incomplete one is copied into the buffer.
 bool MessageReader::next_unbuffered(std::string_view& bytes, std::string_view& message) {
   if (!check_prefix(bytes)) return false;
   const auto length = length_of(bytes);
@@ -96,7 +96,7 @@
   return true;
 }
 
-// Takes from `bytes` what is missing. True if the buffer then holds `size` bytes.
+// Moves bytes from `bytes` into the buffer until it holds `size` bytes. Returns whether it does.
 bool MessageReader::fill_buffer(std::string_view& bytes, std::size_t size) {
   const auto part = bytes.substr(0, size - buffer_.size());
   buffer_ += part;
--- a/src/http2/grpc.h
+++ b/src/http2/grpc.h
@@ -1,4 +1,4 @@
-// gRPC over HTTP/2 as published (grpc/doc/PROTOCOL-HTTP2.md): statuses, message framing, timeouts. Pure.
+// gRPC over HTTP/2 (grpc/doc/PROTOCOL-HTTP2.md): status codes, message framing and timeouts. No I/O.
 #pragma once
 
 #include <cstddef>
@@ -30,28 +30,28 @@
 
 struct Status {
   Code code = Code::kOk;
-  std::string message;  // any text: it is percent-encoded on its way out
+  std::string message;  // any text: it is percent-encoded when it is sent
 };
 
-// The trailers that carry it.
+// Returns the trailers that carry `status`.
 Headers trailers(const Status& status);
 
-// Five bytes before each message: a flag and the length.
+// Size of the prefix of each message: a compression flag (1 byte) and the length (4 bytes, big-endian).
 constexpr std::size_t kPrefix = 5;
 void append_prefix(std::string& out, std::size_t message_bytes);
 
-// Takes messages out of the bytes of a stream, wherever those are split.
+// Extracts messages from a stream's bytes, which may be split at any position.
 class MessageReader {
  public:
   explicit MessageReader(std::size_t max_message_bytes) : max_message_bytes_(max_message_bytes) {}
 
-  // Consumes `bytes` from the front. True: `message` is one complete message, valid until the next call and
-  // for as long as the memory of `bytes`; call again with the rest. False: all is consumed, or `status` is an
-  // error.
+  // Consumes `bytes` from the front. Returns true if `message` is a complete message; it is valid until the
+  // next call and no longer than the memory behind `bytes`. Call again with the remaining bytes. Returns
+  // false if all bytes are consumed or `status` is an error.
   bool next(std::string_view& bytes, std::string_view& message);
   const Status& status() const { return status_; }
   std::size_t buffered_bytes() const { return buffer_.size(); }
-  // No message is incomplete.
+  // Whether no incomplete message is buffered.
   bool empty() const { return buffer_.empty(); }
 
  private:
@@ -62,16 +62,16 @@
   bool fill_buffer(std::string_view& bytes, std::size_t size);
 
   std::size_t max_message_bytes_;
-  std::string buffer_;      // prefix and message, until complete
-  bool delivered_ = false;  // `buffer_` was given out as a message
+  std::string buffer_;      // prefix and message, until the message is complete
+  bool delivered_ = false;  // `buffer_` was returned as a message
   Status status_;
 };
 
-// The value of the header `grpc-timeout`, such as 100m: up to eight digits and a unit. Empty if it is
+// Parses the header `grpc-timeout`, such as 100m: up to eight digits and a unit. Returns nothing if it is
 // malformed.
 std::optional<Ms> parse_timeout(std::string_view text);
 
-// Whether this is the content-type of gRPC: application/grpc, with anything after + or ;
+// Whether a content-type is that of gRPC: application/grpc, optionally followed by + or ; and any text.
 bool is_grpc(std::string_view content_type);
 
 }  // namespace cometfold::http2::grpc
--- a/src/http2/grpc_client.cpp
+++ b/src/http2/grpc_client.cpp
@@ -87,7 +87,7 @@
     }
   }
   void on_end(Ms) override {
-    if (!half_closed_) cancel();  // the status has come, so the server needs no more messages
+    if (!half_closed_) cancel();  // the call is complete, so the server needs no more messages
   }
   void on_closed(Ms now, ErrorCode code) override {
     if (!status_) {
--- a/src/http2/grpc_client.h
+++ b/src/http2/grpc_client.h
@@ -14,8 +14,8 @@
   virtual ~ClientCallEvents() = default;
   // `message` is valid until the call returns.
   virtual void on_message(Ms now, std::string_view message) = 0;
-  // The call is over; the last event. Without a status from the server it is derived from how the stream
-  // ended, by grpc/doc/http-grpc-status-mapping.md and its table of HTTP/2 error codes.
+  // The call is over; this is the last event. If the server sent no status, it is derived from how the stream
+  // ended (grpc/doc/http-grpc-status-mapping.md and the table of HTTP/2 error codes in PROTOCOL-HTTP2.md).
   virtual void on_status(Ms now, const Status& status) = 0;
 };
 
@@ -28,7 +28,8 @@
   virtual void cancel() = 0;
 };
 
-// Null if no stream can be opened. `max_message_bytes`: of one message from the server.
+// Starts a call. Returns null if no stream can be opened. `max_message_bytes` limits each message from the
+// server.
 ClientCall* start_call(Session& session, std::string_view authority, std::string_view path,
                        const Headers& metadata, std::unique_ptr<ClientCallEvents> events,
                        std::size_t max_message_bytes = std::size_t{4} * 1024 * 1024);
--- a/src/http2/grpc_server.cpp
+++ b/src/http2/grpc_server.cpp
@@ -14,7 +14,7 @@
   stream.finish();
 }
 
-// The response of a call that ends before it begins: headers only.
+// Sends a trailers-only response, for a call that ends before any message was sent.
 void respond_with_status(Stream& stream, const Status& status) {
   Headers headers{{":status", "200"}, {"content-type", "application/grpc"}};
   for (Header& trailer : trailers(status)) headers.push_back(std::move(trailer));
@@ -60,7 +60,7 @@
   }
 
   // StreamEvents
-  void on_headers(Ms, HeaderBlock) override {}  // trailers of a request: gRPC has none
+  void on_headers(Ms, HeaderBlock) override {}  // trailers of the request: gRPC does not use them
   void on_data(Ms now, std::string_view bytes) override {
     const auto before = reader_.buffered_bytes();
     std::string_view message;
@@ -91,7 +91,7 @@
   Ms opened_at() const { return opened_at_; }
 
  private:
-  // After its first message, or at its end.
+  // Called after the first message and when the call is destroyed.
   void leave_silent_list() {
     if (!silent_) return;
     silent_ = false;
@@ -103,11 +103,11 @@
   Stream& stream_;
   std::unique_ptr<CallEvents> events_;
   MessageReader reader_;
-  std::size_t last_message_bytes_ = 0;  // bytes of the latest message sent
+  std::size_t last_message_bytes_ = 0;  // latest message sent, with prefix; 0: nothing to withdraw
   Ms opened_at_;
   Exchange* previous_ = nullptr;
   Exchange* next_ = nullptr;
-  bool silent_ = true;  // in the list of calls without a message
+  bool silent_ = true;  // in the list of calls that have received no message
   bool finished_ = false;
 };
 
--- a/src/http2/grpc_server.h
+++ b/src/http2/grpc_server.h
@@ -1,4 +1,4 @@
-// The server side of gRPC on one HTTP/2 connection: calls with messages both ways. Does no I/O.
+// The server side of gRPC on one HTTP/2 connection, with bidirectional streaming calls. Does no I/O.
 #pragma once
 
 #include <cstddef>
@@ -14,33 +14,35 @@
 
 class Connection;
 
-// The service's side of one call. Destroyed after `on_gone`.
+// Receives the events of one call for the service. Destroyed after `on_call_closed`.
 class CallEvents {
  public:
   virtual ~CallEvents() = default;
   // `message` is valid until the call returns.
   virtual void on_message(Ms now, std::string_view message) = 0;
   virtual void on_half_closed(Ms now) = 0;  // the client sends nothing more
-  // The call is over: its status is sent, or the client or the connection has ended it. Nothing may be sent
-  // any more.
+  // The call is over: its status was sent, or the client or the connection ended it. Nothing may be sent
+  // after this.
   virtual void on_call_closed(Ms now) = 0;
 };
 
-// One call, for the service. Valid until `CallEvents::on_gone` has returned.
+// One call, as the service sees it. Valid until `CallEvents::on_call_closed` has returned.
 class Call {
  public:
   virtual ~Call() = default;
   virtual void send(std::string_view message) = 0;
-  // Withdraws the latest message. False if some of it has been rendered.
+  // Withdraws the latest message. Returns false if any of its bytes have been passed to the connection, if it
+  // was withdrawn before, or if the call is finished.
   virtual bool withdraw() = 0;
-  // Ends the call, once. Messages sent before go out first.
+  // Ends the call after all messages sent before. Only the first call has an effect.
   virtual void finish(const Status& status) = 0;
 };
 
 class Service {
  public:
   virtual ~Service() = default;
-  // A call of this service's method. `headers` hold the call's metadata and are valid until the return.
+  // Opens a call of this service's method. `headers` hold the call's metadata and are valid until this
+  // function returns.
   virtual std::unique_ptr<CallEvents> open(Ms now, Call& call, HeaderBlock headers) = 0;
 };
 
@@ -48,11 +50,11 @@
   SessionLimits http2;
   std::size_t max_message_bytes = std::size_t{1024} * 1024;  // of one message
   std::size_t max_incomplete_bytes =
-      std::size_t{8} * 1024 * 1024;      // of incomplete messages, over the connection
-  Ms first_message_timeout_ms = 10'000;  // milliseconds without a message, after which a call is ended
+      std::size_t{8} * 1024 * 1024;      // of all incomplete messages of a connection
+  Ms first_message_timeout_ms = 10'000;  // a call that has received no message by then is ended
 };
 
-// The methods of a server, by their path.
+// The methods of a server, looked up by path.
 class Methods {
  public:
   virtual ~Methods() = default;
@@ -61,14 +63,14 @@
 
 class Connection : private SessionEvents {
  public:
-  // `owner` gets `SessionEvents::on_output` only. All references must outlive this object.
+  // `owner` receives only `SessionEvents::on_output`. All references must outlive this object.
   Connection(const ServerLimits& limits, Methods& methods, SessionEvents& owner, Ms now);
   ~Connection() override;
 
   Session& session() { return session_; }
-  // Bytes of incomplete messages.
+  // Bytes of incomplete messages that are buffered.
   std::size_t incomplete_bytes() const { return incomplete_bytes_; }
-  // Ends calls without a message for too long.
+  // Ends calls that have received no message within `first_message_timeout_ms`.
   void sweep(Ms now);
 
  private:
@@ -81,7 +83,7 @@
   Methods& methods_;
   SessionEvents& owner_;
   std::size_t incomplete_bytes_ = 0;
-  Exchange* first_silent_ = nullptr;  // list of calls without a message yet, newest first
+  Exchange* first_silent_ = nullptr;  // list of calls that have received no message yet, newest first
   Session session_;                   // destroyed first, as its streams use the members above
 };
 
--- a/src/http2/header_block_buffer.cpp
+++ b/src/http2/header_block_buffer.cpp
@@ -3,8 +3,8 @@
 namespace cometfold::http2 {
 namespace {
 
-constexpr std::size_t kOverheadBytes = 32;  // of each header, RFC 9113 section 6.5.2
-constexpr std::size_t kTooLargeFactor = 8;  // times the limit
+constexpr std::size_t kOverheadBytes = 32;  // counted for each header, RFC 9113 section 6.5.2
+constexpr std::size_t kTooLargeFactor = 8;  // multiple of the limit above which a block is too large
 
 }  // namespace
 
@@ -14,7 +14,8 @@
   counted_bytes_ = 0;
 }
 
-// A compressed block of a few bytes can expand to hundreds of megabytes of references to one header.
+// Headers over the limit are counted but not stored: a small compressed block can expand to hundreds of
+// megabytes by references to one header.
 HeaderBlockBuffer::AddResult HeaderBlockBuffer::add(std::string_view name, std::string_view value) {
   counted_bytes_ += name.size() + value.size() + kOverheadBytes;
   if (counted_bytes_ > kTooLargeFactor * max_bytes_) return AddResult::kTooLarge;
--- a/src/http2/header_block_buffer.h
+++ b/src/http2/header_block_buffer.h
@@ -1,4 +1,5 @@
-// The header block that a session is reading: blocks of two streams are never interleaved, so one is enough.
+// Buffers the header block that a session is reading. Header blocks of different streams are never
+// interleaved on a connection, so one buffer per session is enough.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +13,19 @@
 
 class HeaderBlockBuffer {
  public:
-  // `max_bytes`: of one block, as RFC 9113 section 6.5.2 counts it.
+  // `max_bytes`: limit of one block, counted as in RFC 9113 section 6.5.2.
   explicit HeaderBlockBuffer(std::size_t max_bytes) : max_bytes_(max_bytes) {}
 
   enum class AddResult {
     kAdded,
-    kDropped,   // over the limit: counted only
-    kTooLarge,  // so far over it that the connection must end
+    kDropped,   // over the limit: counted but not stored
+    kTooLarge,  // so far over the limit that the connection must be closed
   };
 
   void clear();
   AddResult add(std::string_view name, std::string_view value);
   bool over_limit() const { return counted_bytes_ > max_bytes_; }
-  // The headers that were added. Valid until the next call of a non-const member.
+  // Returns the headers that were added. Valid until the next call of a non-const member function.
   HeaderBlock headers();
 
  private:
--- a/src/http2/headers.h
+++ b/src/http2/headers.h
@@ -1,4 +1,4 @@
-// HTTP headers, outgoing and incoming.
+// Outgoing and incoming HTTP headers.
 #pragma once
 
 #include <span>
@@ -15,13 +15,13 @@
 };
 using Headers = std::vector<Header>;
 
-// An incoming header. Valid until the call that it is passed to returns.
+// An incoming header. Valid until the function that it is passed to returns.
 struct HeaderView {
   std::string_view name, value;
 };
 using HeaderBlock = std::span<const HeaderView>;
 
-// The value of the first header with this name; empty if there is none.
+// Returns the value of the first header with this name; empty if there is none.
 std::string_view find(HeaderBlock headers, std::string_view name);
 
 }  // namespace cometfold::http2
--- a/src/http2/session.cpp
+++ b/src/http2/session.cpp
@@ -9,12 +9,13 @@
 
 namespace {
 
-constexpr std::size_t kOutputChunkBytes = std::size_t{64} * 1024;   // rendered ahead, at most about so much
+constexpr std::size_t kOutputChunkBytes = std::size_t{64} * 1024;   // rendered ahead, approximately
 constexpr std::size_t kMaxIdleOutputBytes = 4 * kOutputChunkBytes;  // a larger buffer is freed when empty
-constexpr std::size_t kMaxQueuedAcks = 256;                         // of PING and SETTINGS, to be sent
-constexpr std::size_t kMaxSettingsEntries = 32;                     // of one SETTINGS frame
-constexpr std::size_t kMaxContinuations = 8;                        // frames after one HEADERS
-// Switches off nghttp2's own limit of resets, which does not count work that was done; `FloodGuard` does.
+constexpr std::size_t kMaxQueuedAcks = 256;      // unsent acknowledgements of PING and SETTINGS
+constexpr std::size_t kMaxSettingsEntries = 32;  // in one SETTINGS frame
+constexpr std::size_t kMaxContinuations = 8;     // CONTINUATION frames after one HEADERS frame
+// Disables nghttp2's own limit on resets, which gives no credit for work done; `FloodGuard` limits them
+// instead.
 constexpr std::uint64_t kNoResetLimit = std::uint64_t{1} << 40;
 
 }  // namespace
@@ -67,7 +68,7 @@
   if (over_) return false;
   const auto consumed_bytes =
       nghttp2_session_mem_recv(session_, reinterpret_cast<const std::uint8_t*>(bytes.data()), bytes.size());
-  if (consumed_bytes < 0) {  // a wrong preface, or a flood that nghttp2 itself has found
+  if (consumed_bytes < 0) {  // an invalid preface, or a flood that nghttp2 detected
     if (termination_code_ == 0) {
       termination_code_ =
           consumed_bytes == NGHTTP2_ERR_FLOODED ? NGHTTP2_ENHANCE_YOUR_CALM : NGHTTP2_PROTOCOL_ERROR;
--- a/src/http2/session.h
+++ b/src/http2/session.h
@@ -1,14 +1,13 @@
-// One HTTP/2 connection as a state machine that is fed with bytes (RFC 9113, RFC 7541; nghttp2 does the
-// framing). No socket, no clock: bytes and time come in with `feed`, bytes go out through `output` and
-// `consumed`.
+// State machine of one HTTP/2 connection (RFC 9113, RFC 7541), with framing by nghttp2. It has no socket and
+// no clock: `feed` takes received bytes and the time, `output` and `consumed` hand out the bytes to write.
 //
-// `Limits` bounds the memory and the work that the peer can cause: frames that cost their sender next to
-// nothing are counted, and a connection that sends too many is ended with ENHANCE_YOUR_CALM. Bytes for a
-// stream stay with that stream until the connection can take them, so that a message which is not rendered
-// yet can be withdrawn.
+// `SessionLimits` bounds the memory and the work that the peer can cause. Frames that are cheap to send are
+// counted, and a connection that sends too many is closed with ENHANCE_YOUR_CALM. The bytes of a stream stay
+// in that stream until the connection can send them ("rendered": turned into frames), so that a message which
+// is not yet rendered can be withdrawn.
 //
-// Not thread-safe. Callbacks come from inside `feed` and `output` (a stream is closed when its last frame has
-// been rendered), and may call any member of this session but these two and its destructor.
+// Not thread-safe. Callbacks are called from inside `feed` and `output` (a stream is closed when its last
+// frame has been rendered). They may call any member of this session except these two and the destructor.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -29,14 +28,13 @@
 namespace cometfold::http2 {
 
 struct SessionLimits {
-  std::uint32_t max_concurrent_streams = 10'000;          // open at once, begun by the peer
-  std::size_t max_header_bytes = std::size_t{16} * 1024;  // of one block, as RFC 9113 section 6.5.2 counts it
-  std::size_t max_unsent_bytes =
-      std::size_t{1024} * 1024;           // bytes to be sent; above it `wants_input` is false
-  double cheap_frames_per_second = 1000;  // frames a second that cost their sender little
-  double cheap_frame_burst = 2000;        // of them at once
-  double cheap_frames_per_work = 3;       // more of them for each piece of work done, see `earn`
-  std::uint32_t stream_window_bytes = std::uint32_t{256} * 1024;  // flow control: bytes of one stream
+  std::uint32_t max_concurrent_streams = 10'000;            // open streams that the peer began
+  std::size_t max_header_bytes = std::size_t{16} * 1024;    // of one header block, RFC 9113 section 6.5.2
+  std::size_t max_unsent_bytes = std::size_t{1024} * 1024;  // `wants_input` is false above it
+  double cheap_frames_per_second = 1000;                    // sustained rate, see `FloodGuard`
+  double cheap_frame_burst = 2000;                          // cheap frames in a burst
+  double cheap_frames_per_work = 3;                         // cheap frames credited for each `on_work_done`
+  std::uint32_t stream_window_bytes = std::uint32_t{256} * 1024;  // flow control window of one stream
   std::uint32_t connection_window_bytes = std::uint32_t{4} * 1024 * 1024;
 };
 
@@ -45,9 +43,10 @@
 class SessionEvents {
  public:
   virtual ~SessionEvents() = default;
-  // Server role: the headers of a request are complete. Null if it has been answered and needs no listener.
+  // Server role: the headers of a request are complete. Returns null if the request has been answered and
+  // needs no listener.
   virtual std::unique_ptr<StreamEvents> on_request(Ms now, Stream& stream, HeaderBlock headers) = 0;
-  // There are bytes to write. May come at any time and must not write from inside.
+  // There may be bytes to write. May be called at any time; the implementation must not write from inside.
   virtual void on_output() = 0;
 };
 
@@ -55,39 +54,43 @@
  public:
   // `events` must outlive this object.
   Session(Role role, const SessionLimits& limits, SessionEvents& events, Ms now);
-  // Closes open streams: each listener gets `on_closed` with CANCEL from inside.
+  // Closes open streams: calls `on_closed` of each listener with CANCEL.
   ~Session();
   Session(const Session&) = delete;
   Session& operator=(const Session&) = delete;
 
-  // False: the connection has ended; the rest of `output` is to be written and then it is to be closed.
+  // Processes received bytes. Returns false if the connection has ended: write the rest of `output`, then
+  // close it.
   bool feed(Ms now, std::string_view bytes);
-  // Bytes to write; empty if there are none now. The same until `consumed`.
+  // Returns bytes to write; empty if there are none now. Returns the same bytes until `consumed` is called.
   std::string_view output();
+  // `bytes` bytes at the front of `output` have been written.
   void consumed(std::size_t bytes);
   bool wants_input() const { return unsent_bytes() <= limits_.max_unsent_bytes; }
-  // No stream is open and none may come any more.
+  // The connection has ended: it failed, or nothing remains to be read or written, or it drains and no stream
+  // is open.
   bool done() const;
 
-  // Client role: a request; null if no stream can be opened. Without `end` the stream takes `write` and
-  // `end`.
+  // Client role: sends a request. Returns null if no stream can be opened. Unless `end` is set, the request's
+  // body follows by `Stream::write` and `Stream::end`.
   Stream* request(const Headers& headers, std::unique_ptr<StreamEvents> events, bool end);
 
-  // A piece of work was done on the peer's request: a frame that ends it is no flood.
+  // Records a unit of requested work, which credits the peer cheap frames: resets of requests that were
+  // processed, for example, are not a flood.
   void on_work_done() { flood_guard_.on_work_done(); }
   void ping();
-  // Graceful shutdown in two steps: announces the end of the connection (new streams still come), then takes
-  // no new streams.
+  // Graceful shutdown in two steps: `announce_drain` announces the end of the connection but still accepts
+  // new streams, `drain` accepts none.
   void announce_drain();
   void drain();
-  // Ends it at once, with a reason.
+  // Closes the connection at once with an error code.
   void terminate(ErrorCode code);
 
   std::size_t stream_count() const { return streams_.size(); }
   std::size_t unsent_bytes() const { return stream_bytes_ + unwritten_output(); }
-  // The peer's preface and first frame header have come.
+  // The peer's preface and first frame header have been received.
   bool preface_received() const { return preface_received_; }
-  // Why the connection was ended by this side; 0: it was not.
+  // The error code with which this side closed the connection; 0: it did not.
   ErrorCode termination_code() const { return termination_code_; }
 
  private:
@@ -111,9 +114,9 @@
   std::unordered_map<std::int32_t, std::unique_ptr<Stream>> streams_;
   HeaderBlockBuffer header_block_;
   FloodGuard flood_guard_;
-  std::string output_;            // rendered
-  std::size_t written_ = 0;       // bytes at the front of `output_`
-  std::size_t stream_bytes_ = 0;  // bytes of streams that are not rendered
+  std::string output_;            // rendered frames
+  std::size_t written_ = 0;       // bytes at the front of `output_` that were written
+  std::size_t stream_bytes_ = 0;  // bytes of all streams that are not rendered
   bool preface_received_ = false;
   bool draining_ = false;
   bool over_ = false;
--- a/src/http2/session_callbacks.cpp
+++ b/src/http2/session_callbacks.cpp
@@ -13,8 +13,8 @@
   return {reinterpret_cast<const char*>(bytes), size};
 }
 
-// Frames that cost their sender little and make the receiver work. HEADERS are not among them, as the number
-// of streams bounds them.
+// Whether a frame is cheap to send but costly to process. HEADERS frames are not counted, as the limit of
+// streams bounds them.
 bool is_cheap(const nghttp2_frame_hd& frame) {
   switch (frame.type) {
     case NGHTTP2_HEADERS:
@@ -89,8 +89,8 @@
                                 std::size_t size, void* user_data) {
   Session& session = session_of(user_data);
   Stream* stream = session.find_stream(id);
-  if (session.role_ == Role::kClient) session.on_work_done();  // what a server sends was requested
-  // A server that has responded drops the rest of the request.
+  if (session.role_ == Role::kClient) session.on_work_done();  // the client requested this data
+  // A server that has finished its response ignores the rest of the request.
   if (!stream || !stream->events_ || (session.role_ == Role::kServer && stream->finished_)) return 0;
   stream->events_->on_data(session.now_, to_text(bytes, size));
   return 0;
@@ -102,8 +102,9 @@
   return 0;
 }
 
-// RFC 9113 section 8.1: a response that is complete before its request lets the client stop sending. Only
-// once its last frame is sent: a reset that is queued keeps what is behind it from being sent.
+// RFC 9113 section 8.1: after a complete response the server may reset the stream with NO_ERROR, so that the
+// client stops sending the request. This must wait until the last frame is sent: a queued reset
+// keeps the frames behind it from being sent.
 int Session::Callbacks::on_frame_sent(nghttp2_session* session, const nghttp2_frame* frame, void* user_data) {
   Session& owner = session_of(user_data);
   if (owner.role_ != Role::kServer || !ends_stream(*frame)) return 0;
@@ -130,7 +131,8 @@
   return static_cast<ssize_t>(bytes);
 }
 
-// All of a stream's bytes are rendered: frees them, and ends the stream if nothing more follows.
+// Called when all of a stream's bytes are rendered: frees the buffer, and ends this side of the stream if it
+// is finished.
 void Session::Callbacks::finish_output(nghttp2_session* session, Stream& stream, std::uint32_t* flags) {
   stream.output_.clear();
   stream.rendered_ = 0;
--- a/src/http2/session_callbacks.h
+++ b/src/http2/session_callbacks.h
@@ -1,4 +1,4 @@
-// What nghttp2 calls of a `Session`. Internal to sessions and their streams.
+// The callbacks of a `Session` for nghttp2. Internal to sessions and their streams.
 #pragma once
 
 #include <nghttp2/nghttp2.h>
@@ -11,14 +11,14 @@
 
 namespace cometfold::http2 {
 
-// Views of `headers`, which must outlive them.
+// Returns fields that point into `headers`, which must outlive them.
 std::vector<nghttp2_nv> to_nghttp2(const Headers& headers);
 
 struct Session::Callbacks {
-  // The table of all callbacks but `read_output`. Lives for as long as the process.
+  // The table of all callbacks except `read_output`. It is never destroyed.
   static nghttp2_session_callbacks* table();
-  // A `nghttp2_data_source_read_callback` whose source is the `Stream`: renders its bytes when the connection
-  // can take them.
+  // A `nghttp2_data_source_read_callback` whose source is the `Stream`: hands its bytes to nghttp2 when flow
+  // control allows.
   static ssize_t read_output(nghttp2_session* session, std::int32_t id, std::uint8_t* into,
                              std::size_t max_bytes, std::uint32_t* flags, nghttp2_data_source* source,
                              void* user_data);
--- a/src/http2/stream.h
+++ b/src/http2/stream.h
@@ -1,4 +1,4 @@
-// One HTTP/2 stream of a `Session`, and what its listener gets.
+// One HTTP/2 stream of a `Session`, and the interface of its listener.
 #pragma once
 
 #include <cstddef>
@@ -14,33 +14,34 @@
 
 class Session;
 
-// Why a stream was closed, as RFC 9113 section 7 numbers it.
+// HTTP/2 error code (RFC 9113 section 7).
 using ErrorCode = std::uint32_t;
 
 // The listener of one stream. `on_closed` is the last call; the listener is destroyed after it.
 class StreamEvents {
  public:
   virtual ~StreamEvents() = default;
-  // A header block after the first one: a response (client role) or trailers.
+  // Response headers (client role) or trailers. The headers of a request go to `SessionEvents::on_request`.
   virtual void on_headers(Ms now, HeaderBlock headers) = 0;
   virtual void on_data(Ms now, std::string_view bytes) = 0;
   virtual void on_end(Ms now) = 0;  // the peer sends nothing more
   virtual void on_closed(Ms now, ErrorCode code) = 0;
 };
 
-// Valid until its listener's `on_closed` has returned.
+// Valid until `on_closed` of its listener has returned.
 class Stream {
  public:
   std::int32_t id() const { return id_; }
-  // Server role, once: the headers of the response; with `end` nothing follows.
+  // Server role: sends the headers of the response; with `end` no body follows. Only the first call has an
+  // effect.
   void respond(const Headers& headers, bool end = false);
   void write(std::string_view bytes);
-  // Withdraws the last `bytes` written. False if some of them have been rendered.
+  // Withdraws the last `bytes` bytes written. Returns false if any of them have been rendered.
   bool withdraw(std::size_t bytes);
-  // Ends this side, with trailers if there are any. Once; nothing may be written after it. A server then asks
-  // the client to stop sending, if it has not ended by then.
+  // Ends this side of the stream, with trailers if there are any. Later writes are ignored. If the client is
+  // still sending once the response is out, the server asks it to stop.
   void finish(const Headers& trailers = {});
-  // Client role with an open request body.
+  // Client role: ends the body of the request.
   void end() { finish(); }
   void reset(ErrorCode code);
   std::size_t unsent_bytes() const { return output_.size() - rendered_; }
@@ -54,10 +55,10 @@
   std::int32_t id_;
   bool responded_ = false;
   bool finished_ = false;    // this side sends nothing more
-  bool deferred_ = false;    // nghttp2 waits for bytes to render
+  bool deferred_ = false;    // nghttp2 waits until there are bytes to render
   bool peer_ended_ = false;  // the peer sends nothing more
   std::string output_;
-  std::size_t rendered_ = 0;  // bytes at the front of `output_`
+  std::size_t rendered_ = 0;  // bytes at the front of `output_` that were rendered
   Headers trailers_;
   std::unique_ptr<StreamEvents> events_;
 };
