--- a/src/extproc/decision_cache.cpp
+++ b/src/extproc/decision_cache.cpp
@@ -25,7 +25,7 @@
   const auto it = by_proxy_id_.find(proxy_id);
   if (it == by_proxy_id_.end()) return;
   const auto entry = it->second;
-  by_proxy_id_.erase(it);  // its key lies in the entry
+  by_proxy_id_.erase(it);  // its key points into the entry
   oldest_first_.erase(entry);
 }
 
--- a/src/extproc/decision_cache.h
+++ b/src/extproc/decision_cache.h
@@ -1,4 +1,4 @@
-// Decisions on finished requests, for proxies that call again with the same request id.
+// Remembers the decisions on finished requests, for proxies that retry with the same request id.
 #pragma once
 
 #include <cstddef>
@@ -12,19 +12,19 @@
 
 namespace cometfold::extproc {
 
-// What a proxy's call is answered with.
+// The reply to a proxy's call.
 struct Decision {
   enum Kind : std::uint8_t {
-    kServed,    // the proxy's client has a reply from a host, or may have
-    kRejected,  // nothing ran
+    kServed,    // the proxy's client has, or may have, a reply from a host
+    kRejected,  // no attempt ran
     kFailed,
-    kNotSent,  // the request ended before any attempt left: it may be decided anew
+    kNotSent,  // the request ended before any attempt was sent: a retry gets a new decision
   };
   Kind kind = kFailed;
   int status = 503;
   int grpc_status = 14;  // UNAVAILABLE
   Ms retry_after_ms = 0;
-  const char* details = "";  // for the proxy's access log; a literal
+  const char* details = "";  // for the proxy's access log; a string literal
 };
 
 inline constexpr int kGrpcDeadlineExceeded = 4;
@@ -34,20 +34,20 @@
 inline constexpr Decision kIdNotUnique{Decision::kFailed, 503, kGrpcUnavailable, 0,
                                        "cometfold_id_not_unique"};
 
-// A request that is over, under the proxy's id for it.
+// A finished request, identified by the proxy's request id.
 struct FinishedRequest {
   std::string proxy_id;
   std::uint32_t class_index = 0;
   Decision decision;
 };
 
-// Holds a bounded number of finished requests, the latest; the oldest is evicted first.
+// Holds a bounded number of finished requests. The oldest is evicted first.
 class DecisionCache {
  public:
-  // Null if there is none under this id. Lasts until the next change of the cache.
+  // Returns null if there is no request with this id. Valid until the cache changes.
   const FinishedRequest* find(std::string_view proxy_id) const;
   bool contains(std::string_view proxy_id) const { return find(proxy_id) != nullptr; }
-  // Replaces what is there under the same id. `capacity`: entries at most; 0 keeps none.
+  // Replaces an entry with the same id. `capacity` is the maximum number of entries; 0 keeps none.
   void insert(FinishedRequest request, std::size_t capacity);
   void erase(std::string_view proxy_id);
   std::size_t size() const { return oldest_first_.size(); }
--- a/src/extproc/exchange.cpp
+++ b/src/extproc/exchange.cpp
@@ -13,7 +13,8 @@
 using http2::grpc::Code;
 
 constexpr std::size_t kMaxHeaders = 512;
-constexpr int kFullDuplexStreamed = 4;  // a BodySendMode: the proxy forwards only what it gets back
+// BodySendMode FULL_DUPLEX_STREAMED: the proxy forwards only what the processor returns.
+constexpr int kFullDuplexStreamed = 4;
 
 bool equals_ignoring_case(std::string_view name, std::string_view lower) {
   return std::equal(name.begin(), name.end(), lower.begin(), lower.end(), [](char a, char b) {
@@ -32,7 +33,7 @@
     return abort(now, {Code::kInvalidArgument, "no ProcessingRequest: the bytes are no such message"});
   }
   if (!started_ && message.observability_mode) {
-    observe_only_ = true;  // the proxy forwards by itself and ignores replies: there is nothing to decide
+    observe_only_ = true;  // the proxy ignores replies in this mode, so no decision is made
     ++owner_.metrics_.observed;
   }
   started_ = true;
@@ -48,7 +49,7 @@
       return on_body_or_trailers(message);
     case ProcessingRequest::kResponseBody:
     case ProcessingRequest::kResponseTrailers:
-      // A response may begin, and even end, while the request's body still comes.
+      // A response may begin, and even end, before the request's body is complete.
       if (!response_seen_ || response_complete_) return reject_out_of_order(now, "a part of the response");
       return on_body_or_trailers(message);
     case ProcessingRequest::kNone:
@@ -61,7 +62,7 @@
   request_seen_ = true;
   echo_request_ = message.request_body_mode == kFullDuplexStreamed;
   echo_response_ = message.response_body_mode == kFullDuplexStreamed;
-  // In that mode the proxy lets nobody change the modes.
+  // With full-duplex bodies the proxy does not accept a mode override.
   override_modes_ = settings_->mode_override && !echo_request_ && !echo_response_;
   request_complete_ = message.end_of_stream;
   if (message.headers.size() > kMaxHeaders) {
@@ -174,7 +175,7 @@
   abort(now, {Code::kInvalidArgument, std::string(what) + " can't come here"});
 }
 
-// The call ends; its request is treated as if the proxy had gone.
+// Ends the call with an error. Its request is handled as if the proxy had disconnected.
 void Processor::Exchange::abort(Ms now, const http2::grpc::Status& status) {
   owner_.on_call_closed(now, *this);
   finished_ = true;
--- a/src/extproc/exchange.h
+++ b/src/extproc/exchange.h
@@ -1,5 +1,5 @@
-// One call of `Process`: its messages in the order that the protocol allows, and the replies to them. What is
-// decided is up to the processor and the engine.
+// One call of `Process`: checks the order of its messages and replies to them. The decisions are made by the
+// processor and the engine.
 #pragma once
 
 #include <memory>
@@ -15,7 +15,7 @@
 
 class Processor::Exchange : public http2::grpc::CallEvents {
  public:
-  // `settings` and `mapper` hold for this call to its end, whatever is reloaded meanwhile.
+  // `settings` and `mapper` are used until the call ends, even if new ones are loaded meanwhile.
   Exchange(Processor& owner, http2::grpc::Call& call, std::shared_ptr<const ProcessorSettings> settings,
            std::shared_ptr<const RequestMapper> mapper)
       : owner_(owner), call_(call), settings_(std::move(settings)), mapper_(std::move(mapper)) {}
@@ -25,26 +25,27 @@
   void on_half_closed(Ms now) override;
   void on_call_closed(Ms now) override;
 
-  // The request that this call carries; 0: none.
+  // The id of the pending request that this call belongs to; 0: none.
   PendingId pending_id() const { return pending_id_; }
   void bind(PendingId pending_id) { pending_id_ = pending_id; }
   void unbind() { pending_id_ = 0; }
   bool awaits_decision() const { return awaits_decision_; }
 
-  // The decision is a host. `remaining`: milliseconds that the attempt may take.
+  // Sends a decision that names a host. `remaining`: milliseconds that the attempt may take.
   void route(std::string_view endpoint, Ms remaining, bool proxy_may_retry);
-  // Withdraws that decision if it has not left yet; the call awaits another one then.
+  // Withdraws that decision if it has not been sent yet. Returns true if so; the call then awaits another
+  // one.
   bool withdraw_decision();
-  // The decision is a reply to the proxy's client, and the call ends. `is_grpc` is filled in here.
+  // Sends a reply for the proxy's client and ends the call. `is_grpc` is filled in here.
   void reply(ImmediateReply reply);
-  // Another call has taken this one's place.
+  // Another call for the same request has replaced this one.
   void superseded();
 
  private:
   struct ResponseReport {
     AttemptReport attempt;
     LoadReport load;
-    std::string_view served_by;  // the host's endpoint; empty: the proxy does not say
+    std::string_view served_by;  // the endpoint that served the request; empty: not reported
   };
 
   void on_request_headers(Ms now, const ProcessingRequest& message);
@@ -61,16 +62,16 @@
   std::shared_ptr<const RequestMapper> mapper_;
   PendingId pending_id_ = 0;
 
-  bool started_ = false;  // a message has come
+  bool started_ = false;  // a message has been received
   bool observe_only_ = false;
   bool awaits_decision_ = false;
   bool finished_ = false;
-  bool is_grpc_ = false;  // the proxy's client speaks gRPC
+  bool is_grpc_ = false;  // the proxy's client uses gRPC
   bool request_seen_ = false;
   bool request_complete_ = false;
   bool response_seen_ = false;
   bool response_complete_ = false;
-  // The proxy forwards only what it gets back of these bodies.
+  // The proxy forwards only what the processor returns of these bodies.
   bool echo_request_ = false;
   bool echo_response_ = false;
   bool override_modes_ = false;
--- a/src/extproc/host_load.cpp
+++ b/src/extproc/host_load.cpp
@@ -14,10 +14,10 @@
 
 namespace pb = envoy::service::ext_proc::v3;
 
-constexpr double kMaxReported = 1e5;  // of any figure; no host has so many requests
+constexpr double kMaxReported = 1e5;  // larger values are ignored; no host has so many requests
 constexpr std::size_t kMaxReportBytes = 8192;
 
-// Gives a figure of a report by its name; none if the report lacks it.
+// Looks up a metric of a report by its name; returns nothing if the report lacks it.
 using FigureLookup = std::function<std::optional<double>(std::string_view name)>;
 
 std::optional<double> in_range(double value) {
@@ -75,7 +75,7 @@
   return number(inner->get_object().if_contains(name.substr(dot + 1)));
 }
 
-// proto3 sends no zeros: a plain figure that is not there is 0.
+// proto3 does not encode zeros: a scalar field that is absent is 0.
 std::optional<double> in_message(const pb::OrcaLoadReport& report, std::string_view name) {
   if (name == "cpu_utilization") return report.cpu_utilization();
   if (name == "application_utilization") {
@@ -96,7 +96,7 @@
   return it->second;
 }
 
-// The value of a digit of base64 or base64url; negative: it is none.
+// Returns the value of a base64 or base64url digit; negative if the character is none.
 int base64_digit(char c) {
   if (c >= 'A' && c <= 'Z') return c - 'A';
   if (c >= 'a' && c <= 'z') return c - 'a' + 26;
--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -12,13 +12,14 @@
 
 constexpr std::uint32_t kMaxFieldBytes = 0x7fffffff;
 
-// The fields of one message.
+// Iterates over the fields of one message.
 class Fields {
  public:
   explicit Fields(std::string_view bytes)
       : in_(reinterpret_cast<const std::uint8_t*>(bytes.data()), static_cast<int>(bytes.size())) {}
 
-  // The next field, or 0 at the end, where `complete` says whether the message was good.
+  // Returns the number of the next field, or 0 at the end; `complete` then tells whether the message was
+  // valid.
   int next() {
     tag_ = in_.ReadTag();
     if (tag_ == 0) complete_ = in_.ConsumedEntireMessage() && complete_;
@@ -26,8 +27,8 @@
   }
   bool complete() const { return complete_; }
 
-  // The value of the field that `next` gave; of another wire type than the field has, it is skipped as
-  // unknown.
+  // `bytes` and `number` read the value of the field that `next` returned. A field with another wire type is
+  // skipped as unknown.
   bool bytes(std::string_view& into) {
     if (WireFormatLite::GetTagWireType(tag_) != WireFormatLite::WIRETYPE_LENGTH_DELIMITED) return skip();
     std::uint32_t size = 0;
@@ -68,7 +69,7 @@
   bool complete_ = true;
 };
 
-// Calls `each` for all fields of a message with their number; it reads or skips them.
+// Calls `each` with the number of each field of a message; `each` must read or skip the field.
 template <class Each>
 bool read_fields(std::string_view bytes, Each&& each) {
   Fields fields(bytes);
@@ -93,7 +94,7 @@
       if (part == 3) return fields.bytes(raw);
       return fields.skip();
     });
-    header.value = raw.empty() ? value : raw;  // proxies fill one of the two
+    header.value = raw.empty() ? value : raw;  // proxies set one of the two
     into.push_back(header);
     return good;
   });
@@ -128,7 +129,7 @@
       bytes, [&](int field, Fields& fields) { return field == 3 ? fields.bytes(into) : fields.skip(); });
 }
 
-// An entry of a map { key = 1; value = 2; }
+// Map entry { key = 1; value = 2; }
 bool read_entry(std::string_view bytes, std::string_view& key, std::string_view& value) {
   return read_fields(bytes, [&](int field, Fields& fields) {
     if (field == 1) return fields.bytes(key);
@@ -137,7 +138,7 @@
   });
 }
 
-// map<string, Struct>: by the filter's name, attributes by theirs.
+// Entry of map<string, Struct>: the name of a filter and its attributes by name.
 bool read_attributes(std::string_view entry, ProcessingRequest& into) {
   std::string_view filter, attributes;
   if (!read_entry(entry, filter, attributes)) return false;
--- a/src/extproc/name_list.h
+++ b/src/extproc/name_list.h
@@ -1,4 +1,4 @@
-// Names of classes and plans, by number.
+// Lists of class and plan names, in the order of their numbers.
 #pragma once
 
 #include <algorithm>
@@ -10,14 +10,14 @@
 
 namespace cometfold::extproc {
 
-// The number of a name; none if it is not in the list.
+// Returns the index of a name; nothing if it is not in the list.
 inline std::optional<std::uint32_t> index_of(const std::vector<std::string>& names, std::string_view name) {
   const auto it = std::find(names.begin(), names.end(), name);
   if (it == names.end()) return {};
   return static_cast<std::uint32_t>(it - names.begin());
 }
 
-// All names with commas between, for errors.
+// Returns the names separated by commas, for error messages.
 inline std::string joined(const std::vector<std::string>& names) {
   std::string all;
   for (const auto& name : names) {
--- a/src/extproc/outcomes.cpp
+++ b/src/extproc/outcomes.cpp
@@ -13,8 +13,8 @@
   const char* why;
 };
 
-// The first that matches. A row that says 'has not run' allows a retry of any request, so only causes that
-// prove it have one; an unknown cause may have run.
+// The first matching row counts. An outcome that means "has not run" allows a retry of any request, so it is
+// used only for causes that prove it; with an unknown cause the request may have run.
 constexpr ByDetails kDetails[] = {
     {"upstream_reset_before_response_started{connection_failure", Outcome::kConnectFailed,
      "no connection came up"},
--- a/src/extproc/outcomes.h
+++ b/src/extproc/outcomes.h
@@ -1,5 +1,5 @@
-// Maps a proxy's report on an attempt's end to one of the module's outcomes, and so to whether the request
-// may have run. One table for code and page (docs/ops/external-processor.md prints it).
+// Maps a proxy's report on the end of an attempt to one of the module's outcomes, which determines whether
+// the request may have run. The code and the documentation (docs/ops/external-processor.md) share one table.
 #pragma once
 
 #include <span>
@@ -10,20 +10,20 @@
 
 namespace cometfold::extproc {
 
-// The end as the proxy reports it. `details` is Envoy's attribute response.code_details ("Response code
-// details" in its manual); empty if the proxy does not send it.
+// The end of an attempt as the proxy reports it. `details` is Envoy's attribute response.code_details
+// ("Response code details" in its manual); empty if the proxy does not send it.
 struct AttemptReport {
   int status = 0;
   std::string_view details;
-  std::string_view grpc_status;  // in the response's headers: the call failed before its first message
+  std::string_view grpc_status;  // set in the response headers if the call failed before its first message
   bool overloaded = false;       // x-envoy-overloaded or x-envoy-local-overloaded
-  bool is_grpc = false;          // the caller speaks gRPC
+  bool is_grpc = false;          // the caller uses gRPC
 };
 
-// `not_run`: statuses by which the hosts say that they have not begun.
+// `not_run`: HTTP statuses by which hosts signal that they did not begin to process the request.
 Outcome outcome_of(const AttemptReport& report, std::span<const int> not_run);
 
-// The table as lines of Markdown.
+// Returns the mapping as a Markdown table.
 std::string outcome_table(std::span<const int> not_run);
 
 }  // namespace cometfold::extproc
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -1,4 +1,4 @@
-// The processor's calls: decisions on new and on retried requests, and what the engine replies.
+// The calls of the processor: decisions on new and retried requests, and the replies of the engine.
 #include "extproc/processor.h"
 
 #include <algorithm>
@@ -75,7 +75,7 @@
   return it == pending_.end() ? nullptr : &it->second;
 }
 
-// ---- calls that ask for a decision ----
+// ---- calls that request a decision ----
 
 void Processor::decide(Ms now, Exchange& exchange, const MappedRequest& mapped) {
   if (!mapped.error.empty()) {
@@ -112,14 +112,14 @@
   const auto result = engine_.accept(now, *this, ResponseHandle{id, 0}, std::move(incoming), engine_id);
   PendingRequest* still_pending = find_pending(id);
   if (!still_pending) return;
-  if (result != engine::AcceptResult::kAccepted) {  // nothing has been sent for it, so it may be rejected
+  if (result != engine::AcceptResult::kAccepted) {  // no attempt has been sent, so it may be rejected
     finish(*still_pending, rejection("cometfold_no_room", 0));
     return erase_if_finished(id);
   }
   still_pending->engine_id = engine_id;
 }
 
-// Of two requests with one id, a later call could repeat either. So it repeats neither.
+// If two requests have the same id, a later call with it could be a retry of either, so neither is retried.
 void Processor::register_proxy_id(PendingRequest& pending) {
   if (pending.proxy_id.empty()) return;
   const auto [it, inserted] = pending_by_proxy_id_.try_emplace(pending.proxy_id, pending.id);
@@ -131,7 +131,7 @@
   }
 }
 
-// Whether class and key allow that the request is sent once more.
+// Whether the class and the idempotency key allow that the request is sent again.
 bool Processor::class_allows_retry(const PendingRequest& pending) const {
   if (pending.proxy_id_ambiguous) return false;
   const auto idempotency = names_.settings.classes[pending.class_index].idempotency;
@@ -144,9 +144,10 @@
          !pending.proxy_id.empty();
 }
 
-// A retry whose first attempt is not known here, after a restart or because it came too late. That attempt
-// may have run anywhere: a key that holds at all hosts for as long as the client waits still covers it; one
-// that holds in a zone or cell does not, as the zone or cell is not known.
+// Whether a retry may be sent if its first attempt is unknown here, after a restart or because the retry came
+// too late. That attempt may have run on any host. An idempotency key that is valid at all hosts for as long
+// as the client waits still covers it; a key that is valid in one zone or cell does not, as the zone or cell
+// of the first attempt is unknown.
 bool Processor::unknown_retry_allowed(const MappedRequest& mapped) const {
   const auto& terms = names_.settings.classes[mapped.request.class_index];
   if (terms.idempotency == Idempotency::kIdempotent) return true;
@@ -165,11 +166,11 @@
   }
   const FinishedRequest* finished = proxy_id.empty() ? nullptr : finished_.find(proxy_id);
   if (const Decision* refusal = refusal_of_retry(mapped, finished)) return reply(exchange, *refusal);
-  finished_.erase(proxy_id);  // the same request goes on
+  finished_.erase(proxy_id);  // the request is pending again
   decide_new(now, exchange, mapped);
 }
 
-// Why a retry of a request that is not open must not be sent; null if it may be.
+// Returns the decision that refuses a retry of a request that is not pending; null if the retry may be sent.
 const Decision* Processor::refusal_of_retry(const MappedRequest& mapped,
                                             const FinishedRequest* finished) const {
   if (!finished) return unknown_retry_allowed(mapped) ? nullptr : &kFirstAttemptNotKnown;
@@ -188,7 +189,7 @@
   return &finished->decision;
 }
 
-// A call that comes again while its request is open.
+// Handles a retry that arrives while its request is still pending.
 void Processor::resume_open(Ms now, Exchange& exchange, PendingRequest& pending) {
   if (pending.proxy_id_ambiguous) return reply(exchange, kIdNotUnique);
   if (pending.exchange) supersede_call(pending);
@@ -203,7 +204,7 @@
   pending.exchange = &exchange;
   exchange.bind(pending.id);
   if (pending.awaits_fetch) {
-    // The attempt was decided on when the call before ended; it may not be sent any more.
+    // The attempt was decided on when the previous call ended; the rules may forbid it by now.
     if (!engine_.may_write(now, pending.attempt, false)) {
       return report_attempt_end(now, pending, Outcome::kNotSent, {}, false);
     }
@@ -214,7 +215,7 @@
   }
 }
 
-// The proxy has given up on the call that carries this request.
+// Ends the call that carries this request, as the proxy has replaced it by a new one.
 void Processor::supersede_call(PendingRequest& pending) {
   if (pending.attempt_in_flight() && withdraw_decision(pending)) pending.awaits_fetch = true;
   if (pending.exchange->awaits_decision()) ++metrics_.disconnected;
@@ -222,7 +223,8 @@
   pending.exchange = nullptr;
 }
 
-// Whether the decision on its attempt had not left yet; then it was not made.
+// Withdraws the decision that names the attempt's host. Returns false if it has already been sent. A
+// withdrawn decision is not counted as routed.
 bool Processor::withdraw_decision(PendingRequest& pending) {
   if (!pending.exchange || !pending.exchange->withdraw_decision()) return false;
   ++metrics_.withdrawn;
@@ -240,7 +242,7 @@
                   .body = {}});
 }
 
-// ---- what the engine replies ----
+// ---- replies of the engine ----
 
 void Processor::finish(PendingRequest& pending, const Decision& decision) {
   pending.answered = true;
--- a/src/extproc/processor.h
+++ b/src/extproc/processor.h
@@ -1,17 +1,18 @@
-// The external processor: a downstream handler of the engine whose clients are proxies, and its transport to
-// the hosts, as the proxies carry the attempts out. One call of `Process` asks for one decision: the proxy
-// forwards the request to the host that it is given, or replies to its client as it is told, and reports how
-// the attempt ended.
+// The external processor. It is both a downstream handler of the engine, whose clients are proxies, and the
+// engine's transport to the hosts, as the proxies carry out the attempts. Each call of `Process` requests one
+// decision: the proxy forwards the request to the host that the decision names, or sends the reply that it
+// contains to its client, and reports how the attempt ended.
 //
 // Guarantees, whatever the proxies do:
-//   - each call gets one decision at once: a host, a rejection or a failure;
+//   - each call immediately gets one decision: a host, a rejection or a failure;
 //   - a request that may have been sent gets another host only if its class allows a retry and the module
 //     decides on one;
-//   - a decision that has not left this process when its host drains is withdrawn and made anew;
-//   - the module hears of the end of each attempt once: as the proxy reports it, or as cancelled if the proxy
-//     goes away or reports nothing, so that no host is blamed;
-//   - nothing is kept of a request beyond its deadline but a bounded number of decisions, so that a call that
-//     comes again gets the first decision.
+//   - a decision that has not left this process when its host drains is withdrawn and replaced;
+//   - the end of each attempt is reported to the module once: with the proxy's outcome, or as cancelled if
+//   the
+//     proxy disconnects or reports nothing, so that no host is blamed;
+//   - after a request's deadline only its decision is kept, in a cache of bounded size, so that a retry gets
+//     the first decision.
 // No I/O, no clock. Not thread-safe.
 #pragma once
 
@@ -34,31 +35,30 @@
 
 namespace cometfold::extproc {
 
-// The path of the service's one method.
+// The path of the service's only method.
 constexpr std::string_view kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
 class Processor : public engine::DownstreamHandler,
                   public engine::UpstreamTransport,
                   public http2::grpc::Service {
  public:
-  // The engine must have this as one of its transports (`Engine::add_upstream`) and outlast it. `seed` keys
-  // the hash of customers' names. Throws ProcessorSettingsError.
+  // This object must be registered as a transport of the engine (`Engine::add_upstream`), which must outlive
+  // it. `seed` keys the hash of customer names. Throws ProcessorSettingsError.
   Processor(engine::Engine& engine, NamedSettings names, ProcessorSettings settings, std::uint64_t seed);
   ~Processor() override;
 
-  // A host that may be given out from now on, until the engine retires it. Call it before
-  // `Engine::on_host_list`.
+  // Adds a host that decisions may name until the engine retires it. Call this before `Engine::on_host_list`.
   void add_host(HostId host, std::string endpoint);
-  // Settings and names for calls from now on; a class or plan must keep its number. Throws
-  // ProcessorSettingsError and keeps the old ones.
+  // Replaces settings and names for new calls. Classes and plans must keep their numbers. Throws
+  // ProcessorSettingsError and keeps the old settings if the new ones are invalid.
   void reload(ProcessorSettings settings, NamedSettings names);
 
-  // When `run_timers` has something to do; nothing if never.
+  // When `run_timers` must be called next; nothing if no timer is set.
   std::optional<Ms> next_timer() const;
   void run_timers(Ms now);
 
   const ProcessorMetrics& metrics() const { return metrics_; }
-  std::size_t open() const { return pending_.size(); }  // requests with a decision or an attempt outstanding
+  std::size_t open() const { return pending_.size(); }  // requests awaiting a decision or an attempt's end
   std::size_t remembered_count() const { return finished_.size(); }
 
   // http2::grpc::Service
@@ -71,7 +71,7 @@
   class RequestPayload;
   using PendingId = std::uint64_t;
 
-  // An attempt that waits for the proxy's next call to fetch it.
+  // An attempt that is sent to the proxy with its next call for the same request.
   struct Fetchable {
     Ms expires_at = 0;
     PendingId pending_id = 0;
@@ -91,7 +91,7 @@
   bool awaits_first_byte(engine::AttemptId attempt) const override;
   void retire_host(Ms now, HostId host) override;
 
-  // Calls that ask for a decision.
+  // Calls that request a decision.
   void decide(Ms now, Exchange& exchange, const MappedRequest& mapped);
   void decide_new(Ms now, Exchange& exchange, const MappedRequest& mapped);
   void decide_retry(Ms now, Exchange& exchange, const MappedRequest& mapped);
@@ -100,7 +100,7 @@
   void register_proxy_id(PendingRequest& pending);
   const Decision* refusal_of_retry(const MappedRequest& mapped, const FinishedRequest* finished) const;
 
-  // Replies and ends.
+  // Replies, ends of attempts and ends of calls.
   void send_route(Ms now, PendingRequest& pending);
   void reply(Exchange& exchange, const Decision& decision);
   void finish(PendingRequest& pending, const Decision& decision);
@@ -123,7 +123,7 @@
   NamedSettings names_;
   std::uint64_t seed_;
   ProcessorMetrics metrics_;
-  ProcessingRequest message_;  // the one that is being parsed
+  ProcessingRequest message_;  // the message being processed; reused to avoid allocations
 
   std::unordered_map<HostId, std::shared_ptr<const std::string>> hosts_;  // endpoints
   std::unordered_map<PendingId, PendingRequest> pending_;
--- a/src/extproc/processor_attempts.cpp
+++ b/src/extproc/processor_attempts.cpp
@@ -1,5 +1,5 @@
-// The processor as a transport: attempts that proxies carry out, their reports, and attempts that wait for
-// the proxy's next call.
+// The processor as a transport of the engine: attempts that proxies carry out, their reports, and attempts
+// that wait for the proxy's next call.
 #include <algorithm>
 #include <utility>
 #include <vector>
@@ -26,11 +26,11 @@
   PendingRequest* pending = find_pending(static_cast<const RequestPayload&>(payload).pending_id());
   const auto known_host = hosts_.find(host);
   if (!pending || known_host == hosts_.end()) return StartResult::kHostUnavailable;
-  // One call carries one attempt: there are no hedged requests on this wire.
+  // A call carries one attempt, so the protocol does not allow hedged requests.
   if (pending->attempt != 0) return StartResult::kNoLocalCapacity;
   const bool call_waits = pending->exchange && pending->exchange->awaits_decision();
   if (!call_waits && !proxy_may_retry(*pending)) return StartResult::kNoLocalCapacity;
-  if (!call_waits && pending->exchange) {  // it may still report, but on an attempt that is over
+  if (!call_waits && pending->exchange) {  // it may still report, but only on an attempt that has ended
     pending->exchange->unbind();
     pending->exchange = nullptr;
   }
@@ -71,7 +71,7 @@
   if (in_flight) ++metrics_.report_timeouts;
   clear_attempt(pending, in_flight);
   erase_if_finished(id);
-  return false;  // the proxy has the attempt's timeout and reports a silent host by itself
+  return false;  // the proxy applies the attempt's timeout and reports an unresponsive host itself
 }
 
 bool Processor::withdraw(Ms, AttemptId attempt) {
@@ -90,8 +90,8 @@
   return it != attempts_.end() && pending_.at(it->second).awaits_fetch;
 }
 
-// Attempts that wait for a call, or whose decision has not left yet, are ended. Ends may lead to new
-// attempts: so first all are collected, then ended.
+// Ends the host's attempts that wait for a call or whose decision has not been sent. An end may start new
+// attempts, so all affected ones are collected first.
 void Processor::retire_host(Ms now, HostId host) {
   const auto known_host = hosts_.find(host);
   if (known_host == hosts_.end()) return;
@@ -111,7 +111,8 @@
   }
 }
 
-// Tells the engine. `client_has_reply`: the proxy's client has its reply, whatever it is.
+// Reports the end of an attempt to the engine. `client_has_reply`: the proxy's client already has a reply, so
+// the request is over.
 void Processor::report_attempt_end(Ms now, PendingRequest& pending, Outcome outcome, const LoadReport& load,
                                    bool client_has_reply) {
   const PendingId id = pending.id;
@@ -128,7 +129,7 @@
   erase_if_finished(id);
 }
 
-// The proxy has reported how the attempt ended; its call goes on without the request.
+// The proxy has reported how the attempt ended. The call stays open but no longer belongs to the request.
 void Processor::Exchange::on_attempt_report(Ms now, const ResponseReport& report) {
   PendingRequest* pending = owner_.find_pending(pending_id_);
   if (!pending) return;
@@ -138,7 +139,7 @@
   ++owner_.metrics_.reported;
   const Outcome outcome = outcome_of(report.attempt, settings_->not_executed_statuses);
   if (!report.served_by.empty() && report.served_by != *pending->endpoint) {
-    // The report is on another host than the one whose record it would change.
+    // The report is about another host than the attempt's, so it must not count for the attempt's host.
     ++owner_.metrics_.sent_to_other_host;
     return owner_.report_attempt_end(now, *pending, Outcome::kCancelled, {}, true);
   }
@@ -146,7 +147,7 @@
   owner_.report_attempt_end(now, *pending, outcome, report.load, client_has_reply);
 }
 
-// The call is over without a report on the attempt.
+// The call ended without a report on the attempt.
 void Processor::on_call_closed(Ms now, Exchange& exchange) {
   PendingRequest* pending = find_pending(exchange.pending_id());
   if (!pending) return;
@@ -180,7 +181,7 @@
   return fetchables_.front().expires_at;
 }
 
-// Ends attempts that no call has fetched: the proxy does not retry, or its client has gone.
+// Ends attempts that no call has fetched in time: the proxy does not retry, or its client has disconnected.
 void Processor::run_timers(Ms now) {
   while (!fetchables_.empty() && fetchables_.front().expires_at <= now) {
     const Fetchable expired = fetchables_.front();
--- a/src/extproc/processor_metrics.cpp
+++ b/src/extproc/processor_metrics.cpp
@@ -11,7 +11,7 @@
   std::uint64_t ProcessorMetrics::*counter;
 };
 
-// The log's words, in its order.
+// The names of the counters in the log, in log order.
 constexpr NamedCounter kCounters[] = {
     {"asked", &ProcessorMetrics::new_requests},
     {"again", &ProcessorMetrics::retried_requests},
--- a/src/extproc/request_mapper.cpp
+++ b/src/extproc/request_mapper.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr Ms kMaxTimeoutMs = 600'000;
-constexpr std::size_t kMaxNameBytes = 256;       // of ids, keys and customers
-constexpr std::size_t kMaxHeaderNameBytes = 63;  // name lengths are bits of a word
-constexpr std::size_t kMaxQuotedBytes = 64;      // of a client's text in an error
+constexpr std::size_t kMaxNameBytes = 256;       // maximum length of ids, keys and customer names
+constexpr std::size_t kMaxHeaderNameBytes = 63;  // `name_lengths_` has a bit for each length
+constexpr std::size_t kMaxQuotedBytes = 64;      // of a client's value in an error message
 constexpr std::uint32_t kMaxAttempts = 1000;
-constexpr double kUnitsTolerance = 1e-6;  // relative, for rounding on the way
+constexpr double kUnitsTolerance = 1e-6;  // relative, for rounding errors in transmitted values
 constexpr std::size_t kNumberedCustomerDigits = 16;
-// Customers that RESP2 clients name lie below, hashed names at or above.
+// Customer ids of RESP2 clients are below this value, hashed names at or above it.
 constexpr CustomerId kFirstHashedCustomer = CustomerId{1} << 33;
 
 constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325;
@@ -33,7 +33,7 @@
   return error == std::errc{} && end == text.data() + text.size() && !text.empty();
 }
 
-// As much of a client's text as fits into an error, without control characters.
+// Quotes a client's value for an error message: shortened, with unprintable characters replaced.
 std::string quoted(std::string_view text) {
   std::string safe = "'";
   for (const char c : text.substr(0, kMaxQuotedBytes)) {
@@ -55,7 +55,7 @@
 
 std::string too_long(const std::string& header) { return header + " is longer than 256 bytes"; }
 
-// What a header says, else what the rule says, else the default.
+// Returns the value of the header, else that of the rule, else the default.
 std::string_view first_given(std::string_view header, const std::string* rule, const std::string& otherwise) {
   if (!header.empty()) return header;
   if (rule && !rule->empty()) return *rule;
--- a/src/extproc/responses.cpp
+++ b/src/extproc/responses.cpp
@@ -15,7 +15,7 @@
 constexpr const char* kEndpointHeader = "x-gateway-destination-endpoint";
 constexpr const char* kOriginalDst = "x-envoy-original-dst-host";
 
-// Space for one response on the stack.
+// Protobuf arena with space for one response on the stack.
 class Arena {
  public:
   google::protobuf::Arena* get() { return &arena_; }
@@ -31,7 +31,7 @@
   google::protobuf::Arena arena_{options(space_, sizeof space_)};
 };
 
-// Envoy takes header values from `raw_value` alone, and replaces what a client may have sent under that name.
+// Sets a header and overwrites one that the client may have sent. Envoy reads only `raw_value`.
 void set(pb::HeaderMutation& mutation, const char* name, std::string_view value) {
   auto* option = mutation.add_set_headers();
   option->mutable_header()->set_key(name);
@@ -39,7 +39,7 @@
   option->set_append_action(pb::HeaderValueOption::OVERWRITE_IF_EXISTS_OR_ADD);
 }
 
-// Whole milliseconds, at least 1.
+// Formats a duration as a whole number, at least 1.
 std::string rounded(Ms ms, double (*round)(double)) {
   return std::to_string(static_cast<std::int64_t>(std::max(round(ms), 1.0)));
 }
@@ -50,7 +50,7 @@
   Arena arena;
   auto& response = *google::protobuf::Arena::CreateMessage<pb::ProcessingResponse>(arena.get());
   auto& mutation = *response.mutable_request_headers()->mutable_response()->mutable_header_mutation();
-  // A destination that the client itself has set must not remain where none is set here.
+  // A destination header sent by the client must be removed if it is not overwritten here.
   if (destination.header) {
     set(mutation, kEndpointHeader, route.endpoint);
   } else {
@@ -91,7 +91,7 @@
   if (reply.retry_after_ms >= 1) {
     set(headers, "retry-after", rounded(reply.retry_after_ms / 1000, std::ceil));
     set(headers, "retry-after-ms", rounded(reply.retry_after_ms, std::ceil));
-    // gRPC's retry design (proposal A6): how long the client waits before it tries again.
+    // gRPC proposal A6 (client retries): how long the client waits before the next attempt.
     if (reply.is_grpc) set(headers, "grpc-retry-pushback-ms", rounded(reply.retry_after_ms, std::ceil));
   }
   if (reply.is_grpc) answer.mutable_grpc_status()->set_status(static_cast<unsigned>(reply.grpc_status));
--- a/src/extproc/responses.h
+++ b/src/extproc/responses.h
@@ -1,4 +1,4 @@
-// The messages that go to the proxy, as bytes of envoy.service.ext_proc.v3.ProcessingResponse.
+// Builds the messages for the proxy: serialized envoy.service.ext_proc.v3.ProcessingResponse.
 #pragma once
 
 #include <string>
@@ -8,30 +8,30 @@
 
 namespace cometfold::extproc {
 
-// Where a request goes.
+// The host that a request is routed to.
 struct RouteDecision {
   std::string_view endpoint;     // address and port
-  Ms remaining_ms = 0;           // for the proxy's timeout
-  bool proxy_may_retry = false;  // false: the proxy must not retry by itself
-  bool override_modes = false;
+  Ms remaining_ms = 0;           // becomes the proxy's timeout
+  bool proxy_may_retry = false;  // false: the proxy's own retries are disabled
+  bool override_modes = false;   // asks for response headers, but no bodies or trailers
 };
 std::string route_response(const RouteDecision& route, const DestinationFormat& destination);
 
 // A reply to the proxy's client.
 struct ImmediateReply {
   int status = 503;
-  int grpc_status = 14;   // for clients that speak gRPC
-  Ms retry_after_ms = 0;  // 0: not known
+  int grpc_status = 14;   // for gRPC clients
+  Ms retry_after_ms = 0;  // 0: unknown
   bool is_grpc = false;
   std::string_view details;  // for the proxy's access log
   std::string_view body;
 };
 std::string immediate_response(const ImmediateReply& reply);
 
-// Lets the proxy continue with any other part that it sends.
+// Lets the proxy continue with any message part other than the request headers.
 enum class BodyPart { kResponseHeaders, kRequestBody, kResponseBody, kRequestTrailers, kResponseTrailers };
 const std::string& continue_response(BodyPart part);
-// A chunk of a body in the mode in which the proxy forwards only what it gets back.
+// Returns a chunk of a body unchanged, for the mode in which the proxy forwards only what it gets back.
 std::string echo_response(BodyPart part, std::string_view body, bool end);
 
 }  // namespace cometfold::extproc
