--- a/src/http2/flood_guard.cpp
+++ b/src/http2/flood_guard.cpp
@@ -9,7 +9,7 @@
 
 }  // namespace
 
-void FloodGuard::on_work_done() { tokens_ = std::min(tokens_ + earned_, burst_); }
+void FloodGuard::on_work_done() { tokens_ = std::min(tokens_ + frames_per_work_, burst_); }
 
 bool FloodGuard::admit(Ms now) {
   const double refill = rate_ * std::max(now - refilled_at_, 0.0) / kMsPerSecond;
--- a/src/http2/flood_guard.h
+++ b/src/http2/flood_guard.h
@@ -8,12 +8,12 @@
 
 class FloodGuard {
  public:
-  // `rate`: frames per second. `burst`: capacity of the bucket in frames. `earned`: frames credited for each
-  // unit of work done.
-  FloodGuard(double rate, double burst, double earned, Ms now)
-      : rate_(rate), burst_(burst), earned_(earned), tokens_(burst), refilled_at_(now) {}
+  // `rate`: frames per second. `burst`: capacity of the bucket in frames. `frames_per_work`: frames credited
+  // for each unit of work done.
+  FloodGuard(double rate, double burst, double frames_per_work, Ms now)
+      : rate_(rate), burst_(burst), frames_per_work_(frames_per_work), tokens_(burst), refilled_at_(now) {}
 
-  // Credits `earned` frames.
+  // Credits `frames_per_work` frames.
   void on_work_done();
   // Counts one received frame. Returns false if the sender exceeds its rate.
   bool admit(Ms now);
@@ -21,7 +21,7 @@
  private:
   double rate_;
   double burst_;
-  double earned_;
+  double frames_per_work_;
   double tokens_;
   Ms refilled_at_;
 };
--- a/src/http2/grpc.cpp
+++ b/src/http2/grpc.cpp
@@ -12,7 +12,7 @@
 
 std::size_t length_of(std::string_view prefix) {
   std::size_t length = 0;
-  for (std::size_t i = 1; i < kPrefix; ++i) length = length << 8 | static_cast<unsigned char>(prefix[i]);
+  for (std::size_t i = 1; i < kPrefixBytes; ++i) length = length << 8 | static_cast<unsigned char>(prefix[i]);
   return length;
 }
 
@@ -46,7 +46,7 @@
 bool MessageReader::next(std::string_view& bytes, std::string_view& message) {
   drop_delivered();
   if (status_.code != Code::kOk) return false;
-  if (buffer_.empty() && bytes.size() >= kPrefix) return next_unbuffered(bytes, message);
+  if (buffer_.empty() && bytes.size() >= kPrefixBytes) return next_unbuffered(bytes, message);
   return next_buffered(bytes, message);
 }
 
@@ -76,22 +76,22 @@
 bool MessageReader::next_unbuffered(std::string_view& bytes, std::string_view& message) {
   if (!check_prefix(bytes)) return false;
   const auto length = length_of(bytes);
-  if (bytes.size() - kPrefix < length) {
+  if (bytes.size() - kPrefixBytes < length) {
     buffer_ = bytes;
     bytes = {};
     return false;
   }
-  message = bytes.substr(kPrefix, length);
-  bytes.remove_prefix(kPrefix + length);
+  message = bytes.substr(kPrefixBytes, length);
+  bytes.remove_prefix(kPrefixBytes + length);
   return true;
 }
 
 bool MessageReader::next_buffered(std::string_view& bytes, std::string_view& message) {
-  if (buffer_.size() < kPrefix) {
-    if (!fill_buffer(bytes, kPrefix) || !check_prefix(buffer_)) return false;
+  if (buffer_.size() < kPrefixBytes) {
+    if (!fill_buffer(bytes, kPrefixBytes) || !check_prefix(buffer_)) return false;
   }
-  if (!fill_buffer(bytes, kPrefix + length_of(buffer_))) return false;
-  message = std::string_view(buffer_).substr(kPrefix);
+  if (!fill_buffer(bytes, kPrefixBytes + length_of(buffer_))) return false;
+  message = std::string_view(buffer_).substr(kPrefixBytes);
   delivered_ = true;
   return true;
 }
--- a/src/http2/grpc.h
+++ b/src/http2/grpc.h
@@ -37,7 +37,7 @@
 Headers trailers(const Status& status);
 
 // Size of the prefix of each message: a compression flag (1 byte) and the length (4 bytes, big-endian).
-constexpr std::size_t kPrefix = 5;
+constexpr std::size_t kPrefixBytes = 5;
 void append_prefix(std::string& out, std::size_t message_bytes);
 
 // Extracts messages from a stream's bytes, which may be split at any position.
--- a/src/http2/grpc_client.cpp
+++ b/src/http2/grpc_client.cpp
@@ -55,7 +55,7 @@
 
   void send(std::string_view message) override {
     std::string framed;
-    framed.reserve(kPrefix + message.size());
+    framed.reserve(kPrefixBytes + message.size());
     append_prefix(framed, message.size());
     framed += message;
     stream_->write(framed);
