--- a/src/extproc/host_load.cpp
+++ b/src/extproc/host_load.cpp
@@ -14,29 +14,29 @@
 
 namespace pb = envoy::service::ext_proc::v3;
 
-constexpr double kMaxReported = 1e5;  // larger values are ignored; no host has so many requests
+constexpr double kMaxMetricValue = 1e5;  // larger values are ignored; no host has so many requests
 constexpr std::size_t kMaxReportBytes = 8192;
 
 // Looks up a metric of a report by its name; returns nothing if the report lacks it.
-using FigureLookup = std::function<std::optional<double>(std::string_view name)>;
+using MetricLookup = std::function<std::optional<double>(std::string_view name)>;
 
-std::optional<double> in_range(double value) {
-  if (!(value >= 0 && value <= kMaxReported)) return {};
+std::optional<double> value_in_range(double value) {
+  if (!(value >= 0 && value <= kMaxMetricValue)) return {};
   return value;
 }
 
-std::optional<double> first_of(const std::vector<std::string>& names, const FigureLookup& figure) {
+std::optional<double> first_metric(const std::vector<std::string>& names, const MetricLookup& metric) {
   for (const auto& name : names) {
-    if (const auto value = figure(name)) return in_range(*value);
+    if (const auto value = metric(name)) return value_in_range(*value);
   }
   return {};
 }
 
-LoadReport report_of(const LoadReportMapping& mapping, const FigureLookup& figure) {
+LoadReport build_report(const LoadReportMapping& mapping, const MetricLookup& metric) {
   LoadReport load;
-  load.queue_length = first_of(mapping.queue_length, figure);
-  load.in_flight = first_of(mapping.in_flight, figure);
-  load.utilization = first_of(mapping.utilization, figure);
+  load.queue_length = first_metric(mapping.queue_length, metric);
+  load.in_flight = first_metric(mapping.in_flight, metric);
+  load.utilization = first_metric(mapping.utilization, metric);
   return load;
 }
 
@@ -47,7 +47,7 @@
 }
 
 // The value of `name` in a list of `name=value` pairs.
-std::optional<double> in_text(std::string_view list, std::string_view name) {
+std::optional<double> find_in_list(std::string_view list, std::string_view name) {
   while (!list.empty()) {
     const auto comma = std::min(list.find(','), list.size());
     const auto pair = trimmed(list.substr(0, comma));
@@ -62,7 +62,7 @@
   return {};
 }
 
-std::optional<double> in_json(const boost::json::object& report, std::string_view name) {
+std::optional<double> find_in_json(const boost::json::object& report, std::string_view name) {
   const auto number = [](const boost::json::value* value) -> std::optional<double> {
     boost::system::error_code error;
     if (!value || !value->is_number()) return {};
@@ -76,7 +76,7 @@
 }
 
 // proto3 does not encode zeros: a scalar field that is absent is 0.
-std::optional<double> in_message(const pb::OrcaLoadReport& report, std::string_view name) {
+std::optional<double> find_in_message(const pb::OrcaLoadReport& report, std::string_view name) {
   if (name == "cpu_utilization") return report.cpu_utilization();
   if (name == "application_utilization") {
     if (report.application_utilization() == 0) return {};  // not set: cpu_utilization is used
@@ -88,11 +88,11 @@
   const auto dot = name.find('.');
   if (dot == name.npos) return {};
   const auto map = name.substr(0, dot);
-  const auto& figures = map == "named_metrics" ? report.named_metrics()
+  const auto& metrics = map == "named_metrics" ? report.named_metrics()
                         : map == "utilization" ? report.utilization()
                                                : report.request_cost();
-  const auto it = figures.find(std::string(name.substr(dot + 1)));
-  if (it == figures.end()) return {};
+  const auto it = metrics.find(std::string(name.substr(dot + 1)));
+  if (it == metrics.end()) return {};
   return it->second;
 }
 
@@ -106,7 +106,7 @@
   return -1;
 }
 
-std::optional<std::string> from_base64(std::string_view text) {
+std::optional<std::string> decode_base64(std::string_view text) {
   std::string out;
   std::uint32_t bits = 0;
   int bit_count = 0;
@@ -132,34 +132,34 @@
   const auto form = value.substr(0, space);
   const auto rest = trimmed(value.substr(space));
   if (form == "TEXT") {
-    return report_of(mapping, [&](std::string_view name) { return in_text(rest, name); });
+    return build_report(mapping, [&](std::string_view name) { return find_in_list(rest, name); });
   }
   if (form == "BIN") return parse_orca_binary_report(mapping, rest);
   if (form != "JSON") return {};
   boost::system::error_code error;
   const auto json = boost::json::parse(rest, error);
   if (error || !json.is_object()) return {};
-  return report_of(mapping, [&](std::string_view name) { return in_json(json.get_object(), name); });
+  return build_report(mapping, [&](std::string_view name) { return find_in_json(json.get_object(), name); });
 }
 
 LoadReport parse_orca_binary_report(const LoadReportMapping& mapping, std::string_view base64) {
   if (base64.size() > kMaxReportBytes) return {};
-  const auto bytes = from_base64(trimmed(base64));
+  const auto bytes = decode_base64(trimmed(base64));
   pb::OrcaLoadReport report;
   if (!bytes || !report.ParseFromString(*bytes)) return {};
-  return report_of(mapping, [&](std::string_view name) { return in_message(report, name); });
+  return build_report(mapping, [&](std::string_view name) { return find_in_message(report, name); });
 }
 
 LoadReport parse_plain_report(std::string_view value) {
   if (value.size() > kMaxReportBytes) return {};
   LoadReport load;
-  const auto figure = [&](std::string_view name) {
-    const auto number = in_text(value, name);
-    return number ? in_range(*number) : std::nullopt;
+  const auto metric = [&](std::string_view name) {
+    const auto number = find_in_list(value, name);
+    return number ? value_in_range(*number) : std::nullopt;
   };
-  load.queue_length = figure("queue");
-  load.in_flight = figure("in_flight");
-  load.utilization = figure("busy");
+  load.queue_length = metric("queue");
+  load.in_flight = metric("in_flight");
+  load.utilization = metric("busy");
   return load;
 }
 
--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -8,24 +8,24 @@
 namespace {
 
 using google::protobuf::internal::WireFormatLite;
-using Stream = google::protobuf::io::CodedInputStream;
+using InputStream = google::protobuf::io::CodedInputStream;
 
 constexpr std::uint32_t kMaxFieldBytes = 0x7fffffff;
 
 // Iterates over the fields of one message.
-class Fields {
+class FieldReader {
  public:
-  explicit Fields(std::string_view bytes)
+  explicit FieldReader(std::string_view bytes)
       : in_(reinterpret_cast<const std::uint8_t*>(bytes.data()), static_cast<int>(bytes.size())) {}
 
-  // Returns the number of the next field, or 0 at the end; `complete` then tells whether the message was
+  // Returns the number of the next field, or 0 at the end; `valid` then tells whether the message was
   // valid.
   int next() {
     tag_ = in_.ReadTag();
-    if (tag_ == 0) complete_ = in_.ConsumedEntireMessage() && complete_;
+    if (tag_ == 0) valid_ = in_.ConsumedEntireMessage() && valid_;
     return WireFormatLite::GetTagFieldNumber(tag_);
   }
-  bool complete() const { return complete_; }
+  bool valid() const { return valid_; }
 
   // `bytes` and `number` read the value of the field that `next` returned. A field with another wire type is
   // skipped as unknown.
@@ -42,8 +42,8 @@
     if (!in_.GetDirectBufferPointer(&start, &available)) return fail();
     if (static_cast<std::uint32_t>(available) < size) return fail();
     into = {static_cast<const char*>(start), size};
-    complete_ = in_.Skip(static_cast<int>(size));
-    return complete_;
+    valid_ = in_.Skip(static_cast<int>(size));
+    return valid_;
   }
   template <class Number>
   bool number(Number& into) {
@@ -54,41 +54,41 @@
     return true;
   }
   bool skip() {
-    complete_ = WireFormatLite::SkipField(&in_, tag_);
-    return complete_;
+    valid_ = WireFormatLite::SkipField(&in_, tag_);
+    return valid_;
   }
 
  private:
   bool fail() {
-    complete_ = false;
+    valid_ = false;
     return false;
   }
 
-  Stream in_;
+  InputStream in_;
   std::uint32_t tag_ = 0;
-  bool complete_ = true;
+  bool valid_ = true;
 };
 
 // Calls `each` with the number of each field of a message; `each` must read or skip the field.
 template <class Each>
 bool read_fields(std::string_view bytes, Each&& each) {
-  Fields fields(bytes);
+  FieldReader fields(bytes);
   for (int field = fields.next(); field != 0; field = fields.next()) {
     if (!each(field, fields)) return false;
   }
-  return fields.complete();
+  return fields.valid();
 }
 
 // HeaderMap { repeated HeaderValue headers = 1; }, HeaderValue { key = 1; value = 2; raw_value = 3; }
 bool read_header_map(std::string_view bytes, std::vector<HeaderView>& into) {
-  return read_fields(bytes, [&](int field, Fields& map) {
+  return read_fields(bytes, [&](int field, FieldReader& map) {
     if (field != 1) return map.skip();
     std::string_view entry;
     if (!map.bytes(entry)) return false;
     std::string_view value;
     std::string_view raw;
     HeaderView header;
-    const bool good = read_fields(entry, [&](int part, Fields& fields) {
+    const bool good = read_fields(entry, [&](int part, FieldReader& fields) {
       if (part == 1) return fields.bytes(header.name);
       if (part == 2) return fields.bytes(value);
       if (part == 3) return fields.bytes(raw);
@@ -104,7 +104,7 @@
 bool read_headers(std::string_view bytes, ProcessingRequest& into) {
   into.headers.clear();
   into.end_of_stream = false;
-  return read_fields(bytes, [&](int field, Fields& fields) {
+  return read_fields(bytes, [&](int field, FieldReader& fields) {
     std::string_view map;
     if (field == 1) return fields.bytes(map) && read_header_map(map, into.headers);
     if (field == 3) return fields.number(into.end_of_stream);
@@ -116,7 +116,7 @@
 bool read_body(std::string_view bytes, ProcessingRequest& into) {
   into.body = {};
   into.end_of_stream = false;
-  return read_fields(bytes, [&](int field, Fields& fields) {
+  return read_fields(bytes, [&](int field, FieldReader& fields) {
     if (field == 1) return fields.bytes(into.body);
     if (field == 2) return fields.number(into.end_of_stream);
     return fields.skip();
@@ -126,12 +126,12 @@
 // Value { string_value = 3; }
 bool read_value(std::string_view bytes, std::string_view& into) {
   return read_fields(
-      bytes, [&](int field, Fields& fields) { return field == 3 ? fields.bytes(into) : fields.skip(); });
+      bytes, [&](int field, FieldReader& fields) { return field == 3 ? fields.bytes(into) : fields.skip(); });
 }
 
 // Map entry { key = 1; value = 2; }
 bool read_entry(std::string_view bytes, std::string_view& key, std::string_view& value) {
-  return read_fields(bytes, [&](int field, Fields& fields) {
+  return read_fields(bytes, [&](int field, FieldReader& fields) {
     if (field == 1) return fields.bytes(key);
     if (field == 2) return fields.bytes(value);
     return fields.skip();
@@ -143,16 +143,16 @@
   std::string_view filter, attributes;
   if (!read_entry(entry, filter, attributes)) return false;
   return read_fields(attributes,
-                     [&](int field, Fields& fields) {  // Struct { map<string, Value> fields = 1; }
+                     [&](int field, FieldReader& fields) {  // Struct { map<string, Value> fields = 1; }
                        if (field != 1) return fields.skip();
-                       std::string_view one, name, value;
-                       if (!fields.bytes(one) || !read_entry(one, name, value)) return false;
+                       std::string_view attribute, name, value;
+                       if (!fields.bytes(attribute) || !read_entry(attribute, name, value)) return false;
                        return name != "response.code_details" || read_value(value, into.code_details);
                      });
 }
 
 bool read_protocol_config(std::string_view bytes, ProcessingRequest& into) {
-  return read_fields(bytes, [&](int field, Fields& fields) {
+  return read_fields(bytes, [&](int field, FieldReader& fields) {
     if (field == 1) return fields.number(into.request_body_mode);
     if (field == 2) return fields.number(into.response_body_mode);
     return fields.skip();
@@ -167,7 +167,7 @@
   into.observability_mode = false;
   into.request_body_mode = into.response_body_mode = 0;
   into.code_details = {};
-  return read_fields(bytes, [&](int field, Fields& fields) {
+  return read_fields(bytes, [&](int field, FieldReader& fields) {
     std::string_view inner;
     switch (field) {
       case ProcessingRequest::kRequestHeaders:
--- a/src/extproc/outcomes.cpp
+++ b/src/extproc/outcomes.cpp
@@ -7,15 +7,15 @@
 
 namespace {
 
-struct ByDetails {
+struct DetailsRule {
   std::string_view prefix;
   Outcome outcome;
-  const char* why;
+  const char* reason;
 };
 
 // The first matching row counts. An outcome that means "has not run" allows a retry of any request, so it is
 // used only for causes that prove it; with an unknown cause the request may have run.
-constexpr ByDetails kDetails[] = {
+constexpr DetailsRule kDetailsRules[] = {
     {"upstream_reset_before_response_started{connection_failure", Outcome::kConnectFailed,
      "no connection came up"},
     {"upstream_reset_before_response_started{remote_connection_failure", Outcome::kConnectFailed,
@@ -43,7 +43,7 @@
     {"overload_manager", Outcome::kNotSent, "the proxy answered by itself"},
 };
 
-Outcome by_grpc(std::string_view status) {
+Outcome outcome_of_grpc_status(std::string_view status) {
   int code = 2;
   std::from_chars(status.data(), status.data() + status.size(), code);
   switch (code) {
@@ -59,14 +59,14 @@
   }
 }
 
-Outcome by_status(int status, std::span<const int> not_run) {
+Outcome outcome_of_http_status(int status, std::span<const int> not_run) {
   if (std::find(not_run.begin(), not_run.end(), status) != not_run.end()) return Outcome::kOverloaded;
   if (status == 408 || status == 504) return Outcome::kTimedOut;
   if (status >= 500 || status < 100) return Outcome::kError;
   return Outcome::kOk;
 }
 
-const char* name_of(Outcome outcome) {
+const char* outcome_columns(Outcome outcome) {
   switch (outcome) {
     case Outcome::kOk:
       return "answered | yes";
@@ -88,49 +88,51 @@
   return "";
 }
 
-std::string line(const std::string& seen, Outcome outcome, const std::string& why) {
-  return "| " + seen + " | " + name_of(outcome) + " | " + why + " |\n";
+std::string table_row(const std::string& reported, Outcome outcome, const std::string& reason) {
+  return "| " + reported + " | " + outcome_columns(outcome) + " | " + reason + " |\n";
 }
 
 }  // namespace
 
 Outcome outcome_of(const AttemptReport& report, std::span<const int> not_run) {
   if (!report.details.empty() && report.details != "via_upstream") {
-    for (const auto& row : kDetails) {
+    for (const auto& row : kDetailsRules) {
       if (report.details.starts_with(row.prefix)) return row.outcome;
     }
     return Outcome::kCancelled;
   }
   if (report.overloaded && report.details.empty()) return Outcome::kNotSent;
   if (report.is_grpc && !report.grpc_status.empty() && report.status == 200)
-    return by_grpc(report.grpc_status);
-  return by_status(report.status, not_run);
+    return outcome_of_grpc_status(report.grpc_status);
+  return outcome_of_http_status(report.status, not_run);
 }
 
 std::string outcome_table(std::span<const int> not_run) {
   std::string text =
       "| The proxy reports | Outcome | Has it run? | Why |\n"
       "|---|---|---|---|\n";
-  for (const auto& row : kDetails) {
-    text += line("details `" + std::string(row.prefix) + "…`", row.outcome, row.why);
+  for (const auto& row : kDetailsRules) {
+    text += table_row("details `" + std::string(row.prefix) + "…`", row.outcome, row.reason);
   }
-  text += line("any other details but `via_upstream`", Outcome::kCancelled,
-               "the proxy or the client ended it; the host is not blamed");
-  text += line("no details, `x-envoy-overloaded` or `x-envoy-local-overloaded`", Outcome::kNotSent,
-               "the proxy's own limit");
-  for (const auto& [code, why] :
+  text += table_row("any other details but `via_upstream`", Outcome::kCancelled,
+                    "the proxy or the client ended it; the host is not blamed");
+  text += table_row("no details, `x-envoy-overloaded` or `x-envoy-local-overloaded`", Outcome::kNotSent,
+                    "the proxy's own limit");
+  for (const auto& [code, reason] :
        {std::pair{"4", "the host's own timeout"}, std::pair{"2", "unknown"}, std::pair{"13", "internal"},
         std::pair{"14", "unavailable: no promise that it has not begun"}, std::pair{"15", "data loss"}}) {
-    text += line(std::string("`grpc-status: ") + code + "` in the headers", by_grpc(code), why);
+    text += table_row(std::string("`grpc-status: ") + code + "` in the headers", outcome_of_grpc_status(code),
+                      reason);
   }
-  text += line("any other `grpc-status` in the headers", by_grpc("0"), "the host's answer");
+  text +=
+      table_row("any other `grpc-status` in the headers", outcome_of_grpc_status("0"), "the host's answer");
   for (const int status : not_run) {
-    text += line("status " + std::to_string(status), by_status(status, not_run),
-                 "by the setting `not_run`: hosts say it before they begin");
+    text += table_row("status " + std::to_string(status), outcome_of_http_status(status, not_run),
+                      "by the setting `not_run`: hosts say it before they begin");
   }
-  text += line("status 408 or 504", by_status(504, {}), "the host's own timeout");
-  text += line("status 500 to 599", by_status(500, {}), "the host failed");
-  text += line("any other status", by_status(200, {}), "the host's answer, good or bad");
+  text += table_row("status 408 or 504", outcome_of_http_status(504, {}), "the host's own timeout");
+  text += table_row("status 500 to 599", outcome_of_http_status(500, {}), "the host failed");
+  text += table_row("any other status", outcome_of_http_status(200, {}), "the host's answer, good or bad");
   return text;
 }
 
--- a/src/extproc/processor.cpp
+++ b/src/extproc/processor.cpp
@@ -25,7 +25,7 @@
 
 constexpr Decision kFirstAttemptNotKnown = failure("cometfold_first_attempt_not_known");
 constexpr Decision kAlreadyDone = failure("cometfold_already_done");
-constexpr Decision kMustNotRepeat = failure("cometfold_must_not_repeat");
+constexpr Decision kRetryForbidden = failure("cometfold_must_not_repeat");
 
 Decision rejection(const char* details, Ms retry_after) {
   return {Decision::kRejected, kTooManyRequests, kGrpcResourceExhausted, retry_after, details};
@@ -149,11 +149,12 @@
 // as the client waits still covers it; a key that is valid in one zone or cell does not, as the zone or cell
 // of the first attempt is unknown.
 bool Processor::unknown_retry_allowed(const MappedRequest& mapped) const {
-  const auto& terms = names_.settings.classes[mapped.request.class_index];
-  if (terms.idempotency == Idempotency::kIdempotent) return true;
-  const Ms longest_wait = std::max(mapped.timeout_ms, terms.deadline_ms);
-  return terms.idempotency == Idempotency::kIdempotencyKey && mapped.has_idempotency_key &&
-         terms.idempotency_scope == IdempotencyScope::kAll && terms.idempotency_key_ttl_ms > longest_wait;
+  const auto& class_settings = names_.settings.classes[mapped.request.class_index];
+  if (class_settings.idempotency == Idempotency::kIdempotent) return true;
+  const Ms longest_wait = std::max(mapped.timeout_ms, class_settings.deadline_ms);
+  return class_settings.idempotency == Idempotency::kIdempotencyKey && mapped.has_idempotency_key &&
+         class_settings.idempotency_scope == IdempotencyScope::kAll &&
+         class_settings.idempotency_key_ttl_ms > longest_wait;
 }
 
 void Processor::decide_retry(Ms now, Exchange& exchange, const MappedRequest& mapped) {
@@ -194,7 +195,7 @@
   if (pending.proxy_id_ambiguous) return reply(exchange, kIdNotUnique);
   if (pending.exchange) supersede_call(pending);
   if (!class_allows_retry(pending) && pending.any_attempt_may_have_left()) {
-    reply(exchange, kMustNotRepeat);
+    reply(exchange, kRetryForbidden);
     if (pending.attempt != 0) {
       ++metrics_.unreported;
       report_attempt_end(now, pending, Outcome::kCancelled, {}, true);
--- a/src/extproc/processor.h
+++ b/src/extproc/processor.h
@@ -36,7 +36,7 @@
 namespace cometfold::extproc {
 
 // The path of the service's only method.
-constexpr std::string_view kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
+constexpr std::string_view kProcessPath = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
 class Processor : public engine::DownstreamHandler,
                   public engine::UpstreamTransport,
@@ -72,7 +72,7 @@
   using PendingId = std::uint64_t;
 
   // An attempt that is sent to the proxy with its next call for the same request.
-  struct Fetchable {
+  struct UnfetchedAttempt {
     Ms expires_at = 0;
     PendingId pending_id = 0;
     engine::AttemptId attempt = 0;
@@ -130,7 +130,7 @@
   std::unordered_map<engine::AttemptId, PendingId> attempts_;
   std::unordered_map<std::string, PendingId> pending_by_proxy_id_;
   DecisionCache finished_;
-  std::deque<Fetchable> fetchables_;  // in order of expiry
+  std::deque<UnfetchedAttempt> unfetched_attempts_;  // in order of expiry
   PendingId last_pending_id_ = 0;
 };
 
--- a/src/extproc/processor_attempts.cpp
+++ b/src/extproc/processor_attempts.cpp
@@ -43,7 +43,7 @@
     send_route(now, *pending);
   } else {
     pending->awaits_fetch = true;
-    fetchables_.push_back({now + settings_->retry_wait_ms, pending->id, attempt});
+    unfetched_attempts_.push_back({now + settings_->retry_wait_ms, pending->id, attempt});
   }
   return StartResult::kStarted;
 }
@@ -177,15 +177,15 @@
 // ---- timers ----
 
 std::optional<Ms> Processor::next_timer() const {
-  if (fetchables_.empty()) return {};
-  return fetchables_.front().expires_at;
+  if (unfetched_attempts_.empty()) return {};
+  return unfetched_attempts_.front().expires_at;
 }
 
 // Ends attempts that no call has fetched in time: the proxy does not retry, or its client has disconnected.
 void Processor::run_timers(Ms now) {
-  while (!fetchables_.empty() && fetchables_.front().expires_at <= now) {
-    const Fetchable expired = fetchables_.front();
-    fetchables_.pop_front();
+  while (!unfetched_attempts_.empty() && unfetched_attempts_.front().expires_at <= now) {
+    const UnfetchedAttempt expired = unfetched_attempts_.front();
+    unfetched_attempts_.pop_front();
     PendingRequest* pending = find_pending(expired.pending_id);
     if (!pending || !pending->awaits_fetch || pending->attempt != expired.attempt) continue;
     report_attempt_end(now, *pending, Outcome::kNotSent, {}, true);
--- a/src/extproc/request_mapper.cpp
+++ b/src/extproc/request_mapper.cpp
@@ -49,17 +49,18 @@
   return path.starts_with(std::string_view(pattern).substr(0, pattern.size() - 1));
 }
 
-std::string by_header(const std::string& header) {
+std::string header_clause(const std::string& header) {
   return header.empty() ? "" : " by the header " + header + ",";
 }
 
 std::string too_long(const std::string& header) { return header + " is longer than 256 bytes"; }
 
 // Returns the value of the header, else that of the rule, else the default.
-std::string_view first_given(std::string_view header, const std::string* rule, const std::string& otherwise) {
+std::string_view first_given(std::string_view header, const std::string* rule,
+                             const std::string& default_value) {
   if (!header.empty()) return header;
   if (rule && !rule->empty()) return *rule;
-  return otherwise;
+  return default_value;
 }
 
 }  // namespace
@@ -167,7 +168,7 @@
                                      Request& request) const {
   const auto name = first_given(found[kClass], rule ? &rule->class_name : nullptr, mapping_.default_class);
   if (name.empty()) {
-    return "no class is named:" + by_header(mapping_.class_header) + " by a rule for " +
+    return "no class is named:" + header_clause(mapping_.class_header) + " by a rule for " +
            quoted(found[kMethod]) + " " + quoted(found[kPath]) + " or by default_class";
   }
   const auto index = index_of(names_.class_names, name);
@@ -180,7 +181,7 @@
                                     Request& request) const {
   const auto name = first_given(found[kPlan], rule ? &rule->plan_name : nullptr, mapping_.default_plan);
   if (name.empty()) {
-    return "no plan is named:" + by_header(mapping_.plan_header) + " by a rule or by default_plan";
+    return "no plan is named:" + header_clause(mapping_.plan_header) + " by a rule or by default_plan";
   }
   const auto index = index_of(names_.plan_names, name);
   if (!index) return "no plan " + quoted(name) + "; there are " + joined(names_.plan_names);
@@ -191,7 +192,7 @@
 std::string RequestMapper::map_customer(const FoundHeaders& found, Request& request) const {
   const auto name = first_given(found[kCustomer], nullptr, mapping_.default_customer);
   if (name.empty()) {
-    return "no customer is named:" + by_header(mapping_.customer_header) + " or by default_customer";
+    return "no customer is named:" + header_clause(mapping_.customer_header) + " or by default_customer";
   }
   if (name.size() > kMaxNameBytes) return too_long(mapping_.customer_header);
   request.customer = customer_id_of(name, seed_);
--- a/src/extproc/responses.cpp
+++ b/src/extproc/responses.cpp
@@ -13,10 +13,10 @@
 namespace pb = envoy::service::ext_proc::v3;
 
 constexpr const char* kEndpointHeader = "x-gateway-destination-endpoint";
-constexpr const char* kOriginalDst = "x-envoy-original-dst-host";
+constexpr const char* kOriginalDstHeader = "x-envoy-original-dst-host";
 
 // Protobuf arena with space for one response on the stack.
-class Arena {
+class StackArena {
  public:
   google::protobuf::Arena* get() { return &arena_; }
 
@@ -32,7 +32,7 @@
 };
 
 // Sets a header and overwrites one that the client may have sent. Envoy reads only `raw_value`.
-void set(pb::HeaderMutation& mutation, const char* name, std::string_view value) {
+void set_header(pb::HeaderMutation& mutation, const char* name, std::string_view value) {
   auto* option = mutation.add_set_headers();
   option->mutable_header()->set_key(name);
   option->mutable_header()->set_raw_value(value.data(), value.size());
@@ -47,30 +47,31 @@
 }  // namespace
 
 std::string route_response(const RouteDecision& route, const DestinationFormat& destination) {
-  Arena arena;
+  StackArena arena;
   auto& response = *google::protobuf::Arena::CreateMessage<pb::ProcessingResponse>(arena.get());
   auto& mutation = *response.mutable_request_headers()->mutable_response()->mutable_header_mutation();
   // A destination header sent by the client must be removed if it is not overwritten here.
   if (destination.header) {
-    set(mutation, kEndpointHeader, route.endpoint);
+    set_header(mutation, kEndpointHeader, route.endpoint);
   } else {
     mutation.add_remove_headers(kEndpointHeader);
   }
   if (destination.original_dst) {
-    set(mutation, kOriginalDst, route.endpoint);
+    set_header(mutation, kOriginalDstHeader, route.endpoint);
   } else {
-    mutation.add_remove_headers(kOriginalDst);
+    mutation.add_remove_headers(kOriginalDstHeader);
   }
   if (destination.metadata) {
     auto& lb = *(*response.mutable_dynamic_metadata()->mutable_fields())["envoy.lb"].mutable_struct_value();
     (*lb.mutable_fields())[kEndpointHeader].set_string_value(route.endpoint.data(), route.endpoint.size());
   }
-  set(mutation, "x-envoy-upstream-rq-timeout-ms", rounded(route.remaining_ms, std::floor));
+  set_header(mutation, "x-envoy-upstream-rq-timeout-ms", rounded(route.remaining_ms, std::floor));
   if (!route.proxy_may_retry) {
-    set(mutation, "x-envoy-max-retries", "0");
-    for (const char* asks : {"x-envoy-retry-on", "x-envoy-retry-grpc-on", "x-envoy-hedge-on-per-try-timeout",
-                             "x-envoy-upstream-rq-per-try-timeout-ms"}) {
-      mutation.add_remove_headers(asks);
+    set_header(mutation, "x-envoy-max-retries", "0");
+    for (const char* header :
+         {"x-envoy-retry-on", "x-envoy-retry-grpc-on", "x-envoy-hedge-on-per-try-timeout",
+          "x-envoy-upstream-rq-per-try-timeout-ms"}) {
+      mutation.add_remove_headers(header);
     }
   }
   if (route.override_modes) {
@@ -83,20 +84,21 @@
 }
 
 std::string immediate_response(const ImmediateReply& reply) {
-  Arena arena;
+  StackArena arena;
   auto& response = *google::protobuf::Arena::CreateMessage<pb::ProcessingResponse>(arena.get());
   auto& answer = *response.mutable_immediate_response();
   answer.mutable_status()->set_code(reply.status);
   auto& headers = *answer.mutable_headers();
   if (reply.retry_after_ms >= 1) {
-    set(headers, "retry-after", rounded(reply.retry_after_ms / 1000, std::ceil));
-    set(headers, "retry-after-ms", rounded(reply.retry_after_ms, std::ceil));
+    set_header(headers, "retry-after", rounded(reply.retry_after_ms / 1000, std::ceil));
+    set_header(headers, "retry-after-ms", rounded(reply.retry_after_ms, std::ceil));
     // gRPC proposal A6 (client retries): how long the client waits before the next attempt.
-    if (reply.is_grpc) set(headers, "grpc-retry-pushback-ms", rounded(reply.retry_after_ms, std::ceil));
+    if (reply.is_grpc)
+      set_header(headers, "grpc-retry-pushback-ms", rounded(reply.retry_after_ms, std::ceil));
   }
   if (reply.is_grpc) answer.mutable_grpc_status()->set_status(static_cast<unsigned>(reply.grpc_status));
   if (!reply.body.empty()) {
-    if (!reply.is_grpc) set(headers, "content-type", "text/plain");
+    if (!reply.is_grpc) set_header(headers, "content-type", "text/plain");
     answer.set_body(reply.body.data(), reply.body.size());
   }
   answer.set_details(reply.details.data(), reply.details.size());
--- a/src/net/processor_server.h
+++ b/src/net/processor_server.h
@@ -33,7 +33,7 @@
 
  private:
   http2::grpc::Service* find(std::string_view path) override {
-    return path == extproc::kProcess ? &processor_ : nullptr;
+    return path == extproc::kProcessPath ? &processor_ : nullptr;
   }
 
   boost::asio::ip::tcp::endpoint address_;
--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -63,7 +63,7 @@
     }
   }
   http2::grpc::Service* find(std::string_view path) override {
-    return path == kProcess ? &processor : nullptr;
+    return path == kProcessPath ? &processor : nullptr;
   }
   std::unique_ptr<http2::StreamEvents> on_request(Ms, http2::Stream&, http2::HeaderBlock) override {
     return {};
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -17,7 +17,7 @@
   const auto seed = [&](const std::string& bytes) {
     std::ofstream(folder / ("seed-" + std::to_string(++n)), std::ios::binary) << bytes;
   };
-  const std::string path(cometfold::extproc::kProcess);
+  const std::string path(cometfold::extproc::kProcessPath);
   const auto ask = [](const char* id, const char* attempt) {
     return messages::request_headers({{":method", "GET"},
                                       {":path", "/x"},
