--- a/tests/http2_support.h
+++ b/tests/http2_support.h
@@ -63,21 +63,21 @@
   std::unique_ptr<grpc::CallEvents> open(Ms, grpc::Call& call, HeaderBlock) override {
     calls.push_back(std::make_shared<CallRecord>());
     calls.back()->call = &call;
-    return std::make_unique<EchoedCall>(*this, calls.back());
+    return std::make_unique<EchoCall>(*this, calls.back());
   }
   std::vector<std::shared_ptr<CallRecord>> calls;
-  bool answers_nothing = false;
+  bool suppress_replies = false;
 
  private:
-  struct EchoedCall : grpc::CallEvents {
-    EchoedCall(Echo& echo, std::shared_ptr<CallRecord> call) : owner(echo), record(std::move(call)) {}
+  struct EchoCall : grpc::CallEvents {
+    EchoCall(Echo& echo, std::shared_ptr<CallRecord> call) : owner(echo), record(std::move(call)) {}
     void on_message(Ms, std::string_view message) override {
       record->messages.emplace_back(message);
-      if (!owner.answers_nothing) record->call->send(message);
+      if (!owner.suppress_replies) record->call->send(message);
     }
     void on_half_closed(Ms) override {
       record->half_closed = true;
-      if (!owner.answers_nothing) record->call->finish({});
+      if (!owner.suppress_replies) record->call->finish({});
     }
     void on_call_closed(Ms) override {
       record->closed = true;
@@ -138,7 +138,7 @@
     return record;
   }
   // Transfers bytes in both directions until none are left, in chunks of at most `chunk_bytes`.
-  void carry(Server& server, Ms now = 0, std::size_t chunk_bytes = 1 << 20) {
+  void transfer(Server& server, Ms now = 0, std::size_t chunk_bytes = 1 << 20) {
     for (bool transferred = true; transferred;) {
       transferred = false;
       const auto requests = take_output();
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -18,11 +18,11 @@
     record->call->send("");
     record->call->send("one");
     record->call->send(large);
-    client.carry(server, 0, chunk_bytes);
+    client.transfer(server, 0, chunk_bytes);
     EXPECT_EQ(record->messages, (std::vector<std::string>{"", "one", large})) << chunk_bytes;
     EXPECT_FALSE(record->status);
     record->call->half_close();
-    client.carry(server, 0, chunk_bytes);
+    client.transfer(server, 0, chunk_bytes);
     ASSERT_TRUE(record->status);
     EXPECT_EQ(record->status->code, Code::kOk);
     EXPECT_TRUE(server.echo.calls.at(0)->closed);
@@ -40,21 +40,21 @@
     records.push_back(client.call());
     records.back()->call->send(std::to_string(i));
   }
-  client.carry(server);
+  client.transfer(server);
   for (int i = 0; i < 1000; ++i) EXPECT_EQ(records[i]->messages, std::vector{std::to_string(i)});
   EXPECT_EQ(server.connection->session().stream_count(), 1000u);
 }
 
 TEST(Grpc, AServersEarlyFinishIsDeliveredAndFreesTheStream) {
   Server server;
-  server.echo.answers_nothing = true;
+  server.echo.suppress_replies = true;
   Client client;
   const auto record = client.call();
   record->call->send("one");
-  client.carry(server);
+  client.transfer(server);
   server.echo.calls.at(0)->call->send(std::string(50'000, 'y'));
   server.echo.calls.at(0)->call->finish({Code::kAborted, "100% \n done"});
-  client.carry(server);
+  client.transfer(server);
   ASSERT_EQ(record->messages.size(), 1u);
   EXPECT_EQ(record->messages[0].size(), 50'000u);
   ASSERT_TRUE(record->status);
@@ -67,7 +67,7 @@
   Server server;
   Client client;
   const auto unknown = client.call("/test.Echo/Nothing");
-  client.carry(server);
+  client.transfer(server);
   ASSERT_TRUE(unknown->status);
   EXPECT_EQ(unknown->status->code, Code::kUnimplemented);
   EXPECT_EQ(unknown->status->message, "no method /test.Echo/Nothing");
@@ -95,12 +95,12 @@
     Client client;
     const auto other = client.call();
     const auto record = client.call();
-    client.carry(server);
+    client.transfer(server);
     // Not through the client's own framing.
     server.feed(frame(kDataFrame, end ? kEndStream : 0, 3, bytes));
-    client.carry(server);
+    client.transfer(server);
     other->call->send("still");
-    client.carry(server);
+    client.transfer(server);
     EXPECT_EQ(other->messages, std::vector<std::string>{"still"});
     return record->status ? record->status->code : Code::kOk;
   };
@@ -134,12 +134,12 @@
   Client client;
   const auto silent = client.call(), speaking = client.call();
   speaking->call->send("x");
-  client.carry(server);
+  client.transfer(server);
   server.connection->sweep(9'000);
-  client.carry(server);
+  client.transfer(server);
   EXPECT_FALSE(silent->status);
   server.connection->sweep(10'001);
-  client.carry(server);
+  client.transfer(server);
   ASSERT_TRUE(silent->status);
   EXPECT_EQ(silent->status->code, Code::kDeadlineExceeded);
   EXPECT_FALSE(speaking->status);
@@ -147,17 +147,17 @@
 
 TEST(Grpc, WithdrawsAMessageOnlyBeforeItIsRendered) {
   Server server;
-  server.echo.answers_nothing = true;
+  server.echo.suppress_replies = true;
   Client client;
   const auto record = client.call();
   record->call->send("one");
-  client.carry(server);
+  client.transfer(server);
   auto* call = server.echo.calls.at(0)->call;
   call->send("wrong");
   EXPECT_TRUE(call->withdraw());
   EXPECT_FALSE(call->withdraw());
   call->send("right");
-  client.carry(server);
+  client.transfer(server);
   EXPECT_EQ(record->messages, std::vector<std::string>{"right"});
   EXPECT_FALSE(call->withdraw());
 }
@@ -332,21 +332,21 @@
   Client client;
   const auto before = client.call();
   before->call->send("a");
-  client.carry(server);
+  client.transfer(server);
   server.connection->session().announce_drain();
   const auto crossing = client.call();  // sent before the client gets the notice
   crossing->call->send("b");
   server.feed(client.take_output());
-  client.carry(server);
+  client.transfer(server);
   EXPECT_EQ(crossing->messages, std::vector<std::string>{"b"});
   server.connection->session().drain();
   EXPECT_FALSE(server.connection->session().done());
-  client.carry(server);
+  client.transfer(server);
   EXPECT_EQ(client.call()->call, nullptr);
   before->call->send("c");
   before->call->half_close();
   crossing->call->half_close();
-  client.carry(server);
+  client.transfer(server);
   EXPECT_EQ(before->messages, (std::vector<std::string>{"a", "c"}));
   EXPECT_EQ(before->status.value().code, Code::kOk);
   EXPECT_EQ(crossing->status.value().code, Code::kOk);
