--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -21,7 +21,7 @@
 using http2::grpc::Status;
 using HeaderList = std::vector<std::pair<std::string, std::string>>;
 
-inline void fill(pb::HeaderMap& map, const HeaderList& headers) {
+inline void append_headers(pb::HeaderMap& map, const HeaderList& headers) {
   for (const auto& [name, value] : headers) {
     auto* h = map.add_headers();
     h->set_key(name);
@@ -30,14 +30,14 @@
 }
 inline std::string request_headers(const HeaderList& headers, bool end = true) {
   pb::ProcessingRequest m;
-  fill(*m.mutable_request_headers()->mutable_headers(), headers);
+  append_headers(*m.mutable_request_headers()->mutable_headers(), headers);
   m.mutable_request_headers()->set_end_of_stream(end);
   return m.SerializeAsString();
 }
 inline std::string response_headers(const HeaderList& headers, const HeaderList& attributes = {},
                                     bool end = false) {
   pb::ProcessingRequest m;
-  fill(*m.mutable_response_headers()->mutable_headers(), headers);
+  append_headers(*m.mutable_response_headers()->mutable_headers(), headers);
   m.mutable_response_headers()->set_end_of_stream(end);
   for (const auto& [name, value] : attributes) {
     (*(*m.mutable_attributes())["envoy.filters.http.ext_proc"].mutable_fields())[name].set_string_value(
@@ -47,27 +47,27 @@
 }
 
 // What a decision says.
-struct Decision {
+struct ReceivedDecision {
   std::string endpoint;  // empty: the client is answered
-  std::map<std::string, std::string> set;
-  std::vector<std::string> removed;
+  std::map<std::string, std::string> set_headers;
+  std::vector<std::string> removed_headers;
   std::string metadata;
   int status = 0;
   std::optional<int> grpc_status;
   std::string details, body;
 };
-inline Decision decision_in(const std::string& bytes) {
+inline ReceivedDecision parse_decision(const std::string& bytes) {
   pb::ProcessingResponse m;
   EXPECT_TRUE(m.ParseFromString(bytes));
-  Decision d;
+  ReceivedDecision d;
   const bool immediate = m.has_immediate_response();
   const auto& mutation =
       immediate ? m.immediate_response().headers() : m.request_headers().response().header_mutation();
   for (const auto& h : mutation.set_headers()) {
     EXPECT_EQ(h.append_action(), pb::HeaderValueOption::OVERWRITE_IF_EXISTS_OR_ADD);
-    d.set[h.header().key()] = h.header().raw_value();
+    d.set_headers[h.header().key()] = h.header().raw_value();
   }
-  d.removed.assign(mutation.remove_headers().begin(), mutation.remove_headers().end());
+  d.removed_headers.assign(mutation.remove_headers().begin(), mutation.remove_headers().end());
   if (immediate) {
     d.status = m.immediate_response().status().code();
     if (m.immediate_response().has_grpc_status()) {
@@ -83,7 +83,7 @@
     d.metadata = lb->second.struct_value().fields().at("x-gateway-destination-endpoint").string_value();
   }
   for (const char* name : {"x-gateway-destination-endpoint", "x-envoy-original-dst-host"}) {
-    if (d.set.contains(name)) d.endpoint = d.set[name];
+    if (d.set_headers.contains(name)) d.endpoint = d.set_headers[name];
   }
   if (d.endpoint.empty()) d.endpoint = d.metadata;
   return d;
@@ -94,12 +94,12 @@
  public:
   void send(std::string_view message) override {
     EXPECT_FALSE(status) << "sent after the end";
-    out.emplace_back(message);
-    if (!held) flush();
+    unsent.emplace_back(message);
+    if (!output_blocked) flush();
   }
   bool withdraw() override {
-    if (out.empty()) return false;
-    out.pop_back();
+    if (unsent.empty()) return false;
+    unsent.pop_back();
     return true;
   }
   void finish(const Status& s) override {
@@ -107,20 +107,20 @@
     status = s;
   }
   void flush() {
-    for (auto& m : out) got.push_back(std::move(m));
-    out.clear();
+    for (auto& m : unsent) received.push_back(std::move(m));
+    unsent.clear();
   }
-  Decision decision() const {
-    EXPECT_FALSE(got.empty());
-    return got.empty() ? Decision{} : decision_in(got.at(0));
+  ReceivedDecision decision() const {
+    EXPECT_FALSE(received.empty());
+    return received.empty() ? ReceivedDecision{} : parse_decision(received.at(0));
   }
 
-  bool held = false;  // the proxy does not take what is sent
-  std::vector<std::string> out, got;
+  bool output_blocked = false;  // the proxy does not take what is sent
+  std::vector<std::string> unsent, received;
   std::optional<Status> status;
 };
 
-inline NamedSettings names() {
+inline NamedSettings named_settings() {
   NamedSettings n{{"lookup", "hold", "zoned", "pay"}, {"team", "tiny"}, {}};
   auto& s = n.settings;
   s.classes = {{20'000, 30'000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
@@ -146,7 +146,7 @@
   return n;
 }
 
-struct NoHosts : engine::UpstreamTransport {
+struct NoTransport : engine::UpstreamTransport {
   engine::StartResult start(Ms, engine::AttemptId, HostId, const engine::Payload&, Ms) override {
     return engine::StartResult::kHostUnavailable;
   }
@@ -155,37 +155,37 @@
   void retire_host(Ms, HostId) override {}
 };
 
-class Bench {
+class ProcessorHarness {
  public:
-  explicit Bench(ProcessorSettings settings = {}, int hosts = 2, engine::EngineLimits limits = {})
-      : engine(module, none, limits, [](std::string_view, std::string_view) {}),
-        processor(engine, names(), std::move(settings), 77) {
+  explicit ProcessorHarness(ProcessorSettings settings = {}, int hosts = 2, engine::EngineLimits limits = {})
+      : engine(module, no_transport, limits, [](std::string_view, std::string_view) {}),
+        processor(engine, named_settings(), std::move(settings), 77) {
     engine.add_upstream(processor);
     engine.start(now);
-    for (int h = 1; h <= hosts; ++h) ready(static_cast<HostId>(h));
+    for (int h = 1; h <= hosts; ++h) add_ready_host(static_cast<HostId>(h));
   }
   static std::string endpoint(HostId h) { return "127.0.0.1:" + std::to_string(9000 + h); }
-  void ready(HostId h, std::uint32_t zone = 0) {
+  void add_ready_host(HostId h, std::uint32_t zone = 0) {
     processor.add_host(h, endpoint(h));
-    tell({.id = h, .state = HostState::kReady, .zone = zone});
+    update_host({.id = h, .state = HostState::kReady, .zone = zone});
   }
-  void drain(HostId h) { tell({.id = h, .state = HostState::kDraining}); }
-  void tell(const HostEntry& e) { engine.on_host_list(now, HostListUpdate::kDelta, {&e, 1}); }
+  void drain_host(HostId h) { update_host({.id = h, .state = HostState::kDraining}); }
+  void update_host(const HostEntry& e) { engine.on_host_list(now, HostListUpdate::kDelta, {&e, 1}); }
 
   struct OpenCall {
     FakeCall call;
     std::unique_ptr<http2::grpc::CallEvents> events;
   };
-  OpenCall& open(bool held = false) {
+  OpenCall& open_call(bool output_blocked = false) {
     calls.push_back(std::make_unique<OpenCall>());
     auto& c = *calls.back();
-    c.call.held = held;
+    c.call.output_blocked = output_blocked;
     c.events = processor.open(now, c.call, {});
     return c;
   }
-  OpenCall& ask(const HeaderList& more = {}, const std::string& cls = "lookup", const std::string& id = "",
-                bool held = false) {
-    auto& c = open(held);
+  OpenCall& send_request(const HeaderList& more = {}, const std::string& cls = "lookup",
+                         const std::string& id = "", bool output_blocked = false) {
+    auto& c = open_call(output_blocked);
     c.events->on_message(now, request_headers(headers(more, cls, id)));
     return c;
   }
@@ -212,11 +212,11 @@
         now, response_headers(
                  all, details.empty() ? HeaderList{} : HeaderList{{"response.code_details", details}}));
   }
-  void gone(OpenCall& c) {
+  void disconnect(OpenCall& c) {
     c.events->on_call_closed(now);
     c.events.reset();
   }
-  void pass(Ms ms) {
+  void advance(Ms ms) {
     const Ms until = now + ms;
     for (;;) {
       auto due = engine.next_timer();
@@ -231,19 +231,19 @@
   // Whatever has happened: when all calls have gone and their time is over, nothing is left.
   void expect_empty() {
     for (auto& c : calls) {
-      if (c->events) gone(*c);
+      if (c->events) disconnect(*c);
     }
-    pass(60'000);
+    advance(60'000);
     EXPECT_EQ(engine.open_count(), 0u);
     EXPECT_EQ(engine.unanswered_count(), 0u);
     EXPECT_EQ(engine.payload_bytes(), 0u);
     EXPECT_EQ(processor.open(), 0u);
   }
-  const ProcessorMetrics& totals() const { return processor.metrics(); }
+  const ProcessorMetrics& metrics() const { return processor.metrics(); }
 
   Ms now = 1'000'000;
-  engine::ControllerPolicy module{names().settings, 5};
-  NoHosts none;
+  engine::ControllerPolicy module{named_settings().settings, 5};
+  NoTransport no_transport;
   engine::Engine engine;
   Processor processor;
   std::vector<std::unique_ptr<OpenCall>> calls;
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -11,179 +11,184 @@
 namespace cometfold::extproc::testing {
 namespace {
 
-ProcessorSettings marked() {
+ProcessorSettings settings_with_proxy_retries() {
   ProcessorSettings s;
   s.proxy_retries = ProxyRetries::kMarked;
   return s;
 }
-const HeaderList kSecond{{"x-envoy-attempt-count", "2"}};
+const HeaderList kSecondAttempt{{"x-envoy-attempt-count", "2"}};
 
 // ---- decisions ----
 
-TEST(Processor, ARequestGetsAHostInAllWaysThatAreChosen) {
-  Bench b;
-  auto& c = b.ask({{"x-cometfold-deadline-ms", "5000"}});
+TEST(Processor, ReturnsTheHostInAllEnabledDestinationFormats) {
+  ProcessorHarness harness;
+  auto& c = harness.send_request({{"x-cometfold-deadline-ms", "5000"}});
   const auto d = c.call.decision();
-  EXPECT_TRUE(d.endpoint == Bench::endpoint(1) || d.endpoint == Bench::endpoint(2));
-  EXPECT_EQ(d.set.at("x-gateway-destination-endpoint"), d.endpoint);
-  EXPECT_EQ(d.set.at("x-envoy-original-dst-host"), d.endpoint);
+  EXPECT_TRUE(d.endpoint == ProcessorHarness::endpoint(1) || d.endpoint == ProcessorHarness::endpoint(2));
+  EXPECT_EQ(d.set_headers.at("x-gateway-destination-endpoint"), d.endpoint);
+  EXPECT_EQ(d.set_headers.at("x-envoy-original-dst-host"), d.endpoint);
   EXPECT_EQ(d.metadata, d.endpoint);
-  EXPECT_EQ(d.set.at("x-envoy-max-retries"), "0");
-  EXPECT_EQ(d.set.at("x-envoy-upstream-rq-timeout-ms"), "4970");  // less both margins
-  EXPECT_EQ(d.removed.size(), 4u);
-  b.report(c, 200, "via_upstream");
-  EXPECT_EQ(c.call.got.size(), 2u);
-  pb::ProcessingResponse go_on;
-  ASSERT_TRUE(go_on.ParseFromString(c.call.got[1]));
-  EXPECT_TRUE(go_on.has_response_headers());
-  c.events->on_half_closed(b.now);
+  EXPECT_EQ(d.set_headers.at("x-envoy-max-retries"), "0");
+  EXPECT_EQ(d.set_headers.at("x-envoy-upstream-rq-timeout-ms"), "4970");  // less both margins
+  EXPECT_EQ(d.removed_headers.size(), 4u);
+  harness.report(c, 200, "via_upstream");
+  EXPECT_EQ(c.call.received.size(), 2u);
+  pb::ProcessingResponse continue_message;
+  ASSERT_TRUE(continue_message.ParseFromString(c.call.received[1]));
+  EXPECT_TRUE(continue_message.has_response_headers());
+  c.events->on_half_closed(harness.now);
   EXPECT_EQ(c.call.status.value().code, Code::kOk);
   EXPECT_EQ(
-      to_text(b.totals()),
+      to_text(harness.metrics()),
       "asked=1 again=0 named=1 refused=0 failed=0 rejected=0 left=0 ended=1 unknown=0 silent=0 elsewhere=0 "
       "withdrawn=0 out_of_order=0 unreadable=0 observed=0");
-  b.expect_empty();
+  harness.expect_empty();
 }
 
-TEST(Processor, AWayThatIsNotChosenIsRemovedFromWhatTheClientSent) {
+TEST(Processor, RemovesClientHeadersOfDisabledDestinationFormats) {
   ProcessorSettings s;
   s.destination = {false, true, false};
-  Bench b(s);
-  const auto d = b.ask().call.decision();
-  EXPECT_FALSE(d.set.contains("x-gateway-destination-endpoint"));
-  EXPECT_NE(std::find(d.removed.begin(), d.removed.end(), "x-gateway-destination-endpoint"), d.removed.end());
-  EXPECT_NE(std::find(d.removed.begin(), d.removed.end(), "x-envoy-original-dst-host"), d.removed.end());
+  ProcessorHarness harness(s);
+  const auto d = harness.send_request().call.decision();
+  EXPECT_FALSE(d.set_headers.contains("x-gateway-destination-endpoint"));
+  EXPECT_NE(std::find(d.removed_headers.begin(), d.removed_headers.end(), "x-gateway-destination-endpoint"),
+            d.removed_headers.end());
+  EXPECT_NE(std::find(d.removed_headers.begin(), d.removed_headers.end(), "x-envoy-original-dst-host"),
+            d.removed_headers.end());
   EXPECT_FALSE(d.metadata.empty());
 }
 
-TEST(Processor, ARefusalSaysWhenToComeBack) {
-  Bench b;
-  std::vector<Decision> all;
-  for (int i = 0; i < 40; ++i) all.push_back(b.ask({{"x-cometfold-plan", "tiny"}}).call.decision());
-  int refused = 0;
+TEST(Processor, ARejectionCarriesRetryAfter) {
+  ProcessorHarness harness;
+  std::vector<ReceivedDecision> all;
+  for (int i = 0; i < 40; ++i)
+    all.push_back(harness.send_request({{"x-cometfold-plan", "tiny"}}).call.decision());
+  int rejected_count = 0;
   for (const auto& d : all) {
     if (!d.endpoint.empty()) continue;
-    ++refused;
+    ++rejected_count;
     EXPECT_EQ(d.status, 429);
     EXPECT_FALSE(d.grpc_status);
     EXPECT_EQ(d.details, "cometfold_refused");
-    const int ms = std::stoi(d.set.at("retry-after-ms"));
-    EXPECT_EQ(std::stoi(d.set.at("retry-after")), std::ceil(ms / 1000.0));
+    const int ms = std::stoi(d.set_headers.at("retry-after-ms"));
+    EXPECT_EQ(std::stoi(d.set_headers.at("retry-after")), std::ceil(ms / 1000.0));
     EXPECT_GT(ms, 0);
   }
-  EXPECT_GT(refused, 30);
-  EXPECT_EQ(b.totals().rejected, static_cast<std::uint64_t>(refused));
-  EXPECT_EQ(b.totals().routed + b.totals().rejected, 40u);
-  const auto grpc =
-      b.ask({{"x-cometfold-plan", "tiny"}, {"content-type", "application/grpc"}}).call.decision();
+  EXPECT_GT(rejected_count, 30);
+  EXPECT_EQ(harness.metrics().rejected, static_cast<std::uint64_t>(rejected_count));
+  EXPECT_EQ(harness.metrics().routed + harness.metrics().rejected, 40u);
+  const auto grpc = harness.send_request({{"x-cometfold-plan", "tiny"}, {"content-type", "application/grpc"}})
+                        .call.decision();
   EXPECT_EQ(grpc.grpc_status, 8);
-  EXPECT_TRUE(grpc.set.contains("grpc-retry-pushback-ms"));
-  b.expect_empty();
+  EXPECT_TRUE(grpc.set_headers.contains("grpc-retry-pushback-ms"));
+  harness.expect_empty();
 }
 
-TEST(Processor, WithoutHostsItRefusesAndWithoutTimeItSaysSo) {
-  Bench b({}, 0);
-  EXPECT_EQ(b.ask().call.decision().status, 429);  // nothing has run, so a refusal is lawful
-  b.ready(1);
-  const auto late = b.ask({{"x-cometfold-deadline-ms", "15"}}).call.decision();
+TEST(Processor, RejectsRequestsWithoutHostsOrWithTooLittleTime) {
+  ProcessorHarness harness({}, 0);
+  EXPECT_EQ(harness.send_request().call.decision().status, 429);  // nothing has run, so a refusal is lawful
+  harness.add_ready_host(1);
+  const auto late = harness.send_request({{"x-cometfold-deadline-ms", "15"}}).call.decision();
   EXPECT_TRUE(late.endpoint.empty());  // less than the way here and back
-  b.expect_empty();
+  harness.expect_empty();
 }
 
-TEST(Processor, MoreThanTheEngineTakesIsRefused) {
-  Bench b({}, 2, {.max_open_requests = 3});
-  for (int i = 0; i < 3; ++i) EXPECT_FALSE(b.ask().call.decision().endpoint.empty());
-  const auto d = b.ask().call.decision();
+TEST(Processor, RejectsRequestsAboveTheEnginesLimit) {
+  ProcessorHarness harness({}, 2, {.max_open_requests = 3});
+  for (int i = 0; i < 3; ++i) EXPECT_FALSE(harness.send_request().call.decision().endpoint.empty());
+  const auto d = harness.send_request().call.decision();
   EXPECT_EQ(d.status, 429);
   EXPECT_EQ(d.details, "cometfold_no_room");
-  b.expect_empty();
+  harness.expect_empty();
 }
 
-TEST(Processor, WhatCannotBeMappedGetsOneClearComplaint) {
-  Bench b;
-  const auto said = [&](const HeaderList& more) {
-    const auto d = b.ask(more).call.decision();
+TEST(Processor, AnswersUnmappableRequestsWithASpecificError) {
+  ProcessorHarness harness;
+  const auto error_of = [&](const HeaderList& more) {
+    const auto d = harness.send_request(more).call.decision();
     EXPECT_EQ(d.status, 400);
     return d.body;
   };
   EXPECT_EQ(
-      said({{"x-cometfold-class", ""}}),
+      error_of({{"x-cometfold-class", ""}}),
       "no class is named: by the header x-cometfold-class, by a rule for 'GET' '/x' or by default_class\n");
-  EXPECT_EQ(said({{"x-cometfold-class", "nope"}}), "no class 'nope'; there are lookup, hold, zoned, pay\n");
-  EXPECT_EQ(said({{"x-cometfold-plan", "gold\n"}}), "no plan 'gold?'; there are team, tiny\n");
-  EXPECT_EQ(said({{"x-cometfold-units", "5"}}), "units are more than 4.000000\n");
-  EXPECT_EQ(said({{"x-cometfold-units", "-1"}}), "x-cometfold-units must be a number above 0, not '-1'\n");
-  EXPECT_EQ(said({{"x-cometfold-gateways", "3"}}),
+  EXPECT_EQ(error_of({{"x-cometfold-class", "nope"}}),
+            "no class 'nope'; there are lookup, hold, zoned, pay\n");
+  EXPECT_EQ(error_of({{"x-cometfold-plan", "gold\n"}}), "no plan 'gold?'; there are team, tiny\n");
+  EXPECT_EQ(error_of({{"x-cometfold-units", "5"}}), "units are more than 4.000000\n");
+  EXPECT_EQ(error_of({{"x-cometfold-units", "-1"}}),
+            "x-cometfold-units must be a number above 0, not '-1'\n");
+  EXPECT_EQ(error_of({{"x-cometfold-gateways", "3"}}),
             "x-cometfold-gateways must be a number from 1 to 2.000000\n");
-  EXPECT_EQ(said({{"x-cometfold-deadline-ms", "soon"}}),
+  EXPECT_EQ(error_of({{"x-cometfold-deadline-ms", "soon"}}),
             "x-cometfold-deadline-ms must be a number of milliseconds, not 'soon'\n");
-  EXPECT_EQ(said({{"grpc-timeout", "5"}}), "grpc-timeout is none: '5'\n");
-  EXPECT_EQ(said({{"x-envoy-attempt-count", "0"}}),
+  EXPECT_EQ(error_of({{"grpc-timeout", "5"}}), "grpc-timeout is none: '5'\n");
+  EXPECT_EQ(error_of({{"x-envoy-attempt-count", "0"}}),
             "x-envoy-attempt-count must be a whole number from 1 to 1000, not '0'\n");
-  EXPECT_EQ(b.totals().bad_requests, 9u);
-  EXPECT_EQ(b.totals().new_requests, 0u);
-  b.expect_empty();
+  EXPECT_EQ(harness.metrics().bad_requests, 9u);
+  EXPECT_EQ(harness.metrics().new_requests, 0u);
+  harness.expect_empty();
 }
 
-TEST(Mapping, RulesAndDefaultsGiveWhatNoHeaderSays) {
+TEST(Mapping, RulesAndDefaultsSupplyMissingValues) {
   HeaderMapping m;
   m.class_header.clear();
   m.default_plan = "team";
   m.default_customer = "everybody";
   m.rules = {{"GET", "/shop/*", "lookup", "", 0.5, ""}, {"", "/pay", "pay", "tiny", {}, ""}};
-  const RequestMapper mapper(m, names(), 1);
+  const RequestMapper mapper(m, named_settings(), 1);
   const auto map = [&](std::vector<HeaderView> h) { return mapper.map(h); };
-  auto got = map({{":method", "GET"}, {":path", "/shop/1?x=/pay"}});
-  EXPECT_EQ(got.error, "");
-  EXPECT_EQ(got.request.class_index, 0u);
-  EXPECT_EQ(got.request.units, 0.5);
-  EXPECT_EQ(got.request.gateway_count, 2);
-  EXPECT_EQ(got.timeout_ms, 30'000);
-  got = map({{":method", "POST"}, {":path", "/pay?a=b"}, {"x-cometfold-units", "3"}});
-  EXPECT_EQ(got.request.class_index, 3u);
-  EXPECT_EQ(got.request.plan_index, 1u);
-  EXPECT_EQ(got.request.units, 3);
+  auto mapped = map({{":method", "GET"}, {":path", "/shop/1?x=/pay"}});
+  EXPECT_EQ(mapped.error, "");
+  EXPECT_EQ(mapped.request.class_index, 0u);
+  EXPECT_EQ(mapped.request.units, 0.5);
+  EXPECT_EQ(mapped.request.gateway_count, 2);
+  EXPECT_EQ(mapped.timeout_ms, 30'000);
+  mapped = map({{":method", "POST"}, {":path", "/pay?a=b"}, {"x-cometfold-units", "3"}});
+  EXPECT_EQ(mapped.request.class_index, 3u);
+  EXPECT_EQ(mapped.request.plan_index, 1u);
+  EXPECT_EQ(mapped.request.units, 3);
   EXPECT_NE(map({{":method", "POST"}, {":path", "/shop/1"}}).error, "");
   EXPECT_NE(map({{":method", "GET"}, {":path", "/payments"}}).error, "");
-  got = map({{":method", "GET"},
-             {":path", "/shop/"},
-             {"x-envoy-expected-rq-timeout-ms", "7"},
-             {"grpc-timeout", "2S"}});
-  EXPECT_EQ(got.timeout_ms, 2000) << "the first of the list, whatever comes first";
+  mapped = map({{":method", "GET"},
+                {":path", "/shop/"},
+                {"x-envoy-expected-rq-timeout-ms", "7"},
+                {"grpc-timeout", "2S"}});
+  EXPECT_EQ(mapped.timeout_ms, 2000) << "the first of the list, whatever comes first";
   EXPECT_EQ(
       map({{":method", "GET"}, {":path", "/shop/"}, {"x-envoy-expected-rq-timeout-ms", "0"}}).timeout_ms,
       30'000);
 }
 
-TEST(Mapping, CustomersAreNumbersOrNames) {
+TEST(Mapping, CustomerIdsAreParsedOrHashed) {
   EXPECT_EQ(customer_id_of("000000000000000a", 9), 10u);
   EXPECT_NE(customer_id_of("shop", 9), customer_id_of("shoq", 9));
   EXPECT_NE(customer_id_of("shop", 9), customer_id_of("shop", 8));
   EXPECT_GE(customer_id_of("ffffffffffffffff", 9), CustomerId{1} << 33);
 }
 
-TEST(Settings, NamesThatTheConfigurationDoesNotHaveAreNamedWithTheirPlace) {
-  const auto said = [](const ProcessorSettings& s) {
+TEST(Settings, InvalidNamesAndUnitsAreReportedWithTheirSource) {
+  const auto error_of = [](const ProcessorSettings& s) {
     try {
-      validate(s, names());
+      validate(s, named_settings());
     } catch (const ProcessorSettingsError& error) {
       return std::string(error.what());
     }
     return std::string();
   };
   ProcessorSettings s;
-  EXPECT_EQ(said(s), "");
+  EXPECT_EQ(error_of(s), "");
   s.mapping.rules = {{"", "", "nope", "", {}, "f:7"}};
-  EXPECT_EQ(said(s), "f:7: no class 'nope'; there are lookup, hold, zoned, pay");
+  EXPECT_EQ(error_of(s), "f:7: no class 'nope'; there are lookup, hold, zoned, pay");
   s.mapping.rules = {{"", "", "", "", 9.0, "f:8"}};
-  EXPECT_EQ(said(s), "f:8: units must be at most 4.000000");
+  EXPECT_EQ(error_of(s), "f:8: units must be at most 4.000000");
   s.mapping.rules.clear();
   s.mapping.default_plan = "gold";
   s.mapping.source = "f:3";
-  EXPECT_EQ(said(s), "f:3: no plan 'gold'; there are team, tiny");
+  EXPECT_EQ(error_of(s), "f:3: no plan 'gold'; there are team, tiny");
 }
 
-TEST(Messages, UnknownFieldsAreSkippedAndTheLastOfAOneofHolds) {
+TEST(Messages, UnknownFieldsAreSkippedAndTheLastOneofMemberCounts) {
   pb::ProcessingRequest m;
   ASSERT_TRUE(m.ParseFromString(request_headers({{"a", "1"}, {"b", ""}})));
   const std::string known = m.SerializeAsString();
@@ -191,52 +196,52 @@
   const std::string unknown = std::string("\x42\x03zzz", 5) + std::string("\xa0\x06\x07", 3) +
                               std::string("\xa9\x06") + std::string(8, 'x') + std::string("\xb5\x06") +
                               "1234";
-  ProcessingRequest read;
-  const std::string between = unknown + known + unknown;  // the views go no further than the bytes
-  ASSERT_TRUE(parse_processing_request(between, read));
-  EXPECT_EQ(read.part, ProcessingRequest::kRequestHeaders);
-  ASSERT_EQ(read.headers.size(), 2u);
-  EXPECT_EQ(read.headers[0].name, "a");
-  EXPECT_EQ(read.headers[0].value, "1");
-  EXPECT_EQ(read.headers[1].value, "");
-  EXPECT_TRUE(read.end_of_stream);
+  ProcessingRequest parsed;
+  const std::string padded = unknown + known + unknown;  // the views go no further than the bytes
+  ASSERT_TRUE(parse_processing_request(padded, parsed));
+  EXPECT_EQ(parsed.part, ProcessingRequest::kRequestHeaders);
+  ASSERT_EQ(parsed.headers.size(), 2u);
+  EXPECT_EQ(parsed.headers[0].name, "a");
+  EXPECT_EQ(parsed.headers[0].value, "1");
+  EXPECT_EQ(parsed.headers[1].value, "");
+  EXPECT_TRUE(parsed.end_of_stream);
   m.Clear();
   m.mutable_response_body()->set_body("xyz");
-  const std::string two = known + m.SerializeAsString();
-  ASSERT_TRUE(parse_processing_request(two, read));
-  EXPECT_EQ(read.part, ProcessingRequest::kResponseBody);
-  EXPECT_EQ(read.body, "xyz");
-  EXPECT_FALSE(read.end_of_stream);
+  const std::string two_parts = known + m.SerializeAsString();
+  ASSERT_TRUE(parse_processing_request(two_parts, parsed));
+  EXPECT_EQ(parsed.part, ProcessingRequest::kResponseBody);
+  EXPECT_EQ(parsed.body, "xyz");
+  EXPECT_FALSE(parsed.end_of_stream);
   // A value as text, as older proxies send it, and a field of another type than it should have.
   m.Clear();
   auto* h = m.mutable_request_headers()->mutable_headers()->add_headers();
   h->set_key("k");
   h->set_value("text");
-  const std::string old = m.SerializeAsString();
-  ASSERT_TRUE(parse_processing_request(old, read));
-  EXPECT_EQ(read.headers.at(0).value, "text");
-  const std::string number("\x10\x05", 2);
-  ASSERT_TRUE(parse_processing_request(number, read));  // field 2 as a number
-  EXPECT_EQ(read.headers.size(), 0u);
+  const std::string with_text_value = m.SerializeAsString();
+  ASSERT_TRUE(parse_processing_request(with_text_value, parsed));
+  EXPECT_EQ(parsed.headers.at(0).value, "text");
+  const std::string wrong_type("\x10\x05", 2);
+  ASSERT_TRUE(parse_processing_request(wrong_type, parsed));  // field 2 as a number
+  EXPECT_EQ(parsed.headers.size(), 0u);
 }
 
-TEST(Messages, WhatIsCutAnywhereIsNoMessageOrAShorterOne) {
+TEST(Messages, TruncatedMessagesAreRejectedExceptBetweenFields) {
   const std::string whole = response_headers({{":status", "200"}, {"x", std::string(300, 'v')}},
                                              {{"response.code_details", "via_upstream"}});
-  ProcessingRequest read;
-  ASSERT_TRUE(parse_processing_request(whole, read));
-  EXPECT_EQ(read.code_details, "via_upstream");
-  std::size_t good = 0;
+  ProcessingRequest parsed;
+  ASSERT_TRUE(parse_processing_request(whole, parsed));
+  EXPECT_EQ(parsed.code_details, "via_upstream");
+  std::size_t accepted = 0;
   for (std::size_t n = 0; n < whole.size(); ++n) {
-    const std::string cut = whole.substr(0, n);  // of its own, so that a read past its end shows
-    good += parse_processing_request(cut, read);
+    const std::string truncated = whole.substr(0, n);  // of its own, so that a read past its end shows
+    accepted += parse_processing_request(truncated, parsed);
   }
-  EXPECT_LE(good, 3u);  // between two fields at most
+  EXPECT_LE(accepted, 3u);  // between two fields at most
 }
 
 // ---- ends ----
 
-TEST(Outcomes, ReportsAreReadAsTheTableHasThem) {
+TEST(Outcomes, ReportsAreMappedByTheOutcomeTable) {
   const std::vector<int> not_run{425, 429};
   const auto of = [&](int status, const char* details = "", const char* grpc = "", bool overloaded = false) {
     return outcome_of({status, details, grpc, overloaded, *grpc != 0}, not_run);
@@ -263,7 +268,7 @@
   EXPECT_EQ(of(200, "", "junk"), Outcome::kError);
 }
 
-TEST(Load, OrcaInItsThreeFormsAndThePlainHeader) {
+TEST(Load, ParsesThreeOrcaFormatsAndThePlainHeader) {
   const LoadReportMapping m;
   const auto text =
       parse_orca_report(m, "TEXT cpu_utilization=0.5, named_metrics.queue=3,named_metrics.in_flight=4");
@@ -292,49 +297,51 @@
   }
 }
 
-TEST(Processor, TheReportedLoadMovesTheChoice) {
-  Bench b;
-  std::map<std::string, int> to;
+TEST(Processor, PrefersTheHostWithLowerReportedLoad) {
+  ProcessorHarness harness;
+  std::map<std::string, int> requests_by_endpoint;
   for (int i = 0; i < 60; ++i) {
-    auto& c = b.ask();
+    auto& c = harness.send_request();
     const auto endpoint = c.call.decision().endpoint;
-    if (i >= 20) ++to[endpoint];
-    b.report(c, 200, "via_upstream",
-             {{"endpoint-load-metrics", endpoint == Bench::endpoint(1) ? "TEXT named_metrics.queue=50"
-                                                                       : "TEXT named_metrics.queue=0"}});
-    b.pass(5);
+    if (i >= 20) ++requests_by_endpoint[endpoint];
+    harness.report(c, 200, "via_upstream",
+                   {{"endpoint-load-metrics", endpoint == ProcessorHarness::endpoint(1)
+                                                  ? "TEXT named_metrics.queue=50"
+                                                  : "TEXT named_metrics.queue=0"}});
+    harness.advance(5);
   }
-  EXPECT_GT(to[Bench::endpoint(2)], 30);
-  b.expect_empty();
+  EXPECT_GT(requests_by_endpoint[ProcessorHarness::endpoint(2)], 30);
+  harness.expect_empty();
 }
 
-TEST(Processor, ACallThatReportsAnotherHostCreditsNeither) {
-  Bench b;
-  auto& c = b.ask({}, "hold", "id-1");
-  b.report(c, 200, "", {{"x-gateway-destination-endpoint-served", "127.0.0.1:1"}});
-  EXPECT_EQ(b.totals().sent_to_other_host, 1u);
-  EXPECT_EQ(b.engine.open_count(), 0u);
+TEST(Processor, AReportOnAnotherHostCountsForNeither) {
+  ProcessorHarness harness;
+  auto& c = harness.send_request({}, "hold", "id-1");
+  harness.report(c, 200, "", {{"x-gateway-destination-endpoint-served", "127.0.0.1:1"}});
+  EXPECT_EQ(harness.metrics().sent_to_other_host, 1u);
+  EXPECT_EQ(harness.engine.open_count(), 0u);
   // It has run somewhere: nothing that its class does not cover may be sent again.
-  EXPECT_EQ(b.ask(kSecond, "hold", "id-1").call.decision().details, "cometfold_already_done");
-  auto& same = b.ask();
-  b.report(same, 200, "", {{"x-gateway-destination-endpoint-served", same.call.decision().endpoint}});
-  EXPECT_EQ(b.totals().sent_to_other_host, 1u);
-  b.expect_empty();
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "hold", "id-1").call.decision().details,
+            "cometfold_already_done");
+  auto& same = harness.send_request();
+  harness.report(same, 200, "", {{"x-gateway-destination-endpoint-served", same.call.decision().endpoint}});
+  EXPECT_EQ(harness.metrics().sent_to_other_host, 1u);
+  harness.expect_empty();
 }
 
-TEST(Processor, BodiesAndTrailersAreAnsweredInKindInEveryMode) {
+TEST(Processor, AnswersBodiesAndTrailersInEveryBodyMode) {
   for (const bool duplex : {false, true}) {
-    Bench b;
-    auto& c = b.open();
+    ProcessorHarness harness;
+    auto& c = harness.open_call();
     pb::ProcessingRequest first;
-    ASSERT_TRUE(first.ParseFromString(request_headers(Bench::headers({}, "pay", ""), false)));
+    ASSERT_TRUE(first.ParseFromString(request_headers(ProcessorHarness::headers({}, "pay", ""), false)));
     if (duplex) {
       first.mutable_protocol_config()->set_request_body_mode(pb::ProcessingMode::FULL_DUPLEX_STREAMED);
       first.mutable_protocol_config()->set_response_body_mode(pb::ProcessingMode::FULL_DUPLEX_STREAMED);
     }
-    c.events->on_message(b.now, first.SerializeAsString());
+    c.events->on_message(harness.now, first.SerializeAsString());
     pb::ProcessingResponse r;
-    ASSERT_TRUE(r.ParseFromString(c.call.got.at(0)));
+    ASSERT_TRUE(r.ParseFromString(c.call.received.at(0)));
     EXPECT_EQ(r.has_mode_override(), !duplex);
     if (!duplex) {
       EXPECT_EQ(r.mode_override().response_header_mode(), pb::ProcessingMode::SEND);
@@ -344,9 +351,9 @@
     const auto send = [&](auto&& set) {
       pb::ProcessingRequest m;
       set(m);
-      c.events->on_message(b.now, m.SerializeAsString());
+      c.events->on_message(harness.now, m.SerializeAsString());
       pb::ProcessingResponse answer;
-      EXPECT_TRUE(answer.ParseFromString(c.call.got.back()));
+      EXPECT_TRUE(answer.ParseFromString(c.call.received.back()));
       return answer;
     };
     r = send([](auto& m) { m.mutable_request_body()->set_body("abc"); });
@@ -357,7 +364,7 @@
       EXPECT_EQ(mutation.streamed_response().body(), "abc");
     }
     EXPECT_TRUE(send([](auto& m) { m.mutable_request_trailers(); }).has_request_trailers());
-    b.report(c, 200);
+    harness.report(c, 200);
     r = send([](auto& m) { m.mutable_response_body()->set_body("xyz"); });
     EXPECT_TRUE(r.has_response_body());
     if (duplex) {
@@ -365,379 +372,390 @@
     }
     EXPECT_TRUE(send([](auto& m) { m.mutable_response_trailers(); }).has_response_trailers());
     EXPECT_FALSE(c.call.status);
-    EXPECT_EQ(c.call.got.size(), 6u);
-    b.expect_empty();
+    EXPECT_EQ(c.call.received.size(), 6u);
+    harness.expect_empty();
   }
 }
 
-TEST(Processor, AnObserverIsNeitherAnsweredNorCounted) {
-  Bench b;
-  auto& c = b.open();
+TEST(Processor, NeitherAnswersNorCountsCallsInObservabilityMode) {
+  ProcessorHarness harness;
+  auto& c = harness.open_call();
   pb::ProcessingRequest m;
-  ASSERT_TRUE(m.ParseFromString(request_headers(Bench::headers({}, "pay", ""))));
+  ASSERT_TRUE(m.ParseFromString(request_headers(ProcessorHarness::headers({}, "pay", ""))));
   m.set_observability_mode(true);
-  c.events->on_message(b.now, m.SerializeAsString());
-  b.report(c, 200);
-  EXPECT_TRUE(c.call.got.empty());
-  EXPECT_EQ(b.totals().observed, 1u);
-  EXPECT_EQ(b.totals().new_requests, 0u);
-  b.expect_empty();
+  c.events->on_message(harness.now, m.SerializeAsString());
+  harness.report(c, 200);
+  EXPECT_TRUE(c.call.received.empty());
+  EXPECT_EQ(harness.metrics().observed, 1u);
+  EXPECT_EQ(harness.metrics().new_requests, 0u);
+  harness.expect_empty();
 }
 
 // ---- proxies that go away ----
 
-TEST(Gone, AtEveryPointNothingIsLeft) {
+TEST(Disconnect, LeavesNoStateAtAnyPoint) {
   for (int point = 0; point < 6; ++point) {
-    for (const bool held : {false, true}) {
-      Bench b(marked());
-      auto& c = b.open(held);
-      if (point > 0) c.events->on_message(b.now, request_headers(Bench::headers({}, "lookup", "id")));
-      if (point == 2) b.pass(100);
-      if (point == 3) b.report(c, 200);
-      if (point == 4) b.report(c, 503);
-      if (point == 5) b.pass(40'000);
-      b.gone(c);
-      b.pass(300);
-      EXPECT_EQ(b.engine.open_count(), 0u) << point << held;
-      EXPECT_EQ(b.processor.open(), 0u) << point << held;
-      EXPECT_EQ(b.totals().new_requests, point > 0 ? 1u : 0u);
-      b.expect_empty();
+    for (const bool output_blocked : {false, true}) {
+      ProcessorHarness harness(settings_with_proxy_retries());
+      auto& c = harness.open_call(output_blocked);
+      if (point > 0)
+        c.events->on_message(harness.now, request_headers(ProcessorHarness::headers({}, "lookup", "id")));
+      if (point == 2) harness.advance(100);
+      if (point == 3) harness.report(c, 200);
+      if (point == 4) harness.report(c, 503);
+      if (point == 5) harness.advance(40'000);
+      harness.disconnect(c);
+      harness.advance(300);
+      EXPECT_EQ(harness.engine.open_count(), 0u) << point << output_blocked;
+      EXPECT_EQ(harness.processor.open(), 0u) << point << output_blocked;
+      EXPECT_EQ(harness.metrics().new_requests, point > 0 ? 1u : 0u);
+      harness.expect_empty();
     }
   }
 }
 
-TEST(Gone, AHalfCloseEndsTheCallAndWhatItAskedFor) {
+TEST(Disconnect, AHalfCloseEndsTheCallAndItsRequest) {
   for (int point = 0; point < 4; ++point) {
-    Bench b(marked());
-    auto& c = b.open(true);
-    if (point > 0) c.events->on_message(b.now, request_headers(Bench::headers({}, "pay", "id")));
+    ProcessorHarness harness(settings_with_proxy_retries());
+    auto& c = harness.open_call(true);
+    if (point > 0)
+      c.events->on_message(harness.now, request_headers(ProcessorHarness::headers({}, "pay", "id")));
     if (point > 1) c.call.flush();
-    if (point > 2) b.report(c, 200);
-    c.events->on_half_closed(b.now);
+    if (point > 2) harness.report(c, 200);
+    c.events->on_half_closed(harness.now);
     ASSERT_TRUE(c.call.status) << point;
     EXPECT_EQ(c.call.status->code, Code::kOk);
-    EXPECT_EQ(b.engine.open_count(), 0u) << point;
-    EXPECT_EQ(b.totals().unreported, point == 2 ? 1u : 0u);
+    EXPECT_EQ(harness.engine.open_count(), 0u) << point;
+    EXPECT_EQ(harness.metrics().unreported, point == 2 ? 1u : 0u);
     // A decision that never left costs nothing and may be asked for again.
-    const auto again = b.ask(kSecond, "pay", "id").call.decision();
-    EXPECT_EQ(again.endpoint.empty(), point == 0 || point > 1) << point;
-    b.expect_empty();
+    const auto retry = harness.send_request(kSecondAttempt, "pay", "id").call.decision();
+    EXPECT_EQ(retry.endpoint.empty(), point == 0 || point > 1) << point;
+    harness.expect_empty();
   }
 }
 
-TEST(Gone, UnitsAreTakenExactlyWhenTheRequestMayHaveGoneOn) {
-  const auto room = [](bool held) {
-    Bench b;
-    b.pass(20'000);  // its slice of the ceiling starts empty
-    for (int i = 0; i < 50; ++i) b.gone(b.ask({{"x-cometfold-plan", "tiny"}}, "lookup", "", held));
+TEST(Disconnect, UnitsAreChargedExactlyIfTheDecisionWasSent) {
+  const auto served_after_disconnects = [](bool output_blocked) {
+    ProcessorHarness harness;
+    harness.advance(20'000);  // its slice of the ceiling starts empty
+    for (int i = 0; i < 50; ++i)
+      harness.disconnect(harness.send_request({{"x-cometfold-plan", "tiny"}}, "lookup", "", output_blocked));
     int served = 0;
     for (int i = 0; i < 10; ++i)
-      served += !b.ask({{"x-cometfold-plan", "tiny"}}).call.decision().endpoint.empty();
+      served += !harness.send_request({{"x-cometfold-plan", "tiny"}}).call.decision().endpoint.empty();
     return served;
   };
-  EXPECT_EQ(room(false), 0) << "the decisions had left: what they took is gone";
-  EXPECT_GE(room(true), 1) << "none of them left: the room is there again";
+  EXPECT_EQ(served_after_disconnects(false), 0) << "the decisions had left: what they took is gone";
+  EXPECT_GE(served_after_disconnects(true), 1) << "none of them left: the room is there again";
 }
 
-TEST(Gone, AnAttemptWhoseProxyIsSilentEndsWithItsTimeAndBlamesNobody) {
-  Bench b;
+TEST(Disconnect, AnUnreportedAttemptTimesOutWithoutBlamingItsHost) {
+  ProcessorHarness harness;
   for (int i = 0; i < 30; ++i) {
-    b.ask({{"x-cometfold-deadline-ms", "200"}});
-    b.pass(100);
+    harness.send_request({{"x-cometfold-deadline-ms", "200"}});
+    harness.advance(100);
   }
-  b.pass(1000);
-  EXPECT_EQ(b.engine.open_count(), 0u);
-  EXPECT_GT(b.totals().report_timeouts, 20u);
-  EXPECT_EQ(b.totals().report_timeouts, b.totals().routed);
-  std::map<std::string, int> to;
+  harness.advance(1000);
+  EXPECT_EQ(harness.engine.open_count(), 0u);
+  EXPECT_GT(harness.metrics().report_timeouts, 20u);
+  EXPECT_EQ(harness.metrics().report_timeouts, harness.metrics().routed);
+  std::map<std::string, int> requests_by_endpoint;
   for (int i = 0; i < 30; ++i) {
-    auto& c = b.ask();
-    ++to[c.call.decision().endpoint];
-    b.pass(5);
-    b.report(c, 200);
+    auto& c = harness.send_request();
+    ++requests_by_endpoint[c.call.decision().endpoint];
+    harness.advance(5);
+    harness.report(c, 200);
   }
-  EXPECT_EQ(to.size(), 2u) << "a host was shut out for what its proxy did not tell";
-  b.expect_empty();
+  EXPECT_EQ(requests_by_endpoint.size(), 2u) << "a host was shut out for what its proxy did not tell";
+  harness.expect_empty();
 }
 
-TEST(Gone, ALateReportChangesNothing) {
-  Bench b;
-  auto& c = b.ask({{"x-cometfold-deadline-ms", "200"}});
-  b.pass(1000);
-  b.report(c, 200);
-  EXPECT_EQ(c.call.got.size(), 2u);
-  EXPECT_EQ(b.totals().reported, 0u);
-  b.expect_empty();
+TEST(Disconnect, ALateReportIsIgnored) {
+  ProcessorHarness harness;
+  auto& c = harness.send_request({{"x-cometfold-deadline-ms", "200"}});
+  harness.advance(1000);
+  harness.report(c, 200);
+  EXPECT_EQ(c.call.received.size(), 2u);
+  EXPECT_EQ(harness.metrics().reported, 0u);
+  harness.expect_empty();
 }
 
 // ---- hosts that go ----
 
-TEST(Drain, ADecisionThatHasNotLeftIsMadeAnew) {
-  Bench b;
-  auto& c = b.ask({}, "pay", "", true);
-  const auto first = decision_in(c.call.out.at(0)).endpoint;
-  const HostId host = first == Bench::endpoint(1) ? 1 : 2;
-  b.drain(host);
+TEST(Drain, AnUnsentDecisionIsReplaced) {
+  ProcessorHarness harness;
+  auto& c = harness.send_request({}, "pay", "", true);
+  const auto first = parse_decision(c.call.unsent.at(0)).endpoint;
+  const HostId host = first == ProcessorHarness::endpoint(1) ? 1 : 2;
+  harness.drain_host(host);
   c.call.flush();
-  EXPECT_EQ(c.call.got.size(), 1u);
-  EXPECT_EQ(c.call.decision().endpoint, Bench::endpoint(3 - host));
-  EXPECT_EQ(b.totals().withdrawn, 1u);
-  EXPECT_EQ(b.totals().routed, 1u);
-  b.report(c, 200);
-  EXPECT_EQ(b.totals().reported, 1u);
-  b.expect_empty();
-}
-
-TEST(Drain, WithoutAnotherHostItIsRefusedAndNothingElseIsSent) {
-  Bench b({}, 1);
-  auto& c = b.ask({}, "pay", "", true);
-  b.drain(1);
+  EXPECT_EQ(c.call.received.size(), 1u);
+  EXPECT_EQ(c.call.decision().endpoint, ProcessorHarness::endpoint(3 - host));
+  EXPECT_EQ(harness.metrics().withdrawn, 1u);
+  EXPECT_EQ(harness.metrics().routed, 1u);
+  harness.report(c, 200);
+  EXPECT_EQ(harness.metrics().reported, 1u);
+  harness.expect_empty();
+}
+
+TEST(Drain, AnUnsentDecisionBecomesARejectionWithoutAnotherHost) {
+  ProcessorHarness harness({}, 1);
+  auto& c = harness.send_request({}, "pay", "", true);
+  harness.drain_host(1);
   c.call.flush();
-  EXPECT_EQ(c.call.got.size(), 1u);
+  EXPECT_EQ(c.call.received.size(), 1u);
   EXPECT_EQ(c.call.decision().status, 429);
-  EXPECT_EQ(b.totals().routed, 0u);
-  b.expect_empty();
+  EXPECT_EQ(harness.metrics().routed, 0u);
+  harness.expect_empty();
 }
 
-TEST(Drain, ADecisionThatHasLeftStandsAndNothingNewGoesThere) {
-  Bench b;
-  auto& c = b.ask({}, "pay");
-  const HostId host = c.call.decision().endpoint == Bench::endpoint(1) ? 1 : 2;
-  b.drain(host);
+TEST(Drain, ASentDecisionStandsAndNewRequestsGoElsewhere) {
+  ProcessorHarness harness;
+  auto& c = harness.send_request({}, "pay");
+  const HostId host = c.call.decision().endpoint == ProcessorHarness::endpoint(1) ? 1 : 2;
+  harness.drain_host(host);
   for (int i = 0; i < 20; ++i) {
-    auto& other = b.ask();
-    EXPECT_EQ(other.call.decision().endpoint, Bench::endpoint(3 - host));
-    b.report(other, 200);
+    auto& other = harness.send_request();
+    EXPECT_EQ(other.call.decision().endpoint, ProcessorHarness::endpoint(3 - host));
+    harness.report(other, 200);
   }
-  b.report(c, 200);
-  EXPECT_EQ(b.totals().reported, 21u);
-  b.expect_empty();
+  harness.report(c, 200);
+  EXPECT_EQ(harness.metrics().reported, 21u);
+  harness.expect_empty();
 }
 
-TEST(Drain, AnOfferThatNobodyFetchedGoesElsewhere) {
-  Bench b(marked(), 3);
-  auto& c = b.ask({}, "lookup", "id");
+TEST(Drain, AnUnfetchedAttemptMovesToAnotherHost) {
+  ProcessorHarness harness(settings_with_proxy_retries(), 3);
+  auto& c = harness.send_request({}, "lookup", "id");
   const auto first = c.call.decision().endpoint;
-  b.report(c, 503);
+  harness.report(c, 503);
   for (HostId h = 1; h <= 3; ++h) {
-    if (Bench::endpoint(h) != first && b.engine.open_count() > 0) {
-      b.drain(h);
+    if (ProcessorHarness::endpoint(h) != first && harness.engine.open_count() > 0) {
+      harness.drain_host(h);
       break;
     }
   }
-  const auto again = b.ask(kSecond, "lookup", "id").call.decision();
-  EXPECT_FALSE(again.endpoint.empty());
-  EXPECT_NE(again.endpoint, first);
-  b.expect_empty();
+  const auto retry = harness.send_request(kSecondAttempt, "lookup", "id").call.decision();
+  EXPECT_FALSE(retry.endpoint.empty());
+  EXPECT_NE(retry.endpoint, first);
+  harness.expect_empty();
 }
 
 // ---- calls that come again ----
 
-TEST(Again, ASafeRequestGetsTheModulesNextHost) {
-  Bench b(marked());
-  auto& c = b.ask({}, "lookup", "id");
-  EXPECT_FALSE(c.call.decision().set.contains("x-envoy-max-retries"));
-  b.report(c, 500);
-  auto& again = b.ask(kSecond, "lookup", "id");
-  EXPECT_FALSE(again.call.decision().endpoint.empty());
-  EXPECT_NE(again.call.decision().endpoint, c.call.decision().endpoint);
-  b.report(again, 200);
-  EXPECT_EQ(b.totals().new_requests, 1u);
-  EXPECT_EQ(b.totals().retried_requests, 1u);
-  EXPECT_EQ(b.totals().routed, 2u);
-  b.expect_empty();
-}
-
-TEST(Again, AnUnsafeRequestIsNeverGivenASecondHost) {
-  for (const auto repeats : {ProxyRetries::kNever, ProxyRetries::kMarked}) {
-    for (int how = 0; how < 5; ++how) {
+TEST(Retry, AnIdempotentRequestGetsTheModulesNextHost) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  auto& c = harness.send_request({}, "lookup", "id");
+  EXPECT_FALSE(c.call.decision().set_headers.contains("x-envoy-max-retries"));
+  harness.report(c, 500);
+  auto& retry = harness.send_request(kSecondAttempt, "lookup", "id");
+  EXPECT_FALSE(retry.call.decision().endpoint.empty());
+  EXPECT_NE(retry.call.decision().endpoint, c.call.decision().endpoint);
+  harness.report(retry, 200);
+  EXPECT_EQ(harness.metrics().new_requests, 1u);
+  EXPECT_EQ(harness.metrics().retried_requests, 1u);
+  EXPECT_EQ(harness.metrics().routed, 2u);
+  harness.expect_empty();
+}
+
+TEST(Retry, ANonIdempotentRequestNeverGetsASecondHost) {
+  for (const auto proxy_retries : {ProxyRetries::kNever, ProxyRetries::kMarked}) {
+    for (int variant = 0; variant < 5; ++variant) {
       ProcessorSettings s;
-      s.proxy_retries = repeats;
-      Bench b(s);
-      auto& c = b.ask({}, "pay", "id");
-      EXPECT_EQ(c.call.decision().set.at("x-envoy-max-retries"), "0");
-      if (how == 1) b.report(c, 500);
-      if (how == 2) b.gone(c);
-      if (how == 3) b.report(c, 200);
-      if (how == 4) b.pass(40'000);
-      const auto d = b.ask(kSecond, "pay", "id").call.decision();
-      EXPECT_TRUE(d.endpoint.empty()) << how;
+      s.proxy_retries = proxy_retries;
+      ProcessorHarness harness(s);
+      auto& c = harness.send_request({}, "pay", "id");
+      EXPECT_EQ(c.call.decision().set_headers.at("x-envoy-max-retries"), "0");
+      if (variant == 1) harness.report(c, 500);
+      if (variant == 2) harness.disconnect(c);
+      if (variant == 3) harness.report(c, 200);
+      if (variant == 4) harness.advance(40'000);
+      const auto d = harness.send_request(kSecondAttempt, "pay", "id").call.decision();
+      EXPECT_TRUE(d.endpoint.empty()) << variant;
       EXPECT_EQ(d.status == 503 || d.status == 504, true) << d.status;
-      EXPECT_EQ(b.totals().routed, 1u);
-      b.expect_empty();
+      EXPECT_EQ(harness.metrics().routed, 1u);
+      harness.expect_empty();
     }
   }
 }
 
-TEST(Again, ACallBesideAnOpenOneTakesItsPlace) {
-  Bench b(marked());
-  auto& c = b.ask({}, "lookup", "id");
-  auto& again = b.ask(kSecond, "lookup", "id");
-  EXPECT_FALSE(again.call.decision().endpoint.empty());
-  b.report(c, 200);  // of an attempt that the proxy had given up
-  EXPECT_EQ(b.totals().reported, 0u);
-  b.report(again, 200);
-  EXPECT_EQ(b.totals().reported, 1u);
-  b.expect_empty();
-}
-
-TEST(Again, ADecisionThatNeverLeftIsGivenAgainToAnyClass) {
-  Bench b(marked());
-  auto& c = b.ask({}, "pay", "id", true);
-  const auto first = decision_in(c.call.out.at(0)).endpoint;
-  auto& again = b.ask(kSecond, "pay", "id");
-  EXPECT_EQ(again.call.decision().endpoint, first);
-  EXPECT_TRUE(c.call.out.empty());
+TEST(Retry, ANewCallReplacesAnOpenOne) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  auto& c = harness.send_request({}, "lookup", "id");
+  auto& retry = harness.send_request(kSecondAttempt, "lookup", "id");
+  EXPECT_FALSE(retry.call.decision().endpoint.empty());
+  harness.report(c, 200);  // of an attempt that the proxy had given up
+  EXPECT_EQ(harness.metrics().reported, 0u);
+  harness.report(retry, 200);
+  EXPECT_EQ(harness.metrics().reported, 1u);
+  harness.expect_empty();
+}
+
+TEST(Retry, AnUnsentDecisionIsRepeatedForAnyClass) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  auto& c = harness.send_request({}, "pay", "id", true);
+  const auto first = parse_decision(c.call.unsent.at(0)).endpoint;
+  auto& retry = harness.send_request(kSecondAttempt, "pay", "id");
+  EXPECT_EQ(retry.call.decision().endpoint, first);
+  EXPECT_TRUE(c.call.unsent.empty());
   EXPECT_EQ(c.call.status.value().code, Code::kAborted);
-  EXPECT_EQ(b.totals().routed, 1u);
-  auto& gone = b.ask({}, "pay", "id2", true);
-  b.gone(gone);
-  EXPECT_FALSE(b.ask(kSecond, "pay", "id2").call.decision().endpoint.empty());
-  b.expect_empty();
-}
-
-TEST(Again, AKeyedRequestStaysInItsGroupAndNeedsItsKey) {
-  Bench b(marked(), 0);
-  b.ready(1, 0);
-  b.ready(2, 1);
-  b.ready(3, 0);
+  EXPECT_EQ(harness.metrics().routed, 1u);
+  auto& disconnected = harness.send_request({}, "pay", "id2", true);
+  harness.disconnect(disconnected);
+  EXPECT_FALSE(harness.send_request(kSecondAttempt, "pay", "id2").call.decision().endpoint.empty());
+  harness.expect_empty();
+}
+
+TEST(Retry, AZoneScopedKeyKeepsRetriesInItsZoneAndIsRequired) {
+  ProcessorHarness harness(settings_with_proxy_retries(), 0);
+  harness.add_ready_host(1, 0);
+  harness.add_ready_host(2, 1);
+  harness.add_ready_host(3, 0);
   for (int i = 0; i < 10; ++i) {
     const auto id = "z" + std::to_string(i);
-    auto& c = b.ask({}, "zoned", id);
+    auto& c = harness.send_request({}, "zoned", id);
     const auto first = c.call.decision().endpoint;
-    b.report(c, 500);
-    auto& again = b.ask(kSecond, "zoned", id);
-    const auto second = again.call.decision().endpoint;
+    harness.report(c, 500);
+    auto& retry = harness.send_request(kSecondAttempt, "zoned", id);
+    const auto second = retry.call.decision().endpoint;
     if (!second.empty()) {
-      EXPECT_EQ(first == Bench::endpoint(2), second == Bench::endpoint(2));
+      EXPECT_EQ(first == ProcessorHarness::endpoint(2), second == ProcessorHarness::endpoint(2));
     }
-    b.report(again, 200);
-    b.pass(500);
+    harness.report(retry, 200);
+    harness.advance(500);
   }
-  auto& c = b.ask({{"idempotency-key", ""}}, "zoned", "no-key");
-  b.report(c, 500);
-  EXPECT_TRUE(b.ask(kSecond, "zoned", "no-key").call.decision().endpoint.empty());
-  b.expect_empty();
+  auto& c = harness.send_request({{"idempotency-key", ""}}, "zoned", "no-key");
+  harness.report(c, 500);
+  EXPECT_TRUE(harness.send_request(kSecondAttempt, "zoned", "no-key").call.decision().endpoint.empty());
+  harness.expect_empty();
 }
 
-TEST(Again, TheFirstDecisionIsFoundWhateverItWas) {
-  Bench b(marked());
-  std::string refused;
-  for (int i = 0; i < 40 && refused.empty(); ++i) {
+TEST(Retry, ReturnsTheRememberedDecision) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  std::string rejected_id;
+  for (int i = 0; i < 40 && rejected_id.empty(); ++i) {
     const auto id = "r" + std::to_string(i);
-    if (b.ask({{"x-cometfold-plan", "tiny"}}, "lookup", id).call.decision().status == 429) refused = id;
+    if (harness.send_request({{"x-cometfold-plan", "tiny"}}, "lookup", id).call.decision().status == 429)
+      rejected_id = id;
   }
-  const auto before = b.totals().new_requests;
-  EXPECT_EQ(b.ask(kSecond, "lookup", refused).call.decision().status, 429);
-  EXPECT_EQ(b.totals().new_requests, before);
-  auto& done = b.ask({}, "hold", "done");
-  b.report(done, 200);
-  EXPECT_EQ(b.ask(kSecond, "hold", "done").call.decision().details, "cometfold_already_done");
-  b.expect_empty();
+  const auto before = harness.metrics().new_requests;
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "lookup", rejected_id).call.decision().status, 429);
+  EXPECT_EQ(harness.metrics().new_requests, before);
+  auto& done = harness.send_request({}, "hold", "done");
+  harness.report(done, 200);
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "hold", "done").call.decision().details,
+            "cometfold_already_done");
+  harness.expect_empty();
 }
 
 // An offer that waits for the proxy's next call was decided on earlier: what may not go out any more is not
 // named.
-TEST(Again, AnOfferIsHeldToTheRulesWhenItIsFetched) {
-  auto terms = names().settings;
-  terms.classes[1].idempotency_key_ttl_ms = 1000;  // of the class "hold"
-  auto settings = marked();
+TEST(Retry, TheRulesAreCheckedAgainWhenAnAttemptIsFetched) {
+  auto admission_settings = named_settings().settings;
+  admission_settings.classes[1].idempotency_key_ttl_ms = 1000;  // of the class "hold"
+  auto settings = settings_with_proxy_retries();
   settings.retry_wait_ms = 10'000;
-  for (const bool late : {true, false}) {
-    Bench b(settings);
-    b.engine.update_settings(terms);
-    auto& c = b.ask({}, "hold", "id");
-    const HostId first = c.call.decision().endpoint == Bench::endpoint(1) ? 1 : 2, second = 3 - first;
-    b.report(c, 500);
-    if (late) {
-      b.pass(2000);  // the key is forgotten
+  for (const bool key_expires : {true, false}) {
+    ProcessorHarness harness(settings);
+    harness.engine.update_settings(admission_settings);
+    auto& c = harness.send_request({}, "hold", "id");
+    const HostId first = c.call.decision().endpoint == ProcessorHarness::endpoint(1) ? 1 : 2,
+                 second = 3 - first;
+    harness.report(c, 500);
+    if (key_expires) {
+      harness.advance(2000);  // the key is forgotten
     } else {
-      b.tell({.id = second, .state = HostState::kReady, .started_at = b.now});
+      harness.update_host({.id = second, .state = HostState::kReady, .started_at = harness.now});
     }
-    const auto again = b.ask(kSecond, "hold", "id").call.decision();
-    const auto stopped = late ? AttemptVerdict::kKeyExpired : AttemptVerdict::kHostRestarted;
-    EXPECT_EQ(b.engine.rule_metrics().first_bytes[static_cast<std::size_t>(stopped)], 1u);
-    if (late) {
-      EXPECT_TRUE(again.endpoint.empty());
+    const auto retry = harness.send_request(kSecondAttempt, "hold", "id").call.decision();
+    const auto verdict = key_expires ? AttemptVerdict::kKeyExpired : AttemptVerdict::kHostRestarted;
+    EXPECT_EQ(harness.engine.rule_metrics().first_bytes[static_cast<std::size_t>(verdict)], 1u);
+    if (key_expires) {
+      EXPECT_TRUE(retry.endpoint.empty());
     }
-    b.expect_empty();
+    harness.expect_empty();
   }
 }
 
-TEST(Again, AnOfferThatNobodyFetchesIsDroppedInTime) {
-  Bench b(marked());
-  auto& c = b.ask({}, "lookup", "id");
-  b.report(c, 500);
-  EXPECT_EQ(b.engine.open_count(), 1u);
-  b.pass(249);
-  EXPECT_EQ(b.engine.open_count(), 1u);
-  b.pass(2);
-  EXPECT_EQ(b.engine.open_count(), 0u);
-  b.expect_empty();
+TEST(Retry, AnAttemptThatIsNotFetchedInTimeIsDropped) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  auto& c = harness.send_request({}, "lookup", "id");
+  harness.report(c, 500);
+  EXPECT_EQ(harness.engine.open_count(), 1u);
+  harness.advance(249);
+  EXPECT_EQ(harness.engine.open_count(), 1u);
+  harness.advance(2);
+  EXPECT_EQ(harness.engine.open_count(), 0u);
+  harness.expect_empty();
 }
 
-TEST(Again, TwoRequestsWithOneIdAreBothServedAndNeitherIsRepeated) {
-  Bench b(marked());
-  auto& one = b.ask({}, "lookup", "same");
-  auto& two = b.ask({}, "lookup", "same");
+TEST(Retry, TwoRequestsWithOneIdAreBothServedButNotRetried) {
+  ProcessorHarness harness(settings_with_proxy_retries());
+  auto& one = harness.send_request({}, "lookup", "same");
+  auto& two = harness.send_request({}, "lookup", "same");
   EXPECT_FALSE(one.call.decision().endpoint.empty());
   EXPECT_FALSE(two.call.decision().endpoint.empty());
-  EXPECT_EQ(b.ask(kSecond, "lookup", "same").call.decision().details, "cometfold_id_not_unique");
-  b.report(one, 500);
-  EXPECT_EQ(b.ask(kSecond, "lookup", "same").call.decision().details, "cometfold_id_not_unique");
-  b.report(two, 200);
-  EXPECT_EQ(b.totals().new_requests, 2u);
-  b.expect_empty();
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "lookup", "same").call.decision().details,
+            "cometfold_id_not_unique");
+  harness.report(one, 500);
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "lookup", "same").call.decision().details,
+            "cometfold_id_not_unique");
+  harness.report(two, 200);
+  EXPECT_EQ(harness.metrics().new_requests, 2u);
+  harness.expect_empty();
 }
 
 // A proxy that lets its clients choose the id: a later request under it must not vouch for an earlier one.
-TEST(Again, AnIdUsedAnewForAnotherRequestLetsNeitherBeRepeated) {
-  for (int how = 0; how < 3; ++how) {
-    Bench b(marked());
-    auto& pay = b.ask({}, "pay", "same");
-    if (how < 2) b.report(pay, 500);
-    auto& other = b.ask({}, how == 1 ? "pay" : "lookup", "same", how == 1);
-    if (how == 0) b.report(other, 200);
-    if (how == 1) b.gone(other);  // its decision never left
-    EXPECT_TRUE(b.ask(kSecond, "pay", "same").call.decision().endpoint.empty()) << how;
-    b.expect_empty();
+TEST(Retry, ReusingAnIdPreventsRetriesOfBothRequests) {
+  for (int variant = 0; variant < 3; ++variant) {
+    ProcessorHarness harness(settings_with_proxy_retries());
+    auto& pay = harness.send_request({}, "pay", "same");
+    if (variant < 2) harness.report(pay, 500);
+    auto& other = harness.send_request({}, variant == 1 ? "pay" : "lookup", "same", variant == 1);
+    if (variant == 0) harness.report(other, 200);
+    if (variant == 1) harness.disconnect(other);  // its decision never left
+    EXPECT_TRUE(harness.send_request(kSecondAttempt, "pay", "same").call.decision().endpoint.empty())
+        << variant;
+    harness.expect_empty();
   }
 }
 
-TEST(Again, AfterARestartOnlyWhatItsClassCoversEverywhereIsSentAgain) {
-  Bench b(marked());  // knows nothing of any earlier attempt
-  EXPECT_FALSE(b.ask(kSecond, "lookup", "a").call.decision().endpoint.empty());
-  EXPECT_FALSE(b.ask(kSecond, "hold", "b").call.decision().endpoint.empty());
+TEST(Retry, AfterARestartOnlyRetriesSafeOnAllHostsAreSent) {
+  ProcessorHarness harness(settings_with_proxy_retries());  // knows nothing of any earlier attempt
+  EXPECT_FALSE(harness.send_request(kSecondAttempt, "lookup", "a").call.decision().endpoint.empty());
+  EXPECT_FALSE(harness.send_request(kSecondAttempt, "hold", "b").call.decision().endpoint.empty());
   for (const char* cls : {"zoned", "pay"}) {
-    const auto d = b.ask(kSecond, cls, std::string("c") + cls).call.decision();
+    const auto d = harness.send_request(kSecondAttempt, cls, std::string("c") + cls).call.decision();
     EXPECT_EQ(d.status, 503);
     EXPECT_EQ(d.details, "cometfold_first_attempt_not_known");
   }
-  EXPECT_TRUE(b.ask({{"x-envoy-attempt-count", "2"}, {"idempotency-key", ""}}, "hold", "d")
+  EXPECT_TRUE(harness.send_request({{"x-envoy-attempt-count", "2"}, {"idempotency-key", ""}}, "hold", "d")
                   .call.decision()
                   .endpoint.empty());
-  EXPECT_TRUE(b.ask(kSecond, "pay", "").call.decision().endpoint.empty());
-  b.expect_empty();
+  EXPECT_TRUE(harness.send_request(kSecondAttempt, "pay", "").call.decision().endpoint.empty());
+  harness.expect_empty();
 }
 
-TEST(Again, WhatIsRememberedIsBounded) {
-  ProcessorSettings s = marked();
+TEST(Retry, RememberedDecisionsAreBounded) {
+  ProcessorSettings s = settings_with_proxy_retries();
   s.max_remembered_decisions = 50;
-  Bench b(s);
+  ProcessorHarness harness(s);
   for (int i = 0; i < 500; ++i) {
-    auto& c = b.ask({}, "pay", "id" + std::to_string(i));
-    b.report(c, 200);
-    EXPECT_LE(b.processor.remembered_count(), 50u);
+    auto& c = harness.send_request({}, "pay", "id" + std::to_string(i));
+    harness.report(c, 200);
+    EXPECT_LE(harness.processor.remembered_count(), 50u);
   }
-  EXPECT_EQ(b.ask(kSecond, "pay", "id499").call.decision().details, "cometfold_already_done");
-  EXPECT_EQ(b.ask(kSecond, "pay", "id1").call.decision().details, "cometfold_first_attempt_not_known");
-  b.expect_empty();
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "pay", "id499").call.decision().details,
+            "cometfold_already_done");
+  EXPECT_EQ(harness.send_request(kSecondAttempt, "pay", "id1").call.decision().details,
+            "cometfold_first_attempt_not_known");
+  harness.expect_empty();
 }
 
 // ---- messages that do not belong there ----
 
-TEST(Order, WhatTheProtocolForbidsEndsTheCall) {
-  const std::string headers = request_headers(Bench::headers({}, "pay", ""), false);
+TEST(MessageOrder, AForbiddenMessageEndsTheCall) {
+  const std::string headers = request_headers(ProcessorHarness::headers({}, "pay", ""), false);
   pb::ProcessingRequest m;
   m.mutable_request_body();
   const std::string body = m.SerializeAsString();
@@ -758,113 +776,119 @@
       {headers, response, response},
       {headers, trailers, body},
       {headers, response, response_trailers, response_body},
-      {request_headers(Bench::headers({}, "pay", ""), true), body},
+      {request_headers(ProcessorHarness::headers({}, "pay", ""), true), body},
       {std::string()},
       {headers, "\xff\xff not a message"},
   };
   for (const auto& messages : forbidden) {
-    Bench b;
-    auto& c = b.open();
-    for (const auto& bytes : messages) c.events->on_message(b.now, bytes);
+    ProcessorHarness harness;
+    auto& c = harness.open_call();
+    for (const auto& bytes : messages) c.events->on_message(harness.now, bytes);
     ASSERT_TRUE(c.call.status);
     EXPECT_EQ(c.call.status->code, Code::kInvalidArgument);
-    EXPECT_EQ(b.engine.open_count(), 0u);
-    EXPECT_EQ(b.processor.open(), 0u);
-    const auto sent = c.call.got.size();
-    c.events->on_message(b.now, response);  // what still comes is not answered
-    EXPECT_EQ(c.call.got.size(), sent);
-    b.expect_empty();
+    EXPECT_EQ(harness.engine.open_count(), 0u);
+    EXPECT_EQ(harness.processor.open(), 0u);
+    const auto sent = c.call.received.size();
+    c.events->on_message(harness.now, response);  // what still comes is not answered
+    EXPECT_EQ(c.call.received.size(), sent);
+    harness.expect_empty();
   }
 }
 
-TEST(Order, AReportForARefusedRequestIsNoEnd) {
-  Bench b({}, 0);
-  auto& c = b.ask();
+TEST(MessageOrder, AReportForARejectedRequestIsIgnored) {
+  ProcessorHarness harness({}, 0);
+  auto& c = harness.send_request();
   EXPECT_EQ(c.call.decision().status, 429);
   EXPECT_EQ(c.call.status.value().code, Code::kOk);
-  b.report(c, 429);
-  EXPECT_EQ(c.call.got.size(), 1u);
-  EXPECT_EQ(b.totals().reported, 0u);
-  b.expect_empty();
-}
-
-TEST(Stop, WhatWaitsIsAnsweredAndWhatIsOutMayEnd) {
-  Bench b;
-  auto& out = b.ask({}, "pay");
-  b.engine.begin_shutdown(b.now);
-  b.report(out, 200);
-  EXPECT_EQ(b.totals().reported, 1u);
-  auto& late = b.ask({}, "pay");
+  harness.report(c, 429);
+  EXPECT_EQ(c.call.received.size(), 1u);
+  EXPECT_EQ(harness.metrics().reported, 0u);
+  harness.expect_empty();
+}
+
+TEST(Shutdown, RequestsAreAnsweredAndOpenAttemptsMayEnd) {
+  ProcessorHarness harness;
+  auto& in_flight = harness.send_request({}, "pay");
+  harness.engine.begin_shutdown(harness.now);
+  harness.report(in_flight, 200);
+  EXPECT_EQ(harness.metrics().reported, 1u);
+  auto& late = harness.send_request({}, "pay");
   EXPECT_FALSE(late.call.decision().endpoint.empty());
-  b.engine.fail_all(b.now);
-  EXPECT_EQ(b.engine.unanswered_count(), 0u);
-  b.expect_empty();
+  harness.engine.fail_all(harness.now);
+  EXPECT_EQ(harness.engine.unanswered_count(), 0u);
+  harness.expect_empty();
 }
 
 // ---- all of it at once ----
 
 // Proxies that do anything at any time, with fixed seeds. What must hold is counted here, apart from the
 // program.
-TEST(Chaos, OneDecisionForEachCallAndNoUnsafeRequestTwice) {
+TEST(RandomProxies, EachCallGetsOneDecisionAndNoNonIdempotentRequestIsSentTwice) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 random(seed);
-    Bench b(seed % 2 ? marked() : ProcessorSettings{}, 4, {.max_open_requests = 60});
-    struct Live {
-      Bench::OpenCall* call;
+    ProcessorHarness harness(seed % 2 ? settings_with_proxy_retries() : ProcessorSettings{}, 4,
+                             {.max_open_requests = 60});
+    struct LiveCall {
+      ProcessorHarness::OpenCall* call;
       std::string id, cls;
       bool reported = false;
     };
-    std::vector<Live> live;
-    std::map<std::string, int> left;  // decisions of unsafe requests that have left, by id
-    std::uint64_t calls = 0, decided = 0;
+    std::vector<LiveCall> live_calls;
+    std::map<std::string, int> sent_decisions;  // decisions of unsafe requests that have left, by id
+    std::uint64_t call_count = 0, decision_count = 0;
     const char* classes[] = {"lookup", "hold", "zoned", "pay"};
-    const auto account = [&](Live& l) {
-      l.call->call.flush();
-      if (!l.call->call.got.empty()) {
-        ++decided;
-        if (l.cls == "pay" && !l.call->call.decision().endpoint.empty()) ++left[l.id];
+    const auto account = [&](LiveCall& live_call) {
+      live_call.call->call.flush();
+      if (!live_call.call->call.received.empty()) {
+        ++decision_count;
+        if (live_call.cls == "pay" && !live_call.call->call.decision().endpoint.empty())
+          ++sent_decisions[live_call.id];
       }
     };
     for (int step = 0; step < 4000; ++step) {
       const auto draw = random() % 100;
-      if (draw < 25 || live.empty()) {
-        const bool again = !live.empty() && random() % 4 == 0;
-        const auto& old = live.empty() ? Live{} : live[random() % live.size()];
-        const std::string id = again ? old.id : "id" + std::to_string(step);
-        const std::string cls = again ? old.cls : classes[random() % 4];
-        auto& c = b.ask(again ? kSecond : HeaderList{}, cls, id, random() % 2 == 0);
-        live.push_back({&c, id, cls});
-        ++calls;
+      if (draw < 25 || live_calls.empty()) {
+        const bool retry = !live_calls.empty() && random() % 4 == 0;
+        const auto& earlier = live_calls.empty() ? LiveCall{} : live_calls[random() % live_calls.size()];
+        const std::string id = retry ? earlier.id : "id" + std::to_string(step);
+        const std::string cls = retry ? earlier.cls : classes[random() % 4];
+        auto& c = harness.send_request(retry ? kSecondAttempt : HeaderList{}, cls, id, random() % 2 == 0);
+        live_calls.push_back({&c, id, cls});
+        ++call_count;
       } else if (draw < 90) {
-        auto& l = live[random() % live.size()];
-        if (random() % 3 == 0) l.call->call.flush();
-        const bool named = !l.call->call.got.empty() && !l.reported && !l.call->call.status;
-        if (draw < 70 && named) {
-          l.reported = true;
+        auto& live_call = live_calls[random() % live_calls.size()];
+        if (random() % 3 == 0) live_call.call->call.flush();
+        const bool routed =
+            !live_call.call->call.received.empty() && !live_call.reported && !live_call.call->call.status;
+        if (draw < 70 && routed) {
+          live_call.reported = true;
           const int statuses[] = {200, 200, 429, 500, 503, 504};
-          b.report(*l.call, statuses[random() % 6],
-                   random() % 8 == 0 ? "upstream_reset_before_response_started{connection_failure}" : "");
+          harness.report(
+              *live_call.call, statuses[random() % 6],
+              random() % 8 == 0 ? "upstream_reset_before_response_started{connection_failure}" : "");
         } else if (draw > 80) {
-          account(l);
-          b.gone(*l.call);
-          l = live.back();
-          live.pop_back();
+          account(live_call);
+          harness.disconnect(*live_call.call);
+          live_call = live_calls.back();
+          live_calls.pop_back();
         }
       } else if (draw < 91) {
         const HostId host = 1 + random() % 4;
-        random() % 2 ? b.drain(host) : b.ready(host);
+        random() % 2 ? harness.drain_host(host) : harness.add_ready_host(host);
       } else {
-        b.pass(static_cast<Ms>(random() % 60));
+        harness.advance(static_cast<Ms>(random() % 60));
       }
     }
-    for (auto& l : live) account(l);
-    for (const auto& [id, times] : left) EXPECT_LE(times, 1) << "seed " << seed << " " << id;
-    const auto& t = b.totals();
-    EXPECT_EQ(t.new_requests + t.retried_requests, calls);
-    EXPECT_EQ(t.routed + t.rejected + t.failed + t.disconnected, calls) << to_text(t);
-    EXPECT_LE(decided, t.routed + t.rejected + t.failed + t.disconnected);
-    b.expect_empty();
-    EXPECT_EQ(t.routed, t.reported + t.unreported + t.report_timeouts) << to_text(t);
+    for (auto& live_call : live_calls) account(live_call);
+    for (const auto& [id, count] : sent_decisions) EXPECT_LE(count, 1) << "seed " << seed << " " << id;
+    const auto& metrics = harness.metrics();
+    EXPECT_EQ(metrics.new_requests + metrics.retried_requests, call_count);
+    EXPECT_EQ(metrics.routed + metrics.rejected + metrics.failed + metrics.disconnected, call_count)
+        << to_text(metrics);
+    EXPECT_LE(decision_count, metrics.routed + metrics.rejected + metrics.failed + metrics.disconnected);
+    harness.expect_empty();
+    EXPECT_EQ(metrics.routed, metrics.reported + metrics.unreported + metrics.report_timeouts)
+        << to_text(metrics);
   }
 }
 
--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -28,32 +28,32 @@
   void retire_host(Ms, HostId) override {}
 };
 
-NamedSettings names() {
-  NamedSettings named{{"lookup", "pay"}, {"team"}, {}};
-  named.settings.classes = {{2000, 6000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
-                            {2000, 6000, 1, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0}};
-  named.settings.plans.resize(1);
-  named.settings.plans[0].quota_rate = named.settings.plans[0].quota_burst = 1e6;
-  named.settings.gateway_count = 1;
-  named.settings.max_attempts = 4;
-  named.settings.min_event_interval_ms = 4;
-  named.settings.overload_factor = 2;
-  named.settings.slow_start_initial_weight = 0.2;
-  named.settings.slow_start_duration_ms = named.settings.overload_window_ms = 1000;
-  return named;
+NamedSettings named_settings() {
+  NamedSettings result{{"lookup", "pay"}, {"team"}, {}};
+  result.settings.classes = {{2000, 6000, 1, 0, Idempotency::kIdempotent, IdempotencyScope::kNone, 0},
+                             {2000, 6000, 1, 0, Idempotency::kNonIdempotent, IdempotencyScope::kNone, 0}};
+  result.settings.plans.resize(1);
+  result.settings.plans[0].quota_rate = result.settings.plans[0].quota_burst = 1e6;
+  result.settings.gateway_count = 1;
+  result.settings.max_attempts = 4;
+  result.settings.min_event_interval_ms = 4;
+  result.settings.overload_factor = 2;
+  result.settings.slow_start_initial_weight = 0.2;
+  result.settings.slow_start_duration_ms = result.settings.overload_window_ms = 1000;
+  return result;
 }
 
-extproc::ProcessorSettings settings() {
-  extproc::ProcessorSettings given;
-  given.proxy_retries = ProxyRetries::kMarked;
-  given.mapping.default_class = "lookup";
-  given.mapping.default_plan = "team";
-  given.mapping.default_customer = "c";
-  return given;
+extproc::ProcessorSettings processor_settings() {
+  extproc::ProcessorSettings result;
+  result.proxy_retries = ProxyRetries::kMarked;
+  result.mapping.default_class = "lookup";
+  result.mapping.default_plan = "team";
+  result.mapping.default_customer = "c";
+  return result;
 }
 
-struct TestProcessor : http2::grpc::Methods, http2::SessionEvents {
-  TestProcessor() {
+struct ProcessorHarness : http2::grpc::Methods, http2::SessionEvents {
+  ProcessorHarness() {
     engine.add_upstream(processor);
     engine.start(now);
     for (HostId h = 1; h <= 2; ++h) {
@@ -69,7 +69,7 @@
     return {};
   }
   void on_output() override {}
-  void pass(Ms ms) {
+  void advance(Ms ms) {
     const Ms until = now + ms;
     for (;;) {
       auto due = engine.next_timer();
@@ -82,81 +82,81 @@
     now = until;
   }
   void expect_empty() {
-    pass(20'000);
+    advance(20'000);
     if (engine.open_count() != 0 || engine.unanswered_count() != 0 || processor.open() != 0) std::abort();
   }
 
   Ms now = 1e6;
-  engine::ControllerPolicy module{names().settings, 1};
+  engine::ControllerPolicy module{named_settings().settings, 1};
   NoTransport transport;
   engine::Engine engine{module, transport, {}, [](std::string_view, std::string_view) {}};
-  Processor processor{engine, names(), settings(), 3};
+  Processor processor{engine, named_settings(), processor_settings(), 3};
 };
 
-void as_connection(TestProcessor& world, std::string_view bytes) {
+void feed_connection_bytes(ProcessorHarness& harness, std::string_view bytes) {
   http2::grpc::ServerLimits limits;
   limits.max_message_bytes = 4096;
-  http2::grpc::Connection connection(limits, world, world, world.now);
+  http2::grpc::Connection connection(limits, harness, harness, harness.now);
   auto& session = connection.session();
   bool more = true;
   while (more && !bytes.empty()) {
     const auto part = bytes.substr(0, 1 + static_cast<unsigned char>(bytes[0]) % 97);
     bytes.remove_prefix(part.size());
-    more = session.feed(world.now, part);
+    more = session.feed(harness.now, part);
     for (auto out = session.output(); !out.empty(); out = session.output()) session.consumed(out.size());
     if (session.unsent_bytes() > 8 * 1024 * 1024) std::abort();
-    world.pass(1);
+    harness.advance(1);
   }
 }
 
-struct Sink : http2::grpc::Call {
+struct RecordingCall : http2::grpc::Call {
   void send(std::string_view) override {
     if (finished) std::abort();
-    ++waiting;
+    ++unsent_messages;
   }
   bool withdraw() override {
-    if (waiting == 0) return false;
-    --waiting;
+    if (unsent_messages == 0) return false;
+    --unsent_messages;
     return true;
   }
   void finish(const http2::grpc::Status&) override {
     if (finished) std::abort();
     finished = true;
   }
-  int waiting = 0;
+  int unsent_messages = 0;
   bool finished = false;
 };
 
-void as_messages(TestProcessor& world, std::string_view bytes) {
-  std::vector<std::unique_ptr<Sink>> sinks;
+void feed_messages(ProcessorHarness& harness, std::string_view bytes) {
+  std::vector<std::unique_ptr<RecordingCall>> recorded_calls;
   std::vector<std::unique_ptr<http2::grpc::CallEvents>> calls;
   for (int i = 0; i < 3; ++i) {
-    sinks.push_back(std::make_unique<Sink>());
-    calls.push_back(world.processor.open(world.now, *sinks.back(), {}));
+    recorded_calls.push_back(std::make_unique<RecordingCall>());
+    calls.push_back(harness.processor.open(harness.now, *recorded_calls.back(), {}));
   }
   for (std::size_t turn = 0; bytes.size() >= 2; ++turn) {
     const std::size_t size = static_cast<unsigned char>(bytes[0]) | (static_cast<unsigned char>(bytes[1]) & 3)
                                                                         << 8;
-    const unsigned what = static_cast<unsigned char>(bytes[1]) >> 2;
+    const unsigned actions = static_cast<unsigned char>(bytes[1]) >> 2;
     bytes.remove_prefix(2);
     const auto message = bytes.substr(0, size);
     bytes.remove_prefix(message.size());
-    const std::size_t at = what % 3;
-    if (!sinks[at]->finished) calls[at]->on_message(world.now, message);
-    if (what & 4) sinks[at]->waiting = 0;  // it has left
-    if (what & 8) world.pass(50);
-    if ((what & 48) == 48) {
-      const HostEntry entry{.id = 1, .state = what & 4 ? HostState::kDraining : HostState::kReady};
-      if (entry.state == HostState::kReady) world.processor.add_host(1, "127.0.0.1:1");
-      world.engine.on_host_list(world.now, HostListUpdate::kDelta, {&entry, 1});
+    const std::size_t call_index = actions % 3;
+    if (!recorded_calls[call_index]->finished) calls[call_index]->on_message(harness.now, message);
+    if (actions & 4) recorded_calls[call_index]->unsent_messages = 0;  // it has left
+    if (actions & 8) harness.advance(50);
+    if ((actions & 48) == 48) {
+      const HostEntry entry{.id = 1, .state = actions & 4 ? HostState::kDraining : HostState::kReady};
+      if (entry.state == HostState::kReady) harness.processor.add_host(1, "127.0.0.1:1");
+      harness.engine.on_host_list(harness.now, HostListUpdate::kDelta, {&entry, 1});
     }
-    if ((what & 48) == 32) {
-      calls[at]->on_call_closed(world.now);
-      sinks[at] = std::make_unique<Sink>();
-      calls[at] = world.processor.open(world.now, *sinks[at], {});
+    if ((actions & 48) == 32) {
+      calls[call_index]->on_call_closed(harness.now);
+      recorded_calls[call_index] = std::make_unique<RecordingCall>();
+      calls[call_index] = harness.processor.open(harness.now, *recorded_calls[call_index], {});
     }
   }
-  for (auto& c : calls) c->on_call_closed(world.now);
+  for (auto& c : calls) c->on_call_closed(harness.now);
 }
 
 }  // namespace
@@ -164,8 +164,8 @@
 extern "C" int LLVMFuzzerTestOneInput(const std::uint8_t* data, std::size_t size) {
   if (size == 0) return 0;
   const std::string_view bytes(reinterpret_cast<const char*>(data) + 1, size - 1);
-  TestProcessor world;
-  data[0] % 2 ? as_messages(world, bytes) : as_connection(world, bytes);
-  world.expect_empty();
+  ProcessorHarness harness;
+  data[0] % 2 ? feed_messages(harness, bytes) : feed_connection_bytes(harness, bytes);
+  harness.expect_empty();
   return 0;
 }
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -17,18 +17,18 @@
 using http2::grpc::Code;
 using http2::grpc::Status;
 
-constexpr const char* kProcess = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
+constexpr const char* kProcessPath = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
 // The gateway's own settings in a file that goes with them.
-class OwnFile {
+class SettingsFile {
  public:
-  explicit OwnFile(const std::string& text) {
+  explicit SettingsFile(const std::string& text) {
     static int made = 0;
     path_ = std::filesystem::temp_directory_path() /
             ("cometfold-own-" + std::to_string(::getpid()) + "-" + std::to_string(++made) + ".toml");
     write(text);
   }
-  ~OwnFile() { std::filesystem::remove(path_); }
+  ~SettingsFile() { std::filesystem::remove(path_); }
   void write(const std::string& text) const { std::ofstream(path_) << text; }
   std::string path() const { return path_.string(); }
 
@@ -36,7 +36,7 @@
   std::filesystem::path path_;
 };
 
-std::string own(const std::string& more = "", int port = 0) {
+std::string extproc_settings(const std::string& more = "", int port = 0) {
   return "[extproc]\nlisten = \"127.0.0.1:" + std::to_string(port) + "\"\nrepeats = \"marked\"\n" + more;
 }
 
@@ -46,7 +46,7 @@
 
 class Processor {
  public:
-  explicit Processor(const OwnFile& file, boost::json::object conf = two_hosts())
+  explicit Processor(const SettingsFile& file, boost::json::object conf = two_hosts())
       : child(std::make_unique<Child>(std::vector<std::string>{COMETFOLD_PROGRAM, "--settings", file.path()},
                                       environment(conf))),
         port(child->port_after("external processor")) {
@@ -76,19 +76,19 @@
   int port;
 };
 
-struct Heard {
+struct CallRecord {
   std::vector<pb::ProcessingResponse> messages;
   std::optional<Status> status;
 };
-struct Call : http2::grpc::ClientCallEvents {
-  explicit Call(std::shared_ptr<Heard> h) : heard(std::move(h)) {}
+struct RecordedCall : http2::grpc::ClientCallEvents {
+  explicit RecordedCall(std::shared_ptr<CallRecord> h) : record(std::move(h)) {}
   void on_message(Ms, std::string_view m) override {
     pb::ProcessingResponse message;
     EXPECT_TRUE(message.ParseFromArray(m.data(), static_cast<int>(m.size())));
-    heard->messages.push_back(message);
+    record->messages.push_back(message);
   }
-  void on_status(Ms, const Status& s) override { heard->status = s; }
-  std::shared_ptr<Heard> heard;
+  void on_status(Ms, const Status& s) override { record->status = s; }
+  std::shared_ptr<CallRecord> record;
 };
 
 // One proxy's connection.
@@ -96,14 +96,14 @@
  public:
   explicit Proxy(int port) : peer(port) {}
 
-  struct Open {
+  struct OpenCall {
     http2::grpc::ClientCall* call;
-    std::shared_ptr<Heard> heard;
+    std::shared_ptr<CallRecord> record;
   };
-  Open open() {
-    auto heard = std::make_shared<Heard>();
-    auto* call = peer.call(kProcess, std::make_unique<Call>(heard));
-    return {call, heard};
+  OpenCall open_call() {
+    auto record = std::make_shared<CallRecord>();
+    auto* call = peer.call(kProcessPath, std::make_unique<RecordedCall>(record));
+    return {call, record};
   }
   static std::string request(const std::string& cls, const std::string& id, int attempt = 1) {
     pb::ProcessingRequest m;
@@ -129,41 +129,42 @@
     h->set_raw_value(std::to_string(status));
     return m.SerializeAsString();
   }
-  Open ask(const std::string& cls, const std::string& id, int attempt = 1) {
-    auto o = open();
-    o.call->send(request(cls, id, attempt));
-    wait([&] { return !o.heard->messages.empty() || o.heard->status; });
-    return o;
+  OpenCall send_request(const std::string& cls, const std::string& id, int attempt = 1) {
+    auto call = open_call();
+    call.call->send(request(cls, id, attempt));
+    wait_until([&] { return !call.record->messages.empty() || call.record->status; });
+    return call;
   }
-  void report(Open& o, int status) {
-    const auto before = o.heard->messages.size();
-    o.call->send(response(status));
-    wait([&] { return o.heard->messages.size() > before || o.heard->status; });
+  void report(OpenCall& call, int status) {
+    const auto before = call.record->messages.size();
+    call.call->send(response(status));
+    wait_until([&] { return call.record->messages.size() > before || call.record->status; });
   }
   template <class Done>
-  void wait(Done&& done) {
+  void wait_until(Done&& done) {
     while (!done()) {
       if (!peer.turn() && !done()) throw Hung("the connection ended");
     }
   }
-  static bool named(const Open& o) {
-    return !o.heard->messages.empty() && o.heard->messages[0].has_request_headers();
+  static bool routed(const OpenCall& call) {
+    return !call.record->messages.empty() && call.record->messages[0].has_request_headers();
   }
-  static int answered(const Open& o) {
-    return o.heard->messages.empty() ? 0 : o.heard->messages[0].immediate_response().status().code();
+  static int immediate_status(const OpenCall& call) {
+    return call.record->messages.empty() ? 0 : call.record->messages[0].immediate_response().status().code();
   }
 
   H2Peer peer;
 };
 
 TEST(ProcessorProgram, ManyProxiesAreAnsweredAndCounted) {
-  const OwnFile file(own());
+  const SettingsFile file(extproc_settings());
   Processor program(file);
   Proxy one(program.port), two(program.port);
   for (int i = 0; i < 50; ++i) {
-    auto a = one.ask("lookup", "a" + std::to_string(i)), b = two.ask("pay", "b" + std::to_string(i));
-    EXPECT_TRUE(Proxy::named(a));
-    EXPECT_TRUE(Proxy::named(b));
+    auto a = one.send_request("lookup", "a" + std::to_string(i)),
+         b = two.send_request("pay", "b" + std::to_string(i));
+    EXPECT_TRUE(Proxy::routed(a));
+    EXPECT_TRUE(Proxy::routed(b));
     one.report(a, 200);
     two.report(b, 200);
   }
@@ -174,17 +175,17 @@
   EXPECT_EQ(program.child->exit_code(), 0);
 }
 
-TEST(ProcessorProgram, SigtermLetsOpenCallsEndAndTakesNoNewOnes) {
-  const OwnFile file(own());
+TEST(ProcessorProgram, SigtermCompletesOpenCallsAndAcceptsNoNewOnes) {
+  const SettingsFile file(extproc_settings());
   Processor program(file);
   Proxy proxy(program.port);
-  auto before = proxy.ask("pay", "a");
+  auto before = proxy.send_request("pay", "a");
   program.child->signal(SIGTERM);
-  auto meanwhile = proxy.ask("pay", "b");  // on its way while the proxy is told
-  EXPECT_TRUE(Proxy::named(meanwhile));
-  Proxy::Open late{nullptr, nullptr};
+  auto meanwhile = proxy.send_request("pay", "b");  // on its way while the proxy is told
+  EXPECT_TRUE(Proxy::routed(meanwhile));
+  Proxy::OpenCall late{nullptr, nullptr};
   do {  // until the second word has come: from then on no call is taken
-    late = proxy.open();
+    late = proxy.open_call();
     if (late.call) {
       late.call->cancel();
       proxy.peer.turn();
@@ -194,38 +195,38 @@
   proxy.report(meanwhile, 200);
   before.call->half_close();
   meanwhile.call->half_close();
-  proxy.wait([&] { return before.heard->status && meanwhile.heard->status; });
-  EXPECT_EQ(before.heard->status->code, Code::kOk);
-  EXPECT_EQ(meanwhile.heard->status->code, Code::kOk);
+  proxy.wait_until([&] { return before.record->status && meanwhile.record->status; });
+  EXPECT_EQ(before.record->status->code, Code::kOk);
+  EXPECT_EQ(meanwhile.record->status->code, Code::kOk);
   EXPECT_EQ(program.child->exit_code(), 0);
 }
 
-TEST(ProcessorProgram, SighupChangesTheMappingAndABadFileChangesNothing) {
-  const OwnFile file(own());
+TEST(ProcessorProgram, SighupReloadsTheMappingAndIgnoresAnInvalidFile) {
+  const SettingsFile file(extproc_settings());
   Processor program(file);
   Proxy proxy(program.port);
-  EXPECT_EQ(Proxy::answered(proxy.ask("nope", "a")), 400);
+  EXPECT_EQ(Proxy::immediate_status(proxy.send_request("nope", "a")), 400);
   for (const char* bad : {"[extproc\n", "[extproc]\nnope = 1\n"}) {
     file.write(bad);
     program.child->signal(SIGHUP);
     program.child->log_until("the old one is kept");
   }
-  file.write(own("[extproc.request]\ndefault_class = \"nope\"\n"));  // a class that there is not
+  file.write(extproc_settings("[extproc.request]\ndefault_class = \"nope\"\n"));  // a class that there is not
   program.child->signal(SIGHUP);
   EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'nope'"), std::string::npos);
-  EXPECT_TRUE(Proxy::named(proxy.ask("lookup", "b")));
-  auto open = proxy.ask("lookup", "c");
-  file.write(own("[extproc.request]\nclass_header = \"\"\ndefault_class = \"pay\"\n"));
+  EXPECT_TRUE(Proxy::routed(proxy.send_request("lookup", "b")));
+  auto open = proxy.send_request("lookup", "c");
+  file.write(extproc_settings("[extproc.request]\nclass_header = \"\"\ndefault_class = \"pay\"\n"));
   program.child->signal(SIGHUP);
   program.child->log_until("configuration read again");
-  auto after = proxy.ask("nope", "d");  // nobody looks at that header any more
-  ASSERT_TRUE(Proxy::named(after));
+  auto after = proxy.send_request("nope", "d");  // nobody looks at that header any more
+  ASSERT_TRUE(Proxy::routed(after));
   proxy.report(open, 200);  // and what was open goes on
-  EXPECT_TRUE(open.heard->messages.back().has_response_headers());
+  EXPECT_TRUE(open.record->messages.back().has_response_headers());
 }
 
-TEST(ProcessorProgram, NewSettingsHoldForProxiesTooOrNotAtAll) {
-  const OwnFile file(own("[extproc.request]\ndefault_class = \"lookup\"\n"));
+TEST(ProcessorProgram, NewSettingsApplyToProxiesTooOrAreRejected) {
+  const SettingsFile file(extproc_settings("[extproc.request]\ndefault_class = \"lookup\"\n"));
   Processor program(file);
   Proxy proxy(program.port);
   auto conf = two_hosts();
@@ -233,62 +234,63 @@
   lanes.erase(lanes.begin());
   program.reload(conf);  // the default class would be gone
   EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'lookup'"), std::string::npos);
-  EXPECT_TRUE(Proxy::named(proxy.ask("lookup", "a")));
-  file.write(own());
+  EXPECT_TRUE(Proxy::routed(proxy.send_request("lookup", "a")));
+  file.write(extproc_settings());
   lanes[1].as_object()["name"] = "audit";  // pay goes too
   program.reload(conf);
   program.child->log_until("configuration read again");
-  EXPECT_EQ(Proxy::answered(proxy.ask("lookup", "b")), 400);
-  EXPECT_EQ(Proxy::answered(proxy.ask("pay", "c")), 400);
-  EXPECT_TRUE(Proxy::named(proxy.ask("audit", "d")));
+  EXPECT_EQ(Proxy::immediate_status(proxy.send_request("lookup", "b")), 400);
+  EXPECT_EQ(Proxy::immediate_status(proxy.send_request("pay", "c")), 400);
+  EXPECT_TRUE(Proxy::routed(proxy.send_request("audit", "d")));
 }
 
-TEST(ProcessorProgram, AfterAKillNothingIsGivenTwiceThatItsClassForbids) {
-  const OwnFile file(own());
+TEST(ProcessorProgram, AfterACrashRetriesAreRoutedOnlyIfTheirClassAllows) {
+  const SettingsFile file(extproc_settings());
   auto program = std::make_unique<Processor>(file);
   const int port = program->port;
-  struct Asked {
+  struct SentRequest {
     std::string cls, id;
-    Proxy::Open open;
+    Proxy::OpenCall call;
   };
-  std::vector<Asked> asked;
+  std::vector<SentRequest> sent_requests;
   auto proxy = std::make_unique<Proxy>(port);
   for (const char* cls : {"lookup", "hold", "pay"}) {
     const std::string name(cls);
-    auto half = proxy->open();  // before its headers end
+    auto half = proxy->open_call();  // before its headers end
     half.call->send(std::string());
-    asked.push_back({name, name + "-named", proxy->ask(name, name + "-named")});
-    asked.push_back({name, name + "-failed", proxy->ask(name, name + "-failed")});
-    proxy->report(asked.back().open, 500);
-    asked.push_back({name, name + "-done", proxy->ask(name, name + "-done")});
-    proxy->report(asked.back().open, 200);
+    sent_requests.push_back({name, name + "-named", proxy->send_request(name, name + "-named")});
+    sent_requests.push_back({name, name + "-failed", proxy->send_request(name, name + "-failed")});
+    proxy->report(sent_requests.back().call, 500);
+    sent_requests.push_back({name, name + "-done", proxy->send_request(name, name + "-done")});
+    proxy->report(sent_requests.back().call, 200);
   }
-  for (const auto& a : asked) EXPECT_TRUE(Proxy::named(a.open)) << a.id;
+  for (const auto& a : sent_requests) EXPECT_TRUE(Proxy::routed(a.call)) << a.id;
   program->child->signal(SIGKILL);
   while (proxy->peer.turn()) {
   }
   program->child->exit_code();
-  file.write(own("", port));
+  file.write(extproc_settings("", port));
   program = std::make_unique<Processor>(file);
   proxy = std::make_unique<Proxy>(port);
-  for (const auto& a : asked) {
-    auto again = proxy->ask(a.cls, a.id, 2);
+  for (const auto& a : sent_requests) {
+    auto retry = proxy->send_request(a.cls, a.id, 2);
     if (a.cls == "pay") {
-      EXPECT_EQ(Proxy::answered(again), 503) << a.id;  // failed, not refused: it may have run
-      EXPECT_EQ(again.heard->messages[0].immediate_response().details(), "cometfold_first_attempt_not_known");
+      EXPECT_EQ(Proxy::immediate_status(retry), 503) << a.id;  // failed, not refused: it may have run
+      EXPECT_EQ(retry.record->messages[0].immediate_response().details(),
+                "cometfold_first_attempt_not_known");
     } else if (a.cls == "lookup") {
-      EXPECT_TRUE(Proxy::named(again)) << a.id;
+      EXPECT_TRUE(Proxy::routed(retry)) << a.id;
     } else {
       // Its key lives as long as its clients may wait, no longer: it may have run out meanwhile.
-      EXPECT_EQ(Proxy::answered(again), 503) << a.id;
+      EXPECT_EQ(Proxy::immediate_status(retry), 503) << a.id;
     }
   }
-  EXPECT_TRUE(Proxy::named(proxy->ask("pay", "new")));
+  EXPECT_TRUE(Proxy::routed(proxy->send_request("pay", "new")));
 }
 
-TEST(ProcessorProgram, ADrainToldByDiscoveryHoldsForProxiesToo) {
+TEST(ProcessorProgram, ADrainReportedByDiscoveryAppliesToProxies) {
   Listener discovery;
-  const OwnFile file(own());
+  const SettingsFile file(extproc_settings());
   auto conf = two_hosts();
   conf["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   Processor program(file, conf);
@@ -298,23 +300,24 @@
   Proxy proxy(program.port);
   int others = 0;
   for (int i = 0; others < 20; ++i) {  // until the news has come through, and from then on
-    auto o = proxy.ask("lookup", "i" + std::to_string(i));
-    const auto& set = o.heard->messages.at(0).request_headers().response().header_mutation().set_headers();
+    auto call = proxy.send_request("lookup", "i" + std::to_string(i));
+    const auto& set =
+        call.record->messages.at(0).request_headers().response().header_mutation().set_headers();
     const bool leaving = set.Get(0).header().raw_value() == "127.0.0.1:9101";
     EXPECT_FALSE(leaving && others > 10);
     others = leaving ? 0 : others + 1;
-    proxy.report(o, 200);
+    proxy.report(call, 200);
   }
 }
 
-TEST(ProcessorProgram, AttackersAreEndedAndAGoodProxyBesideThemIsServed) {
-  const OwnFile file(own("connections = 64\nanswer_ms = 200\n"));
+TEST(ProcessorProgram, AttackersAreDisconnectedAndAGoodProxyIsServed) {
+  const SettingsFile file(extproc_settings("connections = 64\nanswer_ms = 200\n"));
   Processor program(file);
   Proxy good(program.port);
   const auto serve = [&](const char* when) {
-    auto o = good.ask("lookup", when);
-    EXPECT_TRUE(Proxy::named(o)) << when;
-    good.report(o, 200);
+    auto call = good.send_request("lookup", when);
+    EXPECT_TRUE(Proxy::routed(call)) << when;
+    good.report(call, 200);
   };
   const std::string preface("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33);
   serve("before");
@@ -342,10 +345,10 @@
   {  // calls that say nothing
     http2::SessionLimits limits = H2Peer::patient();
     H2Peer half(program.port, limits);
-    std::vector<std::shared_ptr<Heard>> heard;
+    std::vector<std::shared_ptr<CallRecord>> records;
     for (int i = 0; i < 9000; ++i) {
-      heard.push_back(std::make_shared<Heard>());
-      ASSERT_NE(half.call(kProcess, std::make_unique<Call>(heard.back())), nullptr);
+      records.push_back(std::make_shared<CallRecord>());
+      ASSERT_NE(half.call(kProcessPath, std::make_unique<RecordedCall>(records.back())), nullptr);
       if (i % 500 == 0) half.flush();
     }
     half.flush();
@@ -359,7 +362,7 @@
 }
 
 TEST(ProcessorProgram, WithoutAnAddressThereIsNoListener) {
-  const OwnFile file("[extproc]\nrepeats = \"never\"\n");
+  const SettingsFile file("[extproc]\nrepeats = \"never\"\n");
   const auto conf = two_hosts();
   emulators::Program program(COMETFOLD_PROGRAM, conf, {"--settings", file.path()});
   auto client = program.client();
