--- a/tests/extproc_support.h
+++ b/tests/extproc_support.h
@@ -1,4 +1,5 @@
-// A processor with the real engine and module behind it, and calls whose messages are seen as they leave.
+// Test harness of the external processor: a processor with the real engine and module, and calls that record
+// the messages sent to the proxy.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -46,9 +47,9 @@
   return m.SerializeAsString();
 }
 
-// What a decision says.
+// The content of a decision sent to the proxy.
 struct ReceivedDecision {
-  std::string endpoint;  // empty: the client is answered
+  std::string endpoint;  // empty: the decision is a reply to the client
   std::map<std::string, std::string> set_headers;
   std::vector<std::string> removed_headers;
   std::string metadata;
@@ -89,11 +90,11 @@
   return d;
 }
 
-// One call as the proxy sees it. Messages wait in `out` until `flush`.
+// One call as the proxy sees it. While `output_blocked` is set, messages stay in `unsent` until `flush`.
 class FakeCall : public http2::grpc::Call {
  public:
   void send(std::string_view message) override {
-    EXPECT_FALSE(status) << "sent after the end";
+    EXPECT_FALSE(status) << "message sent after the call ended";
     unsent.emplace_back(message);
     if (!output_blocked) flush();
   }
@@ -103,7 +104,7 @@
     return true;
   }
   void finish(const Status& s) override {
-    EXPECT_FALSE(status) << "ended twice";
+    EXPECT_FALSE(status) << "call ended twice";
     status = s;
   }
   void flush() {
@@ -115,7 +116,7 @@
     return received.empty() ? ReceivedDecision{} : parse_decision(received.at(0));
   }
 
-  bool output_blocked = false;  // the proxy does not take what is sent
+  bool output_blocked = false;  // the proxy does not read the connection
   std::vector<std::string> unsent, received;
   std::optional<Status> status;
 };
@@ -228,7 +229,7 @@
     }
     now = until;
   }
-  // Whatever has happened: when all calls have gone and their time is over, nothing is left.
+  // Ends all calls, lets their deadlines pass and checks that no state is left.
   void expect_empty() {
     for (auto& c : calls) {
       if (c->events) disconnect(*c);
--- a/tests/extproc_test.cpp
+++ b/tests/extproc_test.cpp
@@ -1,5 +1,5 @@
-// The external processor: one decision for each request, ends that reach the module, and proxies that go
-// away, ask again, lie or break the protocol.
+// Tests of the external processor: decisions, reports to the module, and proxies that disconnect, retry,
+// report wrong data or violate the protocol.
 #include <cmath>
 #include <random>
 #include <set>
@@ -29,7 +29,7 @@
   EXPECT_EQ(d.set_headers.at("x-envoy-original-dst-host"), d.endpoint);
   EXPECT_EQ(d.metadata, d.endpoint);
   EXPECT_EQ(d.set_headers.at("x-envoy-max-retries"), "0");
-  EXPECT_EQ(d.set_headers.at("x-envoy-upstream-rq-timeout-ms"), "4970");  // less both margins
+  EXPECT_EQ(d.set_headers.at("x-envoy-upstream-rq-timeout-ms"), "4970");  // minus both margins
   EXPECT_EQ(d.removed_headers.size(), 4u);
   harness.report(c, 200, "via_upstream");
   EXPECT_EQ(c.call.received.size(), 2u);
@@ -86,10 +86,10 @@
 
 TEST(Processor, RejectsRequestsWithoutHostsOrWithTooLittleTime) {
   ProcessorHarness harness({}, 0);
-  EXPECT_EQ(harness.send_request().call.decision().status, 429);  // nothing has run, so a refusal is lawful
+  EXPECT_EQ(harness.send_request().call.decision().status, 429);  // a rejection, as no attempt has run
   harness.add_ready_host(1);
   const auto late = harness.send_request({{"x-cometfold-deadline-ms", "15"}}).call.decision();
-  EXPECT_TRUE(late.endpoint.empty());  // less than the way here and back
+  EXPECT_TRUE(late.endpoint.empty());  // less than both margins
   harness.expect_empty();
 }
 
@@ -154,7 +154,7 @@
                 {":path", "/shop/"},
                 {"x-envoy-expected-rq-timeout-ms", "7"},
                 {"grpc-timeout", "2S"}});
-  EXPECT_EQ(mapped.timeout_ms, 2000) << "the first of the list, whatever comes first";
+  EXPECT_EQ(mapped.timeout_ms, 2000) << "the first header of the list counts, not the first of the request";
   EXPECT_EQ(
       map({{":method", "GET"}, {":path", "/shop/"}, {"x-envoy-expected-rq-timeout-ms", "0"}}).timeout_ms,
       30'000);
@@ -192,12 +192,12 @@
   pb::ProcessingRequest m;
   ASSERT_TRUE(m.ParseFromString(request_headers({{"a", "1"}, {"b", ""}})));
   const std::string known = m.SerializeAsString();
-  // Field 8 (metadata_context) with bytes, field 100 with a varint, 101 with eight bytes, 102 with four.
+  // Field 8 (metadata_context) as bytes, field 100 as a varint, 101 as a fixed64, 102 as a fixed32.
   const std::string unknown = std::string("\x42\x03zzz", 5) + std::string("\xa0\x06\x07", 3) +
                               std::string("\xa9\x06") + std::string(8, 'x') + std::string("\xb5\x06") +
                               "1234";
   ProcessingRequest parsed;
-  const std::string padded = unknown + known + unknown;  // the views go no further than the bytes
+  const std::string padded = unknown + known + unknown;  // must outlive the parsed views
   ASSERT_TRUE(parse_processing_request(padded, parsed));
   EXPECT_EQ(parsed.part, ProcessingRequest::kRequestHeaders);
   ASSERT_EQ(parsed.headers.size(), 2u);
@@ -212,7 +212,7 @@
   EXPECT_EQ(parsed.part, ProcessingRequest::kResponseBody);
   EXPECT_EQ(parsed.body, "xyz");
   EXPECT_FALSE(parsed.end_of_stream);
-  // A value as text, as older proxies send it, and a field of another type than it should have.
+  // The header value as a string, as older proxies send it, then a field of the wrong wire type.
   m.Clear();
   auto* h = m.mutable_request_headers()->mutable_headers()->add_headers();
   h->set_key("k");
@@ -221,7 +221,7 @@
   ASSERT_TRUE(parse_processing_request(with_text_value, parsed));
   EXPECT_EQ(parsed.headers.at(0).value, "text");
   const std::string wrong_type("\x10\x05", 2);
-  ASSERT_TRUE(parse_processing_request(wrong_type, parsed));  // field 2 as a number
+  ASSERT_TRUE(parse_processing_request(wrong_type, parsed));  // field 2 as a varint
   EXPECT_EQ(parsed.headers.size(), 0u);
 }
 
@@ -233,13 +233,13 @@
   EXPECT_EQ(parsed.code_details, "via_upstream");
   std::size_t accepted = 0;
   for (std::size_t n = 0; n < whole.size(); ++n) {
-    const std::string truncated = whole.substr(0, n);  // of its own, so that a read past its end shows
+    const std::string truncated = whole.substr(0, n);  // a copy: a sanitizer detects reads past its end
     accepted += parse_processing_request(truncated, parsed);
   }
-  EXPECT_LE(accepted, 3u);  // between two fields at most
+  EXPECT_LE(accepted, 3u);  // only between two top-level fields
 }
 
-// ---- ends ----
+// ---- outcomes and reports ----
 
 TEST(Outcomes, ReportsAreMappedByTheOutcomeTable) {
   const std::vector<int> not_run{425, 429};
@@ -320,7 +320,7 @@
   harness.report(c, 200, "", {{"x-gateway-destination-endpoint-served", "127.0.0.1:1"}});
   EXPECT_EQ(harness.metrics().sent_to_other_host, 1u);
   EXPECT_EQ(harness.engine.open_count(), 0u);
-  // It has run somewhere: nothing that its class does not cover may be sent again.
+  // The request has run on some host, so it may be sent again only if its class allows it.
   EXPECT_EQ(harness.send_request(kSecondAttempt, "hold", "id-1").call.decision().details,
             "cometfold_already_done");
   auto& same = harness.send_request();
@@ -391,7 +391,7 @@
   harness.expect_empty();
 }
 
-// ---- proxies that go away ----
+// ---- proxies that disconnect ----
 
 TEST(Disconnect, LeavesNoStateAtAnyPoint) {
   for (int point = 0; point < 6; ++point) {
@@ -427,7 +427,7 @@
     EXPECT_EQ(c.call.status->code, Code::kOk);
     EXPECT_EQ(harness.engine.open_count(), 0u) << point;
     EXPECT_EQ(harness.metrics().unreported, point == 2 ? 1u : 0u);
-    // A decision that never left costs nothing and may be asked for again.
+    // A decision that was never sent charges no units, and a retry gets a new one.
     const auto retry = harness.send_request(kSecondAttempt, "pay", "id").call.decision();
     EXPECT_EQ(retry.endpoint.empty(), point == 0 || point > 1) << point;
     harness.expect_empty();
@@ -437,7 +437,7 @@
 TEST(Disconnect, UnitsAreChargedExactlyIfTheDecisionWasSent) {
   const auto served_after_disconnects = [](bool output_blocked) {
     ProcessorHarness harness;
-    harness.advance(20'000);  // its slice of the ceiling starts empty
+    harness.advance(20'000);  // the gateway's slice of the ceiling starts empty
     for (int i = 0; i < 50; ++i)
       harness.disconnect(harness.send_request({{"x-cometfold-plan", "tiny"}}, "lookup", "", output_blocked));
     int served = 0;
@@ -445,8 +445,8 @@
       served += !harness.send_request({{"x-cometfold-plan", "tiny"}}).call.decision().endpoint.empty();
     return served;
   };
-  EXPECT_EQ(served_after_disconnects(false), 0) << "the decisions had left: what they took is gone";
-  EXPECT_GE(served_after_disconnects(true), 1) << "none of them left: the room is there again";
+  EXPECT_EQ(served_after_disconnects(false), 0) << "the decisions were sent, so their units are charged";
+  EXPECT_GE(served_after_disconnects(true), 1) << "no decision was sent, so their units are available again";
 }
 
 TEST(Disconnect, AnUnreportedAttemptTimesOutWithoutBlamingItsHost) {
@@ -466,7 +466,7 @@
     harness.advance(5);
     harness.report(c, 200);
   }
-  EXPECT_EQ(requests_by_endpoint.size(), 2u) << "a host was shut out for what its proxy did not tell";
+  EXPECT_EQ(requests_by_endpoint.size(), 2u) << "a host was blamed for missing reports of its proxy";
   harness.expect_empty();
 }
 
@@ -480,7 +480,7 @@
   harness.expect_empty();
 }
 
-// ---- hosts that go ----
+// ---- hosts that drain ----
 
 TEST(Drain, AnUnsentDecisionIsReplaced) {
   ProcessorHarness harness;
@@ -541,7 +541,7 @@
   harness.expect_empty();
 }
 
-// ---- calls that come again ----
+// ---- retries ----
 
 TEST(Retry, AnIdempotentRequestGetsTheModulesNextHost) {
   ProcessorHarness harness(settings_with_proxy_retries());
@@ -584,7 +584,7 @@
   auto& c = harness.send_request({}, "lookup", "id");
   auto& retry = harness.send_request(kSecondAttempt, "lookup", "id");
   EXPECT_FALSE(retry.call.decision().endpoint.empty());
-  harness.report(c, 200);  // of an attempt that the proxy had given up
+  harness.report(c, 200);  // reports an attempt that the proxy has abandoned
   EXPECT_EQ(harness.metrics().reported, 0u);
   harness.report(retry, 200);
   EXPECT_EQ(harness.metrics().reported, 1u);
@@ -648,8 +648,8 @@
   harness.expect_empty();
 }
 
-// An offer that waits for the proxy's next call was decided on earlier: what may not go out any more is not
-// named.
+// An attempt that waits for the proxy's next call was decided on earlier. If the rules forbid it by the time
+// it is fetched, its host must not be returned.
 TEST(Retry, TheRulesAreCheckedAgainWhenAnAttemptIsFetched) {
   auto admission_settings = named_settings().settings;
   admission_settings.classes[1].idempotency_key_ttl_ms = 1000;  // of the class "hold"
@@ -663,7 +663,7 @@
                  second = 3 - first;
     harness.report(c, 500);
     if (key_expires) {
-      harness.advance(2000);  // the key is forgotten
+      harness.advance(2000);  // the idempotency key has expired
     } else {
       harness.update_host({.id = second, .state = HostState::kReady, .started_at = harness.now});
     }
@@ -705,7 +705,8 @@
   harness.expect_empty();
 }
 
-// A proxy that lets its clients choose the id: a later request under it must not vouch for an earlier one.
+// A proxy may let its clients choose the request id. A later request with the same id must not make the
+// earlier one retryable.
 TEST(Retry, ReusingAnIdPreventsRetriesOfBothRequests) {
   for (int variant = 0; variant < 3; ++variant) {
     ProcessorHarness harness(settings_with_proxy_retries());
@@ -713,7 +714,7 @@
     if (variant < 2) harness.report(pay, 500);
     auto& other = harness.send_request({}, variant == 1 ? "pay" : "lookup", "same", variant == 1);
     if (variant == 0) harness.report(other, 200);
-    if (variant == 1) harness.disconnect(other);  // its decision never left
+    if (variant == 1) harness.disconnect(other);  // its decision was never sent
     EXPECT_TRUE(harness.send_request(kSecondAttempt, "pay", "same").call.decision().endpoint.empty())
         << variant;
     harness.expect_empty();
@@ -721,7 +722,7 @@
 }
 
 TEST(Retry, AfterARestartOnlyRetriesSafeOnAllHostsAreSent) {
-  ProcessorHarness harness(settings_with_proxy_retries());  // knows nothing of any earlier attempt
+  ProcessorHarness harness(settings_with_proxy_retries());  // has no record of earlier attempts
   EXPECT_FALSE(harness.send_request(kSecondAttempt, "lookup", "a").call.decision().endpoint.empty());
   EXPECT_FALSE(harness.send_request(kSecondAttempt, "hold", "b").call.decision().endpoint.empty());
   for (const char* cls : {"zoned", "pay"}) {
@@ -752,7 +753,7 @@
   harness.expect_empty();
 }
 
-// ---- messages that do not belong there ----
+// ---- messages out of order ----
 
 TEST(MessageOrder, AForbiddenMessageEndsTheCall) {
   const std::string headers = request_headers(ProcessorHarness::headers({}, "pay", ""), false);
@@ -789,7 +790,7 @@
     EXPECT_EQ(harness.engine.open_count(), 0u);
     EXPECT_EQ(harness.processor.open(), 0u);
     const auto sent = c.call.received.size();
-    c.events->on_message(harness.now, response);  // what still comes is not answered
+    c.events->on_message(harness.now, response);  // later messages are not answered
     EXPECT_EQ(c.call.received.size(), sent);
     harness.expect_empty();
   }
@@ -819,10 +820,10 @@
   harness.expect_empty();
 }
 
-// ---- all of it at once ----
+// ---- random sequences ----
 
-// Proxies that do anything at any time, with fixed seeds. What must hold is counted here, apart from the
-// program.
+// Proxies act in a random order, with fixed seeds. The test counts decisions independently of the processor's
+// metrics.
 TEST(RandomProxies, EachCallGetsOneDecisionAndNoNonIdempotentRequestIsSentTwice) {
   for (unsigned seed = 1; seed <= 12; ++seed) {
     std::mt19937 random(seed);
@@ -834,7 +835,7 @@
       bool reported = false;
     };
     std::vector<LiveCall> live_calls;
-    std::map<std::string, int> sent_decisions;  // decisions of unsafe requests that have left, by id
+    std::map<std::string, int> sent_decisions;  // hosts sent for non-idempotent requests, by request id
     std::uint64_t call_count = 0, decision_count = 0;
     const char* classes[] = {"lookup", "hold", "zoned", "pay"};
     const auto account = [&](LiveCall& live_call) {
--- a/tests/fuzz/processor_fuzz.cpp
+++ b/tests/fuzz/processor_fuzz.cpp
@@ -1,9 +1,9 @@
-// libFuzzer: any bytes as a proxy's connection, and any bytes as its messages, with the real processor,
-// engine and module behind them. What must hold: no crash, no sanitizer report, nothing left when the
-// connection is over.
+// libFuzzer target of the external processor, with the real engine and module. The input is fed either as the
+// bytes of a proxy's connection or as messages of its calls. There must be no crash, no sanitizer report, and
+// no state left when the connection has ended.
 //
-// The first byte chooses: bytes of the connection as they come, or messages, each with two bytes of length
-// before it, on calls that take turns.
+// The first byte selects the kind of input: odd for messages, even for connection bytes. Each message has a
+// prefix of two bytes: 10 bits of length, then 6 bits that select one of three calls and further actions.
 #include <cstdlib>
 #include <memory>
 #include <string_view>
@@ -143,7 +143,7 @@
     bytes.remove_prefix(message.size());
     const std::size_t call_index = actions % 3;
     if (!recorded_calls[call_index]->finished) calls[call_index]->on_message(harness.now, message);
-    if (actions & 4) recorded_calls[call_index]->unsent_messages = 0;  // it has left
+    if (actions & 4) recorded_calls[call_index]->unsent_messages = 0;  // its messages have been sent
     if (actions & 8) harness.advance(50);
     if ((actions & 48) == 48) {
       const HostEntry entry{.id = 1, .state = actions & 4 ? HostState::kDraining : HostState::kReady};
--- a/tests/http2_support.h
+++ b/tests/http2_support.h
@@ -1,4 +1,4 @@
-// An HTTP/2 connection in memory: a gRPC server and a client session, or hand-made frames, with the bytes
+// An in-memory HTTP/2 connection: a gRPC server with a client session or hand-made frames, and bytes that are
 // transferred in chunks of any size.
 #pragma once
 
@@ -15,7 +15,7 @@
 
 namespace cometfold::http2::testing {
 
-// One frame (RFC 9113 section 4.1).
+// Encodes one frame (RFC 9113 section 4.1).
 inline std::string frame(unsigned type, unsigned flags, std::uint32_t stream, std::string_view payload = {}) {
   std::string out;
   for (int shift = 16; shift >= 0; shift -= 8) out += static_cast<char>(payload.size() >> shift & 0xff);
@@ -29,7 +29,7 @@
 constexpr unsigned kEndStream = 1, kEndHeaders = 4;
 inline const std::string kPreface = "PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n" + frame(kSettingsFrame, 0, 0);
 
-// A header without indexing and without Huffman coding (RFC 7541 section 6.2.2).
+// Encodes a header without indexing and without Huffman coding (RFC 7541 section 6.2.2).
 inline std::string literal(std::string_view name, std::string_view value) {
   const auto length = [](std::size_t n) {
     std::string out;
@@ -98,7 +98,7 @@
   }
   std::unique_ptr<StreamEvents> on_request(Ms, Stream&, HeaderBlock) override { return {}; }
   void on_output() override {}
-  // Feeds bytes; false once the connection has ended.
+  // Feeds bytes. Returns false once the connection has ended.
   bool feed(std::string_view bytes, Ms now = 0) {
     return alive = connection->session().feed(now, bytes) && alive;
   }
@@ -121,7 +121,7 @@
   std::unique_ptr<grpc::Connection> connection;
 };
 
-// What a client got for one call.
+// What a client received for one call.
 struct ClientCallRecord {
   std::vector<std::string> messages;
   std::optional<grpc::Status> status;
@@ -167,7 +167,7 @@
     explicit RecordedCall(std::shared_ptr<ClientCallRecord> call) : record(std::move(call)) {}
     void on_message(Ms, std::string_view message) override { record->messages.emplace_back(message); }
     void on_status(Ms, const grpc::Status& status) override {
-      EXPECT_FALSE(record->status) << "two ends of one call";
+      EXPECT_FALSE(record->status) << "call ended twice";
       record->status = status;
       record->call = nullptr;
     }
--- a/tests/http2_test.cpp
+++ b/tests/http2_test.cpp
@@ -1,5 +1,5 @@
-// HTTP/2 and gRPC as state machines: well-formed calls, however their bytes are split, and peers that try to
-// cause more memory use or work than they do themselves.
+// Tests of the HTTP/2 and gRPC state machines: valid calls with their bytes split at any position, and peers
+// that try to exhaust memory or CPU time.
 #include <random>
 
 #include "http2_support.h"
@@ -78,7 +78,7 @@
                    literal(":method", "POST") + literal(":scheme", "http") + literal(":path", "/x") +
                        literal(":authority", "a") + literal("content-type", "application/json")));
   EXPECT_NE(plain.take_output().find("application/grpc\n"),
-            std::string::npos);  // the body of the response 415
+            std::string::npos);  // body of the 415 response
   plain.feed(frame(kHeadersFrame, kEndHeaders | kEndStream, 3,
                    literal(":method", "GET") + literal(":scheme", "http") + literal(":path", "/x") +
                        literal(":authority", "a")));
@@ -96,7 +96,7 @@
     const auto other = client.call();
     const auto record = client.call();
     client.transfer(server);
-    // Not through the client's own framing.
+    // Bypasses the client's message framing.
     server.feed(frame(kDataFrame, end ? kEndStream : 0, 3, bytes));
     client.transfer(server);
     other->call->send("still");
@@ -109,7 +109,7 @@
   EXPECT_EQ(status_of(std::string("\0\0\0\7\0", 5), false), Code::kResourceExhausted);  // too large
   EXPECT_EQ(status_of(std::string("\0\xff\xff\xff\xff", 5), false), Code::kResourceExhausted);
   EXPECT_EQ(status_of(std::string("\0\0\0", 3), true), Code::kInternal);        // ends inside the prefix
-  EXPECT_EQ(status_of(std::string("\0\0\0\0\5ab", 7), true), Code::kInternal);  // ... inside the message
+  EXPECT_EQ(status_of(std::string("\0\0\0\0\5ab", 7), true), Code::kInternal);  // ends inside the message
 }
 
 TEST(Grpc, BoundsIncompleteMessagesOfAConnection) {
@@ -126,7 +126,7 @@
     EXPECT_LE(server.connection->incomplete_bytes(), 13'000u);
   }
   EXPECT_TRUE(server.alive);
-  EXPECT_EQ(server.connection->session().stream_count(), 3u);  // the others have been ended
+  EXPECT_EQ(server.connection->session().stream_count(), 3u);  // the other calls have been ended
 }
 
 TEST(Grpc, EndsACallWithoutAFirstMessage) {
@@ -172,7 +172,7 @@
   }
 }
 
-// ---- peers that attack ----
+// ---- attacks ----
 
 ErrorCode error_after_flood(Server& server, const std::string& flood, std::size_t times,
                             const std::string& opening = kPreface) {
@@ -240,9 +240,9 @@
 }
 
 TEST(Attack, AHeaderBombIsNotExpanded) {
-  // One header of 4,000 bytes goes into the table; each further byte refers to it.
+  // Adds a header of 4,000 bytes to the dynamic table. Each byte of `bomb` then refers to it.
   std::string first = call_headers();
-  first += std::string(1, '\x40');  // with incremental indexing, new name
+  first += std::string(1, '\x40');  // literal with incremental indexing, new name
   first += std::string("\1b", 2);
   first += std::string("\x7f", 1) + std::string(1, static_cast<char>(((4000 - 127) & 127) | 128)) +
            std::string(1, static_cast<char>((4000 - 127) >> 7)) + std::string(4000, 'v');
@@ -252,7 +252,7 @@
   EXPECT_TRUE(server.alive);
   EXPECT_EQ(server.echo.calls.size(), 1u);
   const std::string bomb = call_headers() + std::string(15'000, '\xbe');  // index 62: the newest entry
-  server.feed(frame(kHeadersFrame, kEndHeaders, 3, bomb));                // 60 MB if it were kept
+  server.feed(frame(kHeadersFrame, kEndHeaders, 3, bomb));                // 60 MB if it were stored
   EXPECT_EQ(server.connection->session().termination_code(), NGHTTP2_ENHANCE_YOUR_CALM);
   EXPECT_EQ(server.echo.calls.size(), 1u);
 }
@@ -276,7 +276,7 @@
   limits.http2.max_concurrent_streams = 100;
   Server server(limits);
   server.feed(kPreface);
-  server.feed(frame(kSettingsFrame, 1, 0));  // acknowledges the limit
+  server.feed(frame(kSettingsFrame, 1, 0));  // SETTINGS acknowledgement, which makes the limit effective
   server.take_output();
   for (std::uint32_t id = 1; id < 2000; id += 2) {
     server.feed(frame(kHeadersFrame, kEndHeaders, id, call_headers()));
@@ -334,7 +334,7 @@
   before->call->send("a");
   client.transfer(server);
   server.connection->session().announce_drain();
-  const auto crossing = client.call();  // sent before the client gets the notice
+  const auto crossing = client.call();  // sent before the client receives the GOAWAY
   crossing->call->send("b");
   server.feed(client.take_output());
   client.transfer(server);
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -1,4 +1,5 @@
-// The program as an external processor, over sockets: drain, reload, a crash, attackers beside a good proxy.
+// Tests of the gateway program as an external processor over sockets: drain, reload, crash, and attackers
+// next to a well-behaved proxy.
 #include <algorithm>
 #include <fstream>
 #include <memory>
@@ -19,7 +20,7 @@
 
 constexpr const char* kProcessPath = "/envoy.service.ext_proc.v3.ExternalProcessor/Process";
 
-// The gateway's own settings in a file that goes with them.
+// A temporary file with the gateway's local settings, removed by the destructor.
 class SettingsFile {
  public:
   explicit SettingsFile(const std::string& text) {
@@ -91,7 +92,7 @@
   std::shared_ptr<CallRecord> record;
 };
 
-// One proxy's connection.
+// The connection of one proxy.
 class Proxy {
  public:
   explicit Proxy(int port) : peer(port) {}
@@ -181,10 +182,10 @@
   Proxy proxy(program.port);
   auto before = proxy.send_request("pay", "a");
   program.child->signal(SIGTERM);
-  auto meanwhile = proxy.send_request("pay", "b");  // on its way while the proxy is told
+  auto meanwhile = proxy.send_request("pay", "b");  // sent while the server announces its shutdown
   EXPECT_TRUE(Proxy::routed(meanwhile));
   Proxy::OpenCall late{nullptr, nullptr};
-  do {  // until the second word has come: from then on no call is taken
+  do {  // until the second GOAWAY arrives, after which no call can be opened
     late = proxy.open_call();
     if (late.call) {
       late.call->cancel();
@@ -211,7 +212,7 @@
     program.child->signal(SIGHUP);
     program.child->log_until("the old one is kept");
   }
-  file.write(extproc_settings("[extproc.request]\ndefault_class = \"nope\"\n"));  // a class that there is not
+  file.write(extproc_settings("[extproc.request]\ndefault_class = \"nope\"\n"));  // no such class
   program.child->signal(SIGHUP);
   EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'nope'"), std::string::npos);
   EXPECT_TRUE(Proxy::routed(proxy.send_request("lookup", "b")));
@@ -219,9 +220,9 @@
   file.write(extproc_settings("[extproc.request]\nclass_header = \"\"\ndefault_class = \"pay\"\n"));
   program.child->signal(SIGHUP);
   program.child->log_until("configuration read again");
-  auto after = proxy.send_request("nope", "d");  // nobody looks at that header any more
+  auto after = proxy.send_request("nope", "d");  // the class header is no longer read
   ASSERT_TRUE(Proxy::routed(after));
-  proxy.report(open, 200);  // and what was open goes on
+  proxy.report(open, 200);  // open calls continue
   EXPECT_TRUE(open.record->messages.back().has_response_headers());
 }
 
@@ -232,11 +233,11 @@
   auto conf = two_hosts();
   auto& lanes = conf["settings"].as_object()["lanes"].as_array();
   lanes.erase(lanes.begin());
-  program.reload(conf);  // the default class would be gone
+  program.reload(conf);  // would remove the default class
   EXPECT_NE(program.child->log_until("the old one is kept").find("no class 'lookup'"), std::string::npos);
   EXPECT_TRUE(Proxy::routed(proxy.send_request("lookup", "a")));
   file.write(extproc_settings());
-  lanes[1].as_object()["name"] = "audit";  // pay goes too
+  lanes[1].as_object()["name"] = "audit";  // removes the class pay
   program.reload(conf);
   program.child->log_until("configuration read again");
   EXPECT_EQ(Proxy::immediate_status(proxy.send_request("lookup", "b")), 400);
@@ -256,7 +257,7 @@
   auto proxy = std::make_unique<Proxy>(port);
   for (const char* cls : {"lookup", "hold", "pay"}) {
     const std::string name(cls);
-    auto half = proxy->open_call();  // before its headers end
+    auto half = proxy->open_call();  // a call without request headers
     half.call->send(std::string());
     sent_requests.push_back({name, name + "-named", proxy->send_request(name, name + "-named")});
     sent_requests.push_back({name, name + "-failed", proxy->send_request(name, name + "-failed")});
@@ -275,13 +276,13 @@
   for (const auto& a : sent_requests) {
     auto retry = proxy->send_request(a.cls, a.id, 2);
     if (a.cls == "pay") {
-      EXPECT_EQ(Proxy::immediate_status(retry), 503) << a.id;  // failed, not refused: it may have run
+      EXPECT_EQ(Proxy::immediate_status(retry), 503) << a.id;  // a failure, not a rejection: it may have run
       EXPECT_EQ(retry.record->messages[0].immediate_response().details(),
                 "cometfold_first_attempt_not_known");
     } else if (a.cls == "lookup") {
       EXPECT_TRUE(Proxy::routed(retry)) << a.id;
     } else {
-      // Its key lives as long as its clients may wait, no longer: it may have run out meanwhile.
+      // The key is not valid for longer than a client may wait, so it may have expired.
       EXPECT_EQ(Proxy::immediate_status(retry), 503) << a.id;
     }
   }
@@ -299,7 +300,7 @@
   chunk(agent, list(8, false, {target("s-1", 9101, "leaving")}) + "\n");
   Proxy proxy(program.port);
   int others = 0;
-  for (int i = 0; others < 20; ++i) {  // until the news has come through, and from then on
+  for (int i = 0; others < 20; ++i) {  // waits until the drain takes effect, and checks that it lasts
     auto call = proxy.send_request("lookup", "i" + std::to_string(i));
     const auto& set =
         call.record->messages.at(0).request_headers().response().header_mutation().set_headers();
@@ -321,20 +322,20 @@
   };
   const std::string preface("PRI * HTTP/2.0\r\n\r\nSM\r\n\r\n\0\0\0\4\0\0\0\0\0", 33);
   serve("before");
-  {  // no HTTP/2 at all, and nothing at all
+  {  // a connection without HTTP/2, and one without any bytes
     auto noise = Peer::connect(program.port), silence = Peer::connect(program.port);
     noise.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
     EXPECT_TRUE(noise.ends());
     EXPECT_TRUE(silence.ends());
   }
   serve("after noise");
-  {  // frames that cost nothing
+  {  // a flood of cheap frames
     auto flood = Peer::connect(program.port);
     std::string pings = preface;
     for (int i = 0; i < 50'000; ++i) pings += std::string("\0\0\10\6\0\0\0\0\0", 9) + "12345678";
     try {
       flood.send(pings);
-    } catch (const Hung&) {  // it was ended meanwhile
+    } catch (const Hung&) {  // the connection was closed while sending
     }
     try {
       EXPECT_TRUE(flood.ends());
@@ -342,7 +343,7 @@
     }
   }
   serve("after a flood");
-  {  // calls that say nothing
+  {  // calls without any message
     http2::SessionLimits limits = H2Peer::patient();
     H2Peer half(program.port, limits);
     std::vector<std::shared_ptr<CallRecord>> records;
