--- a/src/extproc/messages.cpp
+++ b/src/extproc/messages.cpp
@@ -18,8 +18,7 @@
   explicit FieldReader(std::string_view bytes)
       : in_(reinterpret_cast<const std::uint8_t*>(bytes.data()), static_cast<int>(bytes.size())) {}
 
-  // Returns the number of the next field, or 0 at the end; `valid` then tells whether the message was
-  // valid.
+  // Returns the number of the next field, or 0 at the end; `valid` then tells whether all fields were valid.
   int next() {
     tag_ = in_.ReadTag();
     if (tag_ == 0) valid_ = in_.ConsumedEntireMessage() && valid_;
--- a/src/extproc/processor.h
+++ b/src/extproc/processor.h
@@ -1,16 +1,15 @@
 // The external processor. It is both a downstream handler of the engine, whose clients are proxies, and the
 // engine's transport to the hosts, as the proxies carry out the attempts. Each call of `Process` requests one
-// decision: the proxy forwards the request to the host that the decision names, or sends the reply that it
-// contains to its client, and reports how the attempt ended.
+// decision: the proxy forwards the request to the host that the decision names and reports how the attempt
+// ended, or sends the decision's reply to its client.
 //
 // Guarantees, whatever the proxies do:
 //   - each call immediately gets one decision: a host, a rejection or a failure;
 //   - a request that may have been sent gets another host only if its class allows a retry and the module
 //     decides on one;
 //   - a decision that has not left this process when its host drains is withdrawn and replaced;
-//   - the end of each attempt is reported to the module once: with the proxy's outcome, or as cancelled if
-//   the
-//     proxy disconnects or reports nothing, so that no host is blamed;
+//   - the end of each attempt is reported to the module once: with the proxy's outcome, or as cancelled
+//     if the proxy disconnects or reports nothing, so that no host is blamed;
 //   - after a request's deadline only its decision is kept, in a cache of bounded size, so that a retry gets
 //     the first decision.
 // No I/O, no clock. Not thread-safe.
