--- a/src/extproc/request_mapper.cpp
+++ b/src/extproc/request_mapper.cpp
@@ -12,13 +12,13 @@
 namespace {
 
 constexpr Ms kMaxTimeoutMs = 600'000;
-constexpr std::size_t kMaxNameBytes = 256;       // of ids, keys and customers
-constexpr std::size_t kMaxHeaderNameBytes = 63;  // name lengths are bits of a word
-constexpr std::size_t kMaxQuotedBytes = 64;      // of a client's text in an error
+constexpr std::size_t kMaxNameBytes = 256;       // maximum length of ids, keys and customer names
+constexpr std::size_t kMaxHeaderNameBytes = 63;  // `name_lengths_` has a bit for each length
+constexpr std::size_t kMaxQuotedBytes = 64;      // of a client's value in an error message
 constexpr std::uint32_t kMaxAttempts = 1000;
-constexpr double kUnitsTolerance = 1e-6;  // relative, for rounding on the way
+constexpr double kUnitsTolerance = 1e-6;  // relative, for rounding errors in transmitted values
 constexpr std::size_t kNumberedCustomerDigits = 16;
-// Customers that RESP2 clients name lie below, hashed names at or above.
+// Customer ids of RESP2 clients are below this value, hashed names at or above it.
 constexpr CustomerId kFirstHashedCustomer = CustomerId{1} << 33;
 
 constexpr std::uint64_t kFnvOffset = 0xcbf29ce484222325;
@@ -33,7 +33,7 @@
   return error == std::errc{} && end == text.data() + text.size() && !text.empty();
 }
 
-// As much of a client's text as fits into an error, without control characters.
+// Quotes a client's value for an error message: shortened, with unprintable characters replaced.
 std::string quoted(std::string_view text) {
   std::string safe = "'";
   for (const char c : text.substr(0, kMaxQuotedBytes)) {
@@ -49,17 +49,18 @@
   return path.starts_with(std::string_view(pattern).substr(0, pattern.size() - 1));
 }
 
-std::string by_header(const std::string& header) {
+std::string header_clause(const std::string& header) {
   return header.empty() ? "" : " by the header " + header + ",";
 }
 
 std::string too_long(const std::string& header) { return header + " is longer than 256 bytes"; }
 
-// What a header says, else what the rule says, else the default.
-std::string_view first_given(std::string_view header, const std::string* rule, const std::string& otherwise) {
+// Returns the value of the header, else that of the rule, else the default.
+std::string_view first_given(std::string_view header, const std::string* rule,
+                             const std::string& default_value) {
   if (!header.empty()) return header;
   if (rule && !rule->empty()) return *rule;
-  return otherwise;
+  return default_value;
 }
 
 }  // namespace
@@ -167,7 +168,7 @@
                                      Request& request) const {
   const auto name = first_given(found[kClass], rule ? &rule->class_name : nullptr, mapping_.default_class);
   if (name.empty()) {
-    return "no class is named:" + by_header(mapping_.class_header) + " by a rule for " +
+    return "no class is named:" + header_clause(mapping_.class_header) + " by a rule for " +
            quoted(found[kMethod]) + " " + quoted(found[kPath]) + " or by default_class";
   }
   const auto index = index_of(names_.class_names, name);
@@ -180,7 +181,7 @@
                                     Request& request) const {
   const auto name = first_given(found[kPlan], rule ? &rule->plan_name : nullptr, mapping_.default_plan);
   if (name.empty()) {
-    return "no plan is named:" + by_header(mapping_.plan_header) + " by a rule or by default_plan";
+    return "no plan is named:" + header_clause(mapping_.plan_header) + " by a rule or by default_plan";
   }
   const auto index = index_of(names_.plan_names, name);
   if (!index) return "no plan " + quoted(name) + "; there are " + joined(names_.plan_names);
@@ -191,7 +192,7 @@
 std::string RequestMapper::map_customer(const FoundHeaders& found, Request& request) const {
   const auto name = first_given(found[kCustomer], nullptr, mapping_.default_customer);
   if (name.empty()) {
-    return "no customer is named:" + by_header(mapping_.customer_header) + " or by default_customer";
+    return "no customer is named:" + header_clause(mapping_.customer_header) + " or by default_customer";
   }
   if (name.size() > kMaxNameBytes) return too_long(mapping_.customer_header);
   request.customer = customer_id_of(name, seed_);
