--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -374,6 +374,7 @@
     with peer:
         peer.sendmsg([b"L"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [listener.fileno()]))])
         gateway.wait_for("the predecessor process is serving")
+        gateway.wait_for("admin server is listening")
         # Discovery has been heard by then, so that what is handed over of hosts finds its host.
         wait_for_metric(int(config["admin"].rsplit(":")[-1]), "edge_edge.known_hosts", "1|g")
         peer.sendall(HANDOVER_STATE.read_bytes())
