--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -9,14 +9,14 @@
 from wire import Error, ProtocolError, Reader, encode
 
 TCP_INFO, TCP_CLOSE = 11, 7
-SEES_RESET = 0.8  # seconds after the gateway's end of a connection, in which bytes that it never read come back
+RESET_WAIT = 0.8  # seconds after the gateway's end of a connection, in which bytes that it never read come back
 
 
 class Connection(asyncio.Protocol):
     def __init__(self, world, gateway):
         self.world, self.gateway, self.reader = world, gateway, Reader()
-        self.waiting = []  # ids, in their order
-        self.open, self.ended, self.leaving = False, False, False
+        self.unanswered = []  # ids, in their order
+        self.open, self.got_eof, self.abandoned = False, False, False
         self.paused = False
         self.was_reset = False
 
@@ -27,7 +27,7 @@
     def send(self, items):
         """`items`: pairs of an id and the request's bytes."""
         for rid, _ in items:
-            self.waiting.append(rid)
+            self.unanswered.append(rid)
         self.transport.write(b"".join(data for _, data in items))
 
     def data_received(self, data):
@@ -35,24 +35,24 @@
         now = self.world.now()
         try:
             while (answer := self.reader.next()) is not Reader.MORE:
-                if not self.waiting:
+                if not self.unanswered:
                     continue
-                self.world.answer(self.waiting.pop(0), answer, now, self)
+                self.world.on_answer(self.unanswered.pop(0), answer, now, self)
         except (ProtocolError, ValueError) as error:
-            self.world.oracle.breach("lost", f"{self.gateway} answered what is no RESP2: {error}")
+            self.world.oracle.report_violation("lost", f"{self.gateway} answered what is no RESP2: {error}")
             self.transport.abort()
 
     def eof_received(self):
-        self.ended = True
-        if not self.waiting:
+        self.got_eof = True
+        if not self.unanswered:
             return False
-        asyncio.ensure_future(self.judge_end())
+        asyncio.ensure_future(self.check_for_reset())
         return True  # kept open, to see whether a reset follows
 
-    async def judge_end(self):
+    async def check_for_reset(self):
         """A reset behind the end says that bytes had not been read; none says that all had been."""
         sock = self.transport.get_extra_info("socket")
-        deadline = self.world.now() + SEES_RESET
+        deadline = self.world.now() + RESET_WAIT
         unread = False
         while self.world.now() < deadline and not unread:
             if sock.fileno() < 0:  # its gateway was killed meanwhile
@@ -61,28 +61,28 @@
             info = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, 1)
             unread = struct.unpack("B", info)[0] == TCP_CLOSE
             await asyncio.sleep(0.02)
-        self.judge(unread)
+        self.report_closed(unread)
         self.transport.abort()
 
-    def judge(self, unread):
-        waiting, self.waiting = self.waiting, []
-        for rid in waiting:
-            self.world.closed(rid, unread)
+    def report_closed(self, unread):
+        unanswered, self.unanswered = self.unanswered, []
+        for rid in unanswered:
+            self.world.on_closed(rid, unread)
 
     def connection_lost(self, error):
         self.open = False
         self.was_reset = error is not None
         self.world.connections[self.gateway].discard(self)
-        if self.waiting and not self.leaving and not self.ended:
-            self.judge(unread=error is not None)
+        if self.unanswered and not self.abandoned and not self.got_eof:
+            self.report_closed(unread=error is not None)
 
-    def leave(self):
+    def abandon(self):
         """Closes with whatever is open."""
-        self.leaving = True
+        self.abandoned = True
         now = self.world.now()
-        for rid in self.waiting:
-            self.world.oracle.left(rid, now)
-        self.waiting = []
+        for rid in self.unanswered:
+            self.world.oracle.record_client_left(rid, now)
+        self.unanswered = []
         sock = self.transport.get_extra_info("socket")
         if random.random() < 0.5:
             self.transport.abort()
@@ -95,7 +95,7 @@
 
     @property
     def free(self):
-        return self.open and not self.ended and not self.leaving and not self.waiting and not self.paused
+        return self.open and not self.got_eof and not self.abandoned and not self.unanswered and not self.paused
 
 
 class Clients:
@@ -104,22 +104,22 @@
     def __init__(self, world, gateway, rate):
         self.world, self.gateway, self.rate = world, gateway, rate
         self.burst = 1.0
-        self.leave_share, self.pipeline, self.late_share = 0.02, 1, 0.0
+        self.abandon_share, self.pipeline, self.short_deadline_share = 0.02, 1, 0.0
         self.running = True
 
     async def run(self):
         while self.running:
             await asyncio.sleep(random.expovariate(self.rate * self.burst))
-            asyncio.ensure_future(self.ask(random.choice([1] * 8 + [self.pipeline])))
+            asyncio.ensure_future(self.send_requests(random.choice([1] * 8 + [self.pipeline])))
 
-    def draw(self):
+    def draw_request(self):
         world = self.world
-        kind = random.choices(list(world.classes), [c["share"] for c in world.classes.values()])[0]
+        class_name = random.choices(list(world.classes), [c["share"] for c in world.classes.values()])[0]
         plan = random.choices(list(world.plans), [p["share"] for p in world.plans.values()])[0]
         customer = random.randrange(40) + 1000 * (1 + list(world.plans).index(plan))
-        wait = world.classes[kind]["deadline_ms"] / 1000 * (random.uniform(0.05, 0.3) if random.random() < self.late_share else 1)
+        timeout = world.classes[class_name]["deadline_ms"] / 1000 * (random.uniform(0.05, 0.3) if random.random() < self.short_deadline_share else 1)
         rid = f"{random.getrandbits(64):016x}"
-        return rid, kind, plan, customer, wait
+        return rid, class_name, plan, customer, timeout
 
     async def connection(self, new):
         free = [c for c in self.world.connections[self.gateway.name] if c.free]
@@ -132,16 +132,16 @@
             return None
         return connection if connection.free else None
 
-    async def ask_again(self, rid, request):
+    async def resend(self, rid, request):
         """On a new connection, as the one before ended and the gateway had not read it."""
         connection = await self.connection(new=True)
         if connection is None:
             self.world.oracle.counts["not taken"] += 1
             return
-        request.crossed, request.sent = False, self.world.now()
+        request.closed_unread, request.sent = False, self.world.now()
         connection.send([(rid, request.data)])
 
-    async def ask(self, count):
+    async def send_requests(self, count):
         world, gateway = self.world, self.gateway
         connection = await self.connection(new=random.random() < 0.05)
         if connection is None:
@@ -149,45 +149,45 @@
             return
         batch = []
         for _ in range(count):
-            rid, kind, plan, customer, wait = self.draw()
-            request = Request(kind, gateway.name, plan, customer, 1.0, wait, world.now())
-            request.data = self.encode(rid, kind, plan, customer, wait)
+            rid, class_name, plan, customer, timeout = self.draw_request()
+            request = Request(class_name, gateway.name, plan, customer, 1.0, timeout, world.now())
+            request.data = self.encode(rid, class_name, plan, customer, timeout)
             batch.append((rid, request.data))
-            world.oracle.taken(rid, request)
+            world.oracle.request_sent(rid, request)
         connection.send(batch)
-        if random.random() < self.leave_share:
+        if random.random() < self.abandon_share:
             await asyncio.sleep(random.uniform(0, 0.4))
-            if connection.waiting:
-                connection.leave()
+            if connection.unanswered:
+                connection.abandon()
 
-    def encode(self, rid, kind, plan, customer, wait):
-        safe = self.world.classes[kind]["semantics"] == "safe"
-        fields = f"c={kind},t={plan},d={int(wait * 1000)},units=1,spread={len(self.world.gateways)},first=0"
-        if self.world.classes[kind]["semantics"] == "keyed":
+    def encode(self, rid, class_name, plan, customer, timeout):
+        safe = self.world.classes[class_name]["semantics"] == "safe"
+        fields = f"c={class_name},t={plan},d={int(timeout * 1000)},units=1,spread={len(self.world.gateways)},first=0"
+        if self.world.classes[class_name]["semantics"] == "keyed":
             fields += f",k={rid}"
         words = ["SVC.QUERY" if safe else "SVC.SUBMIT", f"{customer:016x}", rid, fields]
         return encode(*words, *([] if safe else [b"x" * random.choice([10, 200, 5000])]))
 
-    async def half(self):
+    async def send_partial_command(self):
         """Half a command, and stays."""
         try:
             reader, writer = await asyncio.open_connection(self.gateway.address, CLIENTS_PORT)
         except OSError:
             return
-        rid, kind, plan, customer, wait = self.draw()
-        data = self.encode(rid, kind, plan, customer, wait)
+        rid, class_name, plan, customer, timeout = self.draw_request()
+        data = self.encode(rid, class_name, plan, customer, timeout)
         writer.write(data[:random.randrange(1, len(data))])
         began = self.world.now()
         try:
             await asyncio.wait_for(reader.read(1), 3.0 + self.world.lag() + 0.2)
         except asyncio.TimeoutError:
-            if self.world.steady(self.gateway, began):
-                self.world.oracle.breach("bad client", f"{self.gateway.name}: half a command, no error or close in 3 s")
+            if self.world.running_since(self.gateway, began):
+                self.world.oracle.report_violation("bad client", f"{self.gateway.name}: half a command, no error or close in 3 s")
         except OSError:
             pass
         writer.transport.abort()
 
-    async def idle(self, count, span):
+    async def hold_idle_connections(self, count, duration):
         """Connections that say nothing."""
         sockets = []
         for _ in range(count):
@@ -195,11 +195,11 @@
             s.setblocking(False)
             s.connect_ex((self.gateway.address, CLIENTS_PORT))
             sockets.append(s)
-        await asyncio.sleep(span)
+        await asyncio.sleep(duration)
         for s in sockets:
             s.close()
 
-    async def garbage(self):
+    async def send_garbage(self):
         try:
             reader, writer = await asyncio.open_connection(self.gateway.address, CLIENTS_PORT)
             writer.write(random.choice([b"GET / HTTP/1.1\r\n\r\n", b"*1\r\n$99999999\r\n", b"*3\r\n$-1\r\n", b"\x00" * 50,
@@ -210,7 +210,7 @@
             pass
 
 
-def kind_of(answer):
+def outcome_of(answer):
     if isinstance(answer, Error):
         return "refused" if answer.split(" ")[0] == "BUSY" else "failed"
     if isinstance(answer, list):
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -3,7 +3,7 @@
 import json
 import re
 
-SILENT_AFTER = 6.0  # what a silent watch misses counts as told then
+SILENT_WATCH_TIMEOUT = 6.0  # what a silent watch misses counts as told then
 
 
 class Discovery:
@@ -11,7 +11,7 @@
 
     def __init__(self, world, gateway):
         self.world, self.gateway = world, gateway
-        self.up, self.refuse, self.silent, self.whole_first, self.omit_leaving = True, False, False, False, False
+        self.available, self.refuse, self.silent, self.full_list_first, self.omit_leaving = True, False, False, False, False
         self.delay = 0.0
         self.sessions = set()
 
@@ -25,7 +25,7 @@
                 "state": "active" if host.state == "dead" else host.state,
                 "capacity_hint": 1.0, "boot_ms": host.boot_ms}
 
-    def whole(self):
+    def full_list(self):
         hosts = [h for h in self.world.hosts.values() if h.state != "left"]
         if self.omit_leaving:
             hosts = [h for h in hosts if h.state in ("active", "dead")]
@@ -41,8 +41,8 @@
         for session in list(self.sessions):
             session.push()
 
-    def set_up(self, up):
-        self.up = up
+    def set_available(self, up):
+        self.available = up
         if not up:
             for session in list(self.sessions):
                 session.mute = True
@@ -55,7 +55,7 @@
         """Open watches fall silent for good; new ones work."""
         if silent:
             for session in list(self.sessions):
-                session.mute = session.dead = True
+                session.mute = session.silenced = True
 
     def end_watches(self):
         for session in list(self.sessions):
@@ -63,17 +63,17 @@
 
 
 class Session(asyncio.Protocol):
-    def __init__(self, owner):
-        self.owner, self.buffer = owner, b""
-        self.since, self.watching, self.pending = 0, False, None
-        self.mute = self.dead = False
+    def __init__(self, discovery):
+        self.discovery, self.buffer = discovery, b""
+        self.since, self.watching, self.pending_request = 0, False, None
+        self.mute = self.silenced = False
         self.timer = None
 
     def connection_made(self, transport):
         self.transport = transport
 
     def connection_lost(self, _):
-        self.owner.sessions.discard(self)
+        self.discovery.sessions.discard(self)
         if self.timer:
             self.timer.cancel()
 
@@ -82,52 +82,52 @@
         if b"\r\n\r\n" not in self.buffer:
             return
         head, self.buffer = self.buffer.split(b"\r\n\r\n", 1)
-        asyncio.get_running_loop().call_later(self.owner.delay, self.call, head.decode())
+        asyncio.get_running_loop().call_later(self.discovery.delay, self.handle_request, head.decode())
 
-    def call(self, head):
+    def handle_request(self, head):
         if self.transport.is_closing():
             return
-        owner = self.owner
-        if not owner.up:
+        discovery = self.discovery
+        if not discovery.available:
             self.mute = True
-            self.pending = head
-            owner.sessions.add(self)
+            self.pending_request = head
+            discovery.sessions.add(self)
             return
-        if owner.refuse:
+        if discovery.refuse:
             self.transport.write(b"HTTP/1.1 503 Busy\r\nContent-Length: 0\r\n\r\n")
             return
         found = re.search(r"follow=1&since=(\d+)", head)
         if not found:
-            body = json.dumps(owner.whole()).encode()
+            body = json.dumps(discovery.full_list()).encode()
             self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n" % len(body) + body)
-            owner.world.told(owner.gateway, 0)
+            discovery.world.list_sent(discovery.gateway, 0)
             return
         self.since, self.watching = int(found.group(1)), True
-        owner.sessions.add(self)
+        discovery.sessions.add(self)
         self.transport.write(b"HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nTransfer-Encoding: chunked\r\n\r\n")
-        if owner.whole_first or self.since == 0:
-            self.write(json.dumps(owner.whole()))
-            self.since = owner.world.revision
-            owner.world.told(owner.gateway, 0)
+        if discovery.full_list_first or self.since == 0:
+            self.write(json.dumps(discovery.full_list()))
+            self.since = discovery.world.revision
+            discovery.world.list_sent(discovery.gateway, 0)
         else:
             self.push(first=True)
-        self.beat()
+        self.send_heartbeat()
 
-    def beat(self):
+    def send_heartbeat(self):
         if not self.mute:
             self.write("")
-        self.timer = asyncio.get_running_loop().call_later(2.0, self.beat)
+        self.timer = asyncio.get_running_loop().call_later(2.0, self.send_heartbeat)
 
     def push(self, first=False):
-        if self.pending and not self.mute:
-            head, self.pending = self.pending, None
-            return self.call(head)
-        if self.mute or self.dead or not self.watching:
+        if self.pending_request and not self.mute:
+            head, self.pending_request = self.pending_request, None
+            return self.handle_request(head)
+        if self.mute or self.silenced or not self.watching:
             return None
-        if self.since < self.owner.world.revision or first:
-            self.write(json.dumps(self.owner.changes(self.since)))
-            was, self.since = self.since, self.owner.world.revision
-            self.owner.world.told(self.owner.gateway, was)
+        if self.since < self.discovery.world.revision or first:
+            self.write(json.dumps(self.discovery.changes(self.since)))
+            previous, self.since = self.since, self.discovery.world.revision
+            self.discovery.world.list_sent(self.discovery.gateway, previous)
         return None
 
     def write(self, line):
--- a/tests/soak/fault_shim.c
+++ b/tests/soak/fault_shim.c
@@ -55,7 +55,7 @@
   if (at != MAP_FAILED) plan = at;
 }
 
-static uint32_t draw(void) {
+static uint32_t random_16_bits(void) {
   random_state ^= random_state << 13;
   random_state ^= random_state >> 7;
   random_state ^= random_state << 17;
@@ -63,11 +63,11 @@
 }
 
 /* Whether this call fails; errno is set then. */
-static int fails(enum call which) {
+static int should_fail(enum call which) {
   volatile struct fault *f = &plan->faults[which];
   if (f->next > 0) {
     --f->next;
-  } else if (f->share <= 0 || draw() >= (uint32_t)f->share) {
+  } else if (f->share <= 0 || random_16_bits() >= (uint32_t)f->share) {
     return 0;
   }
   ++f->hits;
@@ -75,19 +75,19 @@
   return 1;
 }
 
-static void *real(const char *name) { return dlsym(RTLD_NEXT, name); }
-#define REAL(name) ((__typeof__(&name))real(#name))
+static void *next_symbol(const char *name) { return dlsym(RTLD_NEXT, name); }
+#define REAL(name) ((__typeof__(&name))next_symbol(#name))
 
 /* A connection that is gone before it is accepted has left the queue, unlike one that there is no room for. */
 static int accept_fails(int fd) {
   struct pollfd waiting = {fd, POLLIN, 0};
-  if (poll(&waiting, 1, 0) <= 0 || !fails(ACCEPT)) return 0;
+  if (poll(&waiting, 1, 0) <= 0 || !should_fail(ACCEPT)) return 0;
   const int error = errno;
   if (error == ECONNABORTED || error == EPROTO) {
-    const int gone = REAL(accept4)(fd, NULL, NULL, SOCK_CLOEXEC);
+    const int aborted = REAL(accept4)(fd, NULL, NULL, SOCK_CLOEXEC);
     const struct linger now = {1, 0};
-    if (gone >= 0) setsockopt(gone, SOL_SOCKET, SO_LINGER, &now, sizeof now);
-    if (gone >= 0) close(gone);
+    if (aborted >= 0) setsockopt(aborted, SOL_SOCKET, SO_LINGER, &now, sizeof now);
+    if (aborted >= 0) close(aborted);
   }
   errno = error;
   return 1;
@@ -100,50 +100,50 @@
   return accept_fails(fd) ? -1 : REAL(accept4)(fd, at, size, flags);
 }
 int socket(int domain, int type, int protocol) {
-  return domain == AF_INET && fails(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
+  return domain == AF_INET && should_fail(SOCKET) ? -1 : REAL(socket)(domain, type, protocol);
 }
 int connect(int fd, const struct sockaddr *at, socklen_t size) {
-  return at->sa_family == AF_INET && fails(CONNECT) ? -1 : REAL(connect)(fd, at, size);
+  return at->sa_family == AF_INET && should_fail(CONNECT) ? -1 : REAL(connect)(fd, at, size);
 }
 int bind(int fd, const struct sockaddr *at, socklen_t size) {
-  return at->sa_family == AF_UNIX && fails(BIND_UNIX) ? -1 : REAL(bind)(fd, at, size);
+  return at->sa_family == AF_UNIX && should_fail(BIND_UNIX) ? -1 : REAL(bind)(fd, at, size);
 }
-int epoll_wait(int fd, struct epoll_event *events, int most, int ms) {
-  return fails(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, most, ms);
+int epoll_wait(int fd, struct epoll_event *events, int max_events, int ms) {
+  return should_fail(EPOLL_WAIT) ? -1 : REAL(epoll_wait)(fd, events, max_events, ms);
 }
 
-static int is_stream(int fd) {
+static int is_stream_socket(int fd) {
   int type = 0;
   socklen_t size = sizeof type;
   return getsockopt(fd, SOL_SOCKET, SO_TYPE, &type, &size) == 0 && type == SOCK_STREAM;
 }
 
 ssize_t recv(int fd, void *to, size_t size, int flags) {
-  if (is_stream(fd) && fails(RECV)) return -1;
-  if (size > 3 && !(flags & MSG_PEEK) && fails(SHORT_RECV)) size = 1 + size % 3;
+  if (is_stream_socket(fd) && should_fail(RECV)) return -1;
+  if (size > 3 && !(flags & MSG_PEEK) && should_fail(SHORT_RECV)) size = 1 + size % 3;
   return REAL(recv)(fd, to, size, flags);
 }
 ssize_t recvmsg(int fd, struct msghdr *message, int flags) {
-  return is_stream(fd) && fails(RECV) ? -1 : REAL(recvmsg)(fd, message, flags);
+  return is_stream_socket(fd) && should_fail(RECV) ? -1 : REAL(recvmsg)(fd, message, flags);
 }
 ssize_t send(int fd, const void *from, size_t size, int flags) {
-  if (is_stream(fd) && fails(SEND)) return -1;
-  if (size > 3 && is_stream(fd) && fails(SHORT_SEND)) size = 1 + size % 3;
+  if (is_stream_socket(fd) && should_fail(SEND)) return -1;
+  if (size > 3 && is_stream_socket(fd) && should_fail(SHORT_SEND)) size = 1 + size % 3;
   return REAL(send)(fd, from, size, flags);
 }
 ssize_t sendmsg(int fd, const struct msghdr *message, int flags) {
-  return is_stream(fd) && fails(SEND) ? -1 : REAL(sendmsg)(fd, message, flags);
+  return is_stream_socket(fd) && should_fail(SEND) ? -1 : REAL(sendmsg)(fd, message, flags);
 }
 
-static int is_file(int fd) {
+static int is_regular_file(int fd) {
   struct stat what;
   return fstat(fd, &what) == 0 && S_ISREG(what.st_mode);
 }
 ssize_t write(int fd, const void *from, size_t size) {
-  return plan != &no_plan && is_file(fd) && fails(WRITE_FILE) ? -1 : REAL(write)(fd, from, size);
+  return plan != &no_plan && is_regular_file(fd) && should_fail(WRITE_FILE) ? -1 : REAL(write)(fd, from, size);
 }
 ssize_t read(int fd, void *to, size_t size) {
-  return plan != &no_plan && is_file(fd) && fails(READ_FILE) ? -1 : REAL(read)(fd, to, size);
+  return plan != &no_plan && is_regular_file(fd) && should_fail(READ_FILE) ? -1 : REAL(read)(fd, to, size);
 }
 
 int clock_gettime(clockid_t which, struct timespec *now) {
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -10,14 +10,14 @@
 
 CALLS = ["accept", "socket", "connect", "epoll_wait", "recv", "send", "short_recv", "short_send", "bind_unix",
          "write_file", "read_file"]  # in the order of fault_shim.c
-LONGEST_STOP = 3.7  # seconds from SIGTERM to SIGKILL
+STOP_TIMEOUT = 3.7  # seconds from SIGTERM to SIGKILL
 
 
 class Fault(ctypes.Structure):
     _fields_ = [("error", ctypes.c_int32), ("next", ctypes.c_int32), ("share", ctypes.c_int32), ("hits", ctypes.c_int32)]
 
 
-class Plan(ctypes.Structure):
+class FaultPlan(ctypes.Structure):
     _fields_ = [("wall_step_ns", ctypes.c_int64), ("faults", Fault * len(CALLS))]
 
 
@@ -34,24 +34,24 @@
         self.folder = os.path.join(options.folder, name)
         os.makedirs(self.folder, exist_ok=True)
         self.config_path = os.path.join(self.folder, "config.json")
-        self.side = 0                 # which of its two discovery addresses
+        self.discovery_index = 0                 # which of its two discovery addresses
         self.process, self.log_path, self.admin_port = None, None, ADMIN_PORT
         self.processes = 0
         self.stopping = False
         self.ready_at = None
-        self.plan_path = os.path.join(self.folder, "plan")
-        with open(self.plan_path, "wb") as file:
-            file.write(bytes(ctypes.sizeof(Plan)))
-        with open(self.plan_path, "r+b") as file:
+        self.fault_plan_path = os.path.join(self.folder, "plan")
+        with open(self.fault_plan_path, "wb") as file:
+            file.write(bytes(ctypes.sizeof(FaultPlan)))
+        with open(self.fault_plan_path, "r+b") as file:
             self.memory = mmap.mmap(file.fileno(), 0)
-        self.plan = Plan.from_buffer(self.memory)
+        self.fault_plan = FaultPlan.from_buffer(self.memory)
 
-    def fault(self, call, error=0, next_calls=0, share=0.0):
-        f = self.plan.faults[CALLS.index(call)]
+    def set_fault(self, call, error=0, next_calls=0, share=0.0):
+        f = self.fault_plan.faults[CALLS.index(call)]
         f.error, f.share, f.next = error, int(share * 65536), next_calls
 
-    def heal(self):
-        for f in self.plan.faults:
+    def clear_faults(self):
+        for f in self.fault_plan.faults:
             f.next = f.share = 0
 
     def write_config(self):
@@ -67,9 +67,9 @@
         self.write_config()
         self.log_path = os.path.join(self.folder, f"log-{self.processes}")
         env = dict(os.environ, EDGE_NAME=self.name, EDGE_LISTEN=f"{self.address}:{CLIENTS_PORT}",
-                   EDGE_DISCOVERY=f"127.0.0.1:{self.world.discovery[self.name][self.side].port}",
+                   EDGE_DISCOVERY=f"127.0.0.1:{self.world.discovery[self.name][self.discovery_index].port}",
                    EDGE_CONFIG=self.config_path, EDGE_ADMIN=f"{self.address}:{self.admin_port}", TMPDIR=self.folder,
-                   FAULT_SHIM_PLAN=self.plan_path, FAULT_SHIM_SEED=str(self.options.seed * 1000 + self.processes),
+                   FAULT_SHIM_PLAN=self.fault_plan_path, FAULT_SHIM_SEED=str(self.options.seed * 1000 + self.processes),
                    ASAN_OPTIONS="verify_asan_link_order=0:detect_leaks=0")
         if self.options.shim:
             env["LD_PRELOAD"] = self.options.shim
@@ -96,21 +96,21 @@
             return
         self.stopping = True
         process.send_signal(signal.SIGTERM)
-        end = self.world.now() + LONGEST_STOP + self.world.lag()
+        end = self.world.now() + STOP_TIMEOUT + self.world.lag()
         while process.poll() is None and self.world.now() < end:
             await asyncio.sleep(0.02)
         if process.poll() is None:
             process.kill()
             self.world.note("stop", f"{self.name} had to be killed after SIGTERM")
-            self.world.killed_late(self.name)
+            self.world.report_late_stop(self.name)
         elif process.returncode != 0:
-            self.world.crash(self, process)
+            self.world.report_crash(self, process)
 
     def kill(self):
         if self.alive():
             self.process.kill()
             self.process.wait()
-            self.world.oracle.crashed(self.name)
+            self.world.oracle.gateway_crashed(self.name)
 
     def log(self):
         with open(self.log_path, encoding="utf-8", errors="replace") as file:
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -7,12 +7,12 @@
 
 from wire import Error, ProtocolError, Reader, encode
 
-RESTED = 30.0   # a connection of a host that idles for longer is closed
+DEFAULT_IDLE_CLOSE = 30.0   # a connection of a host that idles for longer is closed
 # A host's second answer comes up to 10 ms after the first, and a pause of the proxy on top must not make it later than
 # a gateway's connection rests (25 ms): nothing in an answer says which request it is for.
 PIECE_PAUSE = 0.01
 WORKERS = 3     # requests that a host works on at once
-QUEUE = 40      # and that wait for it; more are turned away
+QUEUE_LIMIT = 40      # and that wait for it; more are turned away
 
 
 LAST_DATA_RECEIVED = 52  # its place in Linux's struct tcp_info, in milliseconds before the call
@@ -42,27 +42,27 @@
         self.state = "active"
         self.boot_ms = 0
         self.process = 0            # counts restarts
-        self.mean = 0.02            # seconds for a request
+        self.mean_service_s = 0.02            # seconds for a request
         self.faults = {}            # name: share of the requests
-        self.idle_close = RESTED
+        self.idle_close = DEFAULT_IDLE_CLOSE
         self.hangs = False
         self.sessions = set()
         self.server = None
         self.port = None
         self.waiting, self.working = [], 0
 
-    def begin(self, work):
+    def start_work(self, work):
         """Calls `work` when a worker is free; false if too many wait already."""
         if self.working < WORKERS:
             self.working += 1
             work()
-        elif len(self.waiting) < QUEUE:
+        elif len(self.waiting) < QUEUE_LIMIT:
             self.waiting.append(work)
         else:
             return False
         return True
 
-    def done(self):
+    def finish_work(self):
         """A worker is free."""
         self.working -= 1
         if self.waiting:
@@ -75,7 +75,7 @@
         self.server = await loop.create_server(lambda: HostSession(self), "127.0.0.1", self.port or 0)
         self.port = self.server.sockets[0].getsockname()[1]
 
-    def random_fault(self, name):
+    def draw_fault(self, name):
         return random.random() < self.faults.get(name, 0)
 
     def stop(self):
@@ -88,23 +88,23 @@
 class HostSession(asyncio.Protocol):
     def __init__(self, host):
         self.host, self.reader = host, Reader()
-        self.queue, self.idle = [], None
+        self.queue, self.idle_timer = [], None
 
     def connection_made(self, transport):
         self.transport = transport
         self.host.sessions.add(self)
-        self.rest()
+        self.restart_idle_timer()
 
     def connection_lost(self, _):
         self.host.sessions.discard(self)
-        if self.idle:
-            self.idle.cancel()
+        if self.idle_timer:
+            self.idle_timer.cancel()
 
-    def rest(self):
-        if self.idle:
-            self.idle.cancel()
+    def restart_idle_timer(self):
+        if self.idle_timer:
+            self.idle_timer.cancel()
         loop = asyncio.get_running_loop()
-        self.idle = loop.call_later(self.host.idle_close, lambda: None if self.queue else self.transport.close())
+        self.idle_timer = loop.call_later(self.host.idle_close, lambda: None if self.queue else self.transport.close())
 
     def data_received(self, data):
         self.reader.feed(data)
@@ -112,46 +112,46 @@
             rid = command[2].decode()
             self.queue.append(rid)
             if len(self.queue) == 1:
-                self.work()
+                self.serve_next()
 
-    def work(self):
+    def serve_next(self):
         host = self.host
         rid = self.queue[0]
         if host.hangs:
             return None  # it may run, and says nothing
-        if host.state == "left" or host.random_fault("busy"):
+        if host.state == "left" or host.draw_fault("busy"):
             return self.reply(rid, encode_error("BUSY"), ran=False)
         value = f"{rid}:{host.name}:{host.process}:{random.getrandbits(32):08x}".encode()
         process = host.process
 
         def begin():
             if rid in host.world.oracle.requests:
-                host.world.oracle.requests[rid].made.add(value)
-            wait = host.mean * random.uniform(0.5, 1.5) * (6 if host.random_fault("slow") else 1)
-            asyncio.get_running_loop().call_later(wait, end)
+                host.world.oracle.requests[rid].host_values.add(value)
+            service_s = host.mean_service_s * random.uniform(0.5, 1.5) * (6 if host.draw_fault("slow") else 1)
+            asyncio.get_running_loop().call_later(service_s, end)
 
         def end():
             if host.process == process:
-                host.done()
+                host.finish_work()
                 if not self.transport.is_closing():
                     self.finish(rid, value)
 
-        return None if host.begin(begin) else self.reply(rid, encode_error("BUSY"), ran=False)
+        return None if host.start_work(begin) else self.reply(rid, encode_error("BUSY"), ran=False)
 
     def finish(self, rid, value):
         host = self.host
-        if host.hangs or host.random_fault("silent"):
+        if host.hangs or host.draw_fault("silent"):
             return
-        if host.random_fault("reset"):
+        if host.draw_fault("reset"):
             return reset(self.transport)
-        if host.random_fault("error"):
+        if host.draw_fault("error"):
             return self.reply(rid, encode_error("ERR failed"))
-        if host.random_fault("spoilt"):
+        if host.draw_fault("malformed"):
             return self.reply(rid, random.choice([b"$-1\r\n", b"*2\r\n$1\r\nx\r\n$-1\r\n", b"+OK\r\n", b"HTTP/1.1 200\r\n"]))
         good = b"*3\r\n$%d\r\n%s\r\n$-1\r\n$7\r\ndepth=0\r\n" % (len(value), value)
-        if host.random_fault("twin"):
+        if host.draw_fault("duplicate"):
             asyncio.get_running_loop().call_later(random.uniform(0, 0.01), self.write, good)
-        if host.random_fault("half"):
+        if host.draw_fault("truncated"):
             self.write(good[:len(good) // 2])
             return asyncio.get_running_loop().call_later(0.05, self.transport.abort)
         return self.reply(rid, good)
@@ -163,9 +163,9 @@
     def reply(self, rid, data, ran=True):
         self.write(data)
         self.queue.pop(0)
-        self.rest()
+        self.restart_idle_timer()
         if self.queue:
-            self.work()
+            self.serve_next()
 
 
 def encode_error(text):
@@ -177,11 +177,11 @@
 
     def __init__(self, world, gateway, host):
         self.world, self.gateway, self.host = world, gateway, host
-        self.cut = False             # bytes of both sides go nowhere, and nobody is told
+        self.blackholed = False             # bytes of both sides go nowhere, and nobody is told
         self.reset_share = 0.0       # of the answers: a reset instead
-        self.pieces = False          # small pieces with pauses
+        self.split_answers = False          # small pieces with pauses
         self.links = set()
-        self.late = []               # connections that fill the queue of the listener
+        self.queue_fillers = []               # connections that fill the queue of the listener
 
     def start(self):
         self.listener = socket.socket()
@@ -204,7 +204,7 @@
         asyncio.ensure_future(asyncio.get_running_loop().connect_accepted_socket(lambda: ProxyLink(self), connection))
         return True
 
-    def close_late(self):
+    def delay_new_connections(self):
         """New connections come up late from now on: the queue is full, and their SYN is sent again after 1 s."""
         asyncio.get_running_loop().remove_reader(self.listener.fileno())
         while self.accept():  # those are up for the gateway already
@@ -214,13 +214,13 @@
             s = socket.socket()
             s.setblocking(False)
             s.connect_ex(("127.0.0.1", self.port))
-            self.late.append(s)
+            self.queue_fillers.append(s)
 
-    def open_late(self):
+    def accept_new_connections(self):
         self.listener.listen(64)
-        for s in self.late:
+        for s in self.queue_fillers:
             s.close()
-        self.late = []
+        self.queue_fillers = []
         asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def reset_all(self):
@@ -230,14 +230,14 @@
 
 class ProxyLink(asyncio.Protocol):
     """One connection of a gateway, relayed to its host, with every attempt on it reported."""
-    numbers = itertools.count()
+    connection_ids = itertools.count()
 
     def __init__(self, proxy):
         self.proxy, self.reader, self.answers = proxy, Reader(), Reader()
-        self.number = next(ProxyLink.numbers)
-        self.upstream, self.early = None, []
+        self.connection_id = next(ProxyLink.connection_ids)
+        self.upstream, self.buffered = None, []
         self.attempt, self.rid = None, None
-        self.passed = {}  # values that went by, and when
+        self.passed_at = {}  # values that went by, and when
         self.closed = False
 
     def connection_made(self, transport):
@@ -253,26 +253,26 @@
             return reset(self.transport)
         if self.closed:
             return self.upstream.transport.abort()
-        for data in self.early:
+        for data in self.buffered:
             self.upstream.transport.write(data)
 
     def data_received(self, data):
         proxy, world = self.proxy, self.proxy.world
         now = world.now() - since_last_data(self.transport)
         if self.attempt is None:
-            self.attempt = world.oracle.began(proxy.gateway, proxy.host.name, (proxy.host.zone, proxy.host.cell), now)
-            self.attempt.link = self.number
+            self.attempt = world.oracle.attempt_began(proxy.gateway, proxy.host.name, (proxy.host.zone, proxy.host.cell), now)
+            self.attempt.connection_id = self.connection_id
         self.reader.feed(data)
         while (command := self.reader.next()) is not Reader.MORE:
             self.rid = command[2].decode()
             fields = dict(pair.split("=", 1) for pair in command[3].decode().split(","))
-            world.oracle.whole(self.attempt, self.rid, float(fields["d"]) / 1000, now)
-        if proxy.cut:
+            world.oracle.attempt_received(self.attempt, self.rid, float(fields["d"]) / 1000, now)
+        if proxy.blackholed:
             return
         if self.upstream:
             self.upstream.transport.write(data)
         else:
-            self.early.append(data)
+            self.buffered.append(data)
 
     def connection_lost(self, _):
         self.closed = True
@@ -282,25 +282,25 @@
         if self.upstream:
             self.upstream.transport.abort()
 
-    def from_host(self, data):
+    def on_host_data(self, data):
         proxy = self.proxy
-        if proxy.cut or self.closed:
+        if proxy.blackholed or self.closed:
             return
         if self.attempt and random.random() < proxy.reset_share:
             return reset(self.transport)
-        if proxy.pieces and len(data) > 2:
+        if proxy.split_answers and len(data) > 2:
             middle = random.randrange(1, len(data))
-            self.pass_on(data[:middle])
-            return asyncio.get_running_loop().call_later(random.uniform(0, PIECE_PAUSE), self.pass_on, data[middle:])
-        return self.pass_on(data)
+            self.forward(data[:middle])
+            return asyncio.get_running_loop().call_later(random.uniform(0, PIECE_PAUSE), self.forward, data[middle:])
+        return self.forward(data)
 
-    def pass_on(self, data):
-        if self.closed or self.proxy.cut:
+    def forward(self, data):
+        if self.closed or self.proxy.blackholed:
             return
         self.answers.feed(data)
         try:
             while (answer := self.answers.next()) is not Reader.MORE:
-                self.note_second_answer(answer)
+                self.record_second_answer(answer)
                 if self.attempt:
                     self.attempt.ended = self.proxy.world.now()
                     if isinstance(answer, Error) and answer.startswith("BUSY"):
@@ -310,18 +310,18 @@
             self.attempt = None if self.attempt is None else self.attempt
         self.transport.write(data)
 
-    def note_second_answer(self, answer):
+    def record_second_answer(self, answer):
         """How long behind the first a second answer was passed on, for those who read a breach."""
         value = answer[0] if isinstance(answer, list) and answer else None
         if not isinstance(value, bytes) or value.count(b":") != 3:
             return  # an error, or spoilt
         now = self.proxy.world.now()
-        first = self.passed.setdefault(value, now)
+        first = self.passed_at.setdefault(value, now)
         if now > first:
-            self.proxy.world.oracle.second_answers[value] = now - first
+            self.proxy.world.oracle.second_answer_delays[value] = now - first
 
-    def host_ended(self):
-        if not self.proxy.cut and not self.closed:
+    def on_host_closed(self):
+        if not self.proxy.blackholed and not self.closed:
             self.transport.close()
 
 
@@ -333,9 +333,9 @@
         self.transport = transport
 
     def data_received(self, data):
-        self.link.from_host(data)
+        self.link.on_host_data(data)
 
     def connection_lost(self, error):
-        if error and not self.link.proxy.cut and not self.link.closed:
+        if error and not self.link.proxy.blackholed and not self.link.closed:
             return reset(self.link.transport)
-        self.link.host_ended()
+        self.link.on_host_closed()
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -22,36 +22,36 @@
 
 sys.path.insert(0, os.path.dirname(os.path.abspath(__file__)))
 import faults  # noqa: E402
-from clients import Clients, kind_of  # noqa: E402
-from discovery import Discovery, SILENT_AFTER  # noqa: E402
+from clients import Clients, outcome_of  # noqa: E402
+from discovery import Discovery, SILENT_WATCH_TIMEOUT  # noqa: E402
 from gateways import CLIENTS_PORT, Gateway  # noqa: E402
 from hosts import WORKERS, Host, Proxy  # noqa: E402
 from oracle import Oracle  # noqa: E402
 
-BEAT = 0.005          # how often the observer looks at its own lateness
-LAG_MEMORY = 2.0      # seconds that a late moment widens the bounds
+LAG_CHECK_INTERVAL = 0.005          # how often the observer looks at its own lateness
+LAG_WINDOW = 2.0      # seconds that a late moment widens the bounds
 WARM_UP, SETTLE = 2.0, 6.0
-CEILING_LAG = 0.1     # a run in which the observer was later than this is said to be partial
+PARTIAL_RUN_LAG = 0.1     # a run in which the observer was later than this is said to be partial
 
 
 class World:
     def __init__(self, options, seed):
         self.options, self.seed = options, seed
-        self.draw = random.Random(seed)
-        self.agent = self.draw.random() < 0.5          # lists are pushed, or have to be asked for
+        self.rng = random.Random(seed)
+        self.automatic_discovery = self.rng.random() < 0.5          # lists are pushed, or have to be asked for
         self.hosts, self.proxies, self.discovery, self.gateways, self.clients = {}, {}, {}, {}, {}
         self.connections = collections.defaultdict(set)
         self.revision, self.changes = 1, []
-        self.late_moments = collections.deque()
+        self.lag_samples = collections.deque()
         self.worst_lag = 0.0
-        self.up_since = collections.defaultdict(float)
-        self.moved_at = collections.defaultdict(lambda: -100.0)
-        self.began_at = collections.defaultdict(float)
+        self.discovery_up_since = collections.defaultdict(float)
+        self.discovery_moved_at = collections.defaultdict(lambda: -100.0)
+        self.started_at = collections.defaultdict(float)
         self.killed_at = collections.defaultdict(lambda: -100.0)
-        self.notes, self.active = [], []
+        self.notes, self.active_faults = [], []
         self.steps = []
         self.settings_round = 0
-        self.rules = {"drain_grace_ms": 250.0, "max_attempts": 4, "second_copies": self.draw.random() < 0.5,
+        self.rules = {"drain_grace_ms": 250.0, "max_attempts": 4, "second_copies": self.rng.random() < 0.5,
                       "cold_from": 0.1, "warm_after_ms": 4000.0, "overload_factor": 2.0, "fall_ms": 1000.0}
         self.classes = {
             "lookup": {"semantics": "safe", "deadline_ms": 1500.0, "share": 4},
@@ -62,7 +62,7 @@
             "team": {"hard_rate": 0.0, "hard_burst": 0.0, "ceiling_slack": 0.0, "quota_rate": 1000.0, "share": 4},
             "firm": {"hard_rate": 4.0, "hard_burst": 8.0, "ceiling_slack": 4.0, "quota_rate": 4.0, "share": 1}}
         self.capacity = options.gateways * options.rate / options.hosts / options.use  # requests a second of a warm host
-        self.mean = WORKERS / self.capacity
+        self.mean_service_s = WORKERS / self.capacity
         self.oracle = Oracle(self.classes, self.plans, self.rules, self.capacity, self.lag)
 
     # ---- time ----
@@ -74,18 +74,18 @@
     def lag(self):
         """How late this process may have been of late."""
         now = self.now()
-        while self.late_moments and self.late_moments[0][0] < now - LAG_MEMORY:
-            self.late_moments.popleft()
-        return max([late for _, late in self.late_moments], default=0.0) + 0.01
+        while self.lag_samples and self.lag_samples[0][0] < now - LAG_WINDOW:
+            self.lag_samples.popleft()
+        return max([late for _, late in self.lag_samples], default=0.0) + 0.01
 
-    async def beat(self):
+    async def track_lag(self):
         while True:
-            was = self.now()
-            await asyncio.sleep(BEAT)
-            late = self.now() - was - BEAT
-            self.oracle.judge_overlaps(self.now())
+            before = self.now()
+            await asyncio.sleep(LAG_CHECK_INTERVAL)
+            late = self.now() - before - LAG_CHECK_INTERVAL
+            self.oracle.check_overlaps(self.now())
             if late > 0.003:
-                self.late_moments.append((self.now(), late))
+                self.lag_samples.append((self.now(), late))
                 self.worst_lag = max(self.worst_lag, late)
 
     # ---- what the fleet is ----
@@ -99,14 +99,14 @@
         packages = [{"name": name, "quota_rate": p["quota_rate"], "burst": p["quota_rate"] * 2, "pays": 1.0,
                      "overrun_cost": 1.0, "beyond_earns": 0.0, "hard_rate": p["hard_rate"], "hard_burst": p["hard_burst"],
                      "ceiling_slack": p["ceiling_slack"], "concurrency": 0} for name, p in self.plans.items()]
-        discovery = self.discovery[gateway.name][gateway.side]
+        discovery = self.discovery[gateway.name][gateway.discovery_index]
         return {"name": gateway.name, "listen": f"{gateway.address}:{CLIENTS_PORT}", "seed": f"{self.seed * 977 + gateway.number:x}",
                 "discovery": f"127.0.0.1:{discovery.port}", "admin": f"{gateway.address}:{gateway.admin_port}",
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.options.sockets},
-                "known": discovery.whole(),
+                "known": discovery.full_list(),
                 "settings": {"az": gateway.number % 2, "granularity_ms": 4.0, "siblings": len(self.gateways),
                              "zones": ["a", "b"], "host_types": ["m"], "lanes": lanes, "packages": packages,
-                             "discovery": "automatic" if self.agent else "subscribe",
+                             "discovery": "automatic" if self.automatic_discovery else "subscribe",
                              "ceilings": {"second_copies": self.rules["second_copies"], "cancel": True, "retry_after": True,
                                           "max_attempts": 4, "max_open": 1000, "max_retry_after_ms": 500.0,
                                           "conn_idle_ms": self.idle_ms, "connect_timeout_ms": 1500.0},
@@ -115,12 +115,12 @@
                                        ("cold_from", "warm_after_ms", "overload_factor", "fall_ms", "drain_grace_ms")},
                              "family_info": {"units_top": 4}}}
 
-    async def build(self):
+    async def create_fleet(self):
         o = self.options
-        self.idle_ms = self.draw.choice([2000.0, 6000.0])
+        self.idle_ms = self.rng.choice([2000.0, 6000.0])
         for i in range(o.hosts):
             host = Host(self, f"h{i}", "ab"[i % 2], i // 2 % 2)
-            host.mean, host.idle_close = self.mean, self.idle_ms / 1000
+            host.mean_service_s, host.idle_close = self.mean_service_s, self.idle_ms / 1000
             self.hosts[host.name] = host
             await host.start()
         for i in range(o.gateways):
@@ -138,112 +138,112 @@
 
     def start_process(self, gateway):
         gateway.start()
-        self.began_at[gateway.name] = self.now()
-        if not self.agent:  # it knows what its configuration says; the rest counts later
+        self.started_at[gateway.name] = self.now()
+        if not self.automatic_discovery:  # it knows what its configuration says; the rest counts later
             for host in self.hosts.values():
-                self.oracle.told.pop((gateway.name, host.name), None)
-                self.tell_later(gateway.name, host, self.now())
+                self.oracle.listed_states.pop((gateway.name, host.name), None)
+                self.schedule_listed_state(gateway.name, host, self.now())
 
     # ---- lists ----
 
-    def up(self, gateway):
-        return all(d.up for d in self.discovery[gateway])
+    def discovery_available(self, gateway):
+        return all(d.available for d in self.discovery[gateway])
 
-    def change(self, host, state=None):
+    def change_host(self, host, state=None):
         if state:
             host.state = state
         self.revision += 1
         self.changes.append((self.revision, host.name))
         now = self.now()
         for name in self.gateways:
-            if host.state == "active" or (self.agent and self.up(name)):
-                when = max(now, self.moved_at[name] + 4 if now < self.moved_at[name] + 4 else now)
-                self.oracle.listed(name, host.name, host.state, when)
-            self.tell_later(name, host, now)
+            if host.state == "active" or (self.automatic_discovery and self.discovery_available(name)):
+                when = max(now, self.discovery_moved_at[name] + 4 if now < self.discovery_moved_at[name] + 4 else now)
+                self.oracle.record_listed_state(name, host.name, host.state, when)
+            self.schedule_listed_state(name, host, now)
             for discovery in self.discovery[name]:
                 discovery.push()
 
-    def tell_later(self, name, host, since):
+    def schedule_listed_state(self, name, host, since):
         """What discovery has and could tell counts as told in the end, whether or not it arrived."""
         if host.state == "active":
             return
         state, process = host.state, host.process
-        due = max(since, self.up_since[name]) + SILENT_AFTER
+        record_at = max(since, self.discovery_up_since[name]) + SILENT_WATCH_TIMEOUT
 
-        def force():
+        def record_if_unchanged():
             if (host.state, host.process) != (state, process):
                 return
-            if not self.up(name) or self.now() < max(since, self.up_since[name]) + SILENT_AFTER - 0.01:
-                self.tell_later(name, host, since)
+            if not self.discovery_available(name) or self.now() < max(since, self.discovery_up_since[name]) + SILENT_WATCH_TIMEOUT - 0.01:
+                self.schedule_listed_state(name, host, since)
                 return
-            self.oracle.listed(name, host.name, state, self.now())
+            self.oracle.record_listed_state(name, host.name, state, self.now())
 
-        asyncio.get_running_loop().call_later(max(due - self.now(), 0.1), force)
+        asyncio.get_running_loop().call_later(max(record_at - self.now(), 0.1), record_if_unchanged)
 
-    def told(self, gateway, since):
+    def list_sent(self, gateway, since):
         """A list with all changes after that version was written."""
         now = self.now()
         names = {name for rev, name in self.changes if rev > since} if since else set(self.hosts)
         for name in names:
             if self.hosts[name].state != "active":
-                self.oracle.listed(gateway, name, self.hosts[name].state, now)
+                self.oracle.record_listed_state(gateway, name, self.hosts[name].state, now)
 
     # ---- what clients saw ----
 
-    def answer(self, rid, answer, now, connection):
+    def on_answer(self, rid, answer, now, connection):
         request = self.oracle.requests[rid]
-        kind = kind_of(answer)
-        if request.crossed:
+        outcome = outcome_of(answer)
+        if request.closed_unread:
             return
-        self.oracle.answered(rid, kind, answer if kind == "served" else None, now)
+        self.oracle.record_answer(rid, outcome, answer if outcome == "served" else None, now)
 
-    def closed(self, rid, unread):
+    def on_closed(self, rid, unread):
         request, now = self.oracle.requests[rid], self.now()
         if now - self.killed_at[request.gateway] < 2.0:
             request.crashed = True
         elif unread:
-            self.oracle.crossed(rid, now)
-            if request.crossed:
-                asyncio.ensure_future(self.clients[request.gateway].ask_again(rid, request))
+            self.oracle.connection_closed_unread(rid, now)
+            if request.closed_unread:
+                asyncio.ensure_future(self.clients[request.gateway].resend(rid, request))
         else:
-            self.oracle.closed_read(rid, now)
+            self.oracle.connection_closed_after_read(rid, now)
 
-    def steady(self, gateway, since):
-        return gateway.alive() and not gateway.stopping and self.began_at[gateway.name] < since
+    def running_since(self, gateway, since):
+        return gateway.alive() and not gateway.stopping and self.started_at[gateway.name] < since
 
     def kill(self, gateway):
         self.killed_at[gateway.name] = self.now()
         gateway.kill()
 
-    def killed_late(self, gateway):
-        self.oracle.breach("stop", f"{gateway} was still there when the platform kills it")
+    def report_late_stop(self, gateway):
+        self.oracle.report_violation("stop", f"{gateway} was still there when the platform kills it")
 
-    def crash(self, gateway, process):
-        self.oracle.breach("crash", f"{gateway.name} ended with {process.returncode}: {gateway.log()[-800:]}")
+    def report_crash(self, gateway, process):
+        self.oracle.report_violation("crash", f"{gateway.name} ended with {process.returncode}: {gateway.log()[-800:]}")
 
     def note(self, what, text):
         self.notes.append((round(self.now() - self.began, 3), what, text))
 
     # ---- the run ----
 
-    async def play(self):
+    async def run(self):
         self.began = self.now()
-        self.oracle_breach = self.oracle.breach
+        self.report_without_faults = self.oracle.report_violation
 
-        def breach(rule, text):
-            on = ", ".join(name for name, until in self.active if until > self.now() - 1.5)
-            self.oracle_breach(rule, f"{text} [{self.now() - self.began:.2f} s; {on or 'no fault'}]")
-        self.oracle.breach = breach
+        def report_violation(rule, text):
+            active = ", ".join(name for name, until in self.active_faults if until > self.now() - 1.5)
+            self.report_without_faults(rule, f"{text} [{self.now() - self.began:.2f} s; {active or 'no fault'}]")
+        self.oracle.report_violation = report_violation
         # A mistake of the observer's own fails the run too: what it missed was not judged.
         asyncio.get_running_loop().set_exception_handler(
-            lambda _, context: breach("observer", f"{context['message']}: {context.get('exception')!r}"))
-        tasks = [asyncio.ensure_future(self.beat())]
-        await self.build()
+            lambda _, context: report_violation("observer", f"{context['message']}: {context.get('exception')!r}"))
+        tasks = [asyncio.ensure_future(self.track_lag())]
+        await self.create_fleet()
         await self.await_ready()
         clients = [asyncio.ensure_future(c.run()) for c in self.clients.values()]
         tasks += clients
         await asyncio.sleep(WARM_UP)
-        await faults.play(self, self.options.seconds)
+        await faults.run_schedule(self, self.options.seconds)
         await asyncio.sleep(SETTLE)
         for c in self.clients.values():
             c.running = False
@@ -251,18 +251,18 @@
             task.cancel()
         await asyncio.sleep(3.5)
         self.oracle.finish(self.now())
-        violations = await self.violations()
+        own_checks = await self.read_own_checks()
         for gateway in self.gateways.values():
             if not gateway.alive():
-                self.crash(gateway, gateway.process)
+                self.report_crash(gateway, gateway.process)
         await asyncio.gather(*(g.stop() for g in self.gateways.values()))
         for gateway in self.gateways.values():
             text = gateway.log()
             if "Sanitizer" in text or "runtime error" in text or "unhandled exception in an event handler" in text:
-                self.oracle.breach("crash", f"{gateway.name}: {text[-1500:]}")
+                self.oracle.report_violation("crash", f"{gateway.name}: {text[-1500:]}")
         for task in tasks:
             task.cancel()
-        return violations
+        return own_checks
 
     async def await_ready(self):
         for gateway in self.gateways.values():
@@ -270,9 +270,9 @@
             while "ready:" not in gateway.log() and self.now() < end:
                 await asyncio.sleep(0.02)
             if "ready:" not in gateway.log():
-                self.oracle.breach("ready", f"{gateway.name} was not ready in 10 s: {gateway.log()[-300:]}")
+                self.oracle.report_violation("ready", f"{gateway.name} was not ready in 10 s: {gateway.log()[-300:]}")
 
-    async def figures(self, gateway):
+    async def read_metrics(self, gateway):
         try:
             reader, writer = await asyncio.wait_for(asyncio.open_connection(gateway.address, gateway.admin_port), 2)
             writer.write(b"GET /_vars HTTP/1.1\r\nHost: g\r\n\r\n")
@@ -283,11 +283,11 @@
         return {line.split(":")[0]: int(line.split(":")[1].split("|")[0]) for line in text.splitlines()
                 if line.startswith("edge_edge.") and "|" in line}
 
-    async def violations(self):
+    async def read_own_checks(self):
         """What the gateways' own checks counted: each is a fault, whether or not it did harm."""
         sums = collections.Counter()
         for gateway in self.gateways.values():
-            for name, value in (await self.figures(gateway)).items():
+            for name, value in (await self.read_metrics(gateway)).items():
                 if ".rule." in name or ".closed." in name:
                     sums[name.split(".", 1)[1]] += value
         return sums
@@ -299,16 +299,16 @@
                 gateway.process.wait()
 
 
-async def one(options, seed):
+async def run_seed(options, seed):
     random.seed(seed)
     world = World(options, seed)
     try:
-        violations = await world.play()
+        own_checks = await world.run()
     finally:
         world.close()
-    result = {"seed": seed, "agent": world.agent, "second_copies": world.rules["second_copies"],
-              "breaches": world.oracle.breaches, "counts": dict(world.oracle.counts), "worst_lag": round(world.worst_lag, 3),
-              "partial": world.worst_lag > CEILING_LAG, "steps": world.steps, "own_checks": dict(violations), "notes": world.notes}
+    result = {"seed": seed, "agent": world.automatic_discovery, "second_copies": world.rules["second_copies"],
+              "breaches": world.oracle.violations, "counts": dict(world.oracle.counts), "worst_lag": round(world.worst_lag, 3),
+              "partial": world.worst_lag > PARTIAL_RUN_LAG, "steps": world.steps, "own_checks": dict(own_checks), "notes": world.notes}
     return result
 
 
@@ -338,7 +338,7 @@
         options.folder = os.path.join(options.keep, str(seed)) if options.keep else tempfile.mkdtemp(prefix="soak-")
         os.makedirs(options.folder, exist_ok=True)
         try:
-            result = asyncio.run(one(options, seed))
+            result = asyncio.run(run_seed(options, seed))
         finally:
             if not options.keep:
                 shutil.rmtree(options.folder, ignore_errors=True)
