--- a/tests/soak/clients.py
+++ b/tests/soak/clients.py
@@ -1,4 +1,4 @@
-"""Clients of the fleet: a pool of connections for each gateway, and those that misbehave."""
+"""Clients of the fleet: a pool of connections for each gateway, and clients that misbehave."""
 import asyncio
 import random
 import socket
@@ -9,13 +9,13 @@
 from wire import Error, ProtocolError, Reader, encode
 
 TCP_INFO, TCP_CLOSE = 11, 7
-RESET_WAIT = 0.8  # seconds after the gateway's end of a connection, in which bytes that it never read come back
+RESET_WAIT = 0.8  # seconds after the gateway's FIN within which unread bytes cause a reset
 
 
 class Connection(asyncio.Protocol):
     def __init__(self, world, gateway):
         self.world, self.gateway, self.reader = world, gateway, Reader()
-        self.unanswered = []  # ids, in their order
+        self.unanswered = []  # request ids, in the order they were sent
         self.open, self.got_eof, self.abandoned = False, False, False
         self.paused = False
         self.was_reset = False
@@ -25,7 +25,7 @@
         self.world.connections[self.gateway].add(self)
 
     def send(self, items):
-        """`items`: pairs of an id and the request's bytes."""
+        """`items`: pairs of a request's id and its bytes."""
         for rid, _ in items:
             self.unanswered.append(rid)
         self.transport.write(b"".join(data for _, data in items))
@@ -39,7 +39,7 @@
                     continue
                 self.world.on_answer(self.unanswered.pop(0), answer, now, self)
         except (ProtocolError, ValueError) as error:
-            self.world.oracle.report_violation("lost", f"{self.gateway} answered what is no RESP2: {error}")
+            self.world.oracle.report_violation("lost", f"{self.gateway} sent a malformed RESP2 answer: {error}")
             self.transport.abort()
 
     def eof_received(self):
@@ -47,15 +47,15 @@
         if not self.unanswered:
             return False
         asyncio.ensure_future(self.check_for_reset())
-        return True  # kept open, to see whether a reset follows
+        return True  # keeps the connection open to see whether a reset follows
 
     async def check_for_reset(self):
-        """A reset behind the end says that bytes had not been read; none says that all had been."""
+        """A reset after the FIN means that the gateway had not read all bytes; no reset means that it had."""
         sock = self.transport.get_extra_info("socket")
         deadline = self.world.now() + RESET_WAIT
         unread = False
         while self.world.now() < deadline and not unread:
-            if sock.fileno() < 0:  # its gateway was killed meanwhile
+            if sock.fileno() < 0:  # the transport was closed meanwhile: the gateway was killed
                 unread = self.was_reset
                 break
             info = sock.getsockopt(socket.IPPROTO_TCP, TCP_INFO, 1)
@@ -77,7 +77,7 @@
             self.report_closed(unread=error is not None)
 
     def abandon(self):
-        """Closes with whatever is open."""
+        """Closes the connection without waiting for the answers."""
         self.abandoned = True
         now = self.world.now()
         for rid in self.unanswered:
@@ -117,7 +117,8 @@
         class_name = random.choices(list(world.classes), [c["share"] for c in world.classes.values()])[0]
         plan = random.choices(list(world.plans), [p["share"] for p in world.plans.values()])[0]
         customer = random.randrange(40) + 1000 * (1 + list(world.plans).index(plan))
-        timeout = world.classes[class_name]["deadline_ms"] / 1000 * (random.uniform(0.05, 0.3) if random.random() < self.short_deadline_share else 1)
+        timeout = world.classes[class_name]["deadline_ms"] / 1000 * (
+            random.uniform(0.05, 0.3) if random.random() < self.short_deadline_share else 1)
         rid = f"{random.getrandbits(64):016x}"
         return rid, class_name, plan, customer, timeout
 
@@ -133,7 +134,7 @@
         return connection if connection.free else None
 
     async def resend(self, rid, request):
-        """On a new connection, as the one before ended and the gateway had not read it."""
+        """Sends the request on a new connection: the gateway closed the previous one without reading it."""
         connection = await self.connection(new=True)
         if connection is None:
             self.world.oracle.counts["not taken"] += 1
@@ -169,7 +170,7 @@
         return encode(*words, *([] if safe else [b"x" * random.choice([10, 200, 5000])]))
 
     async def send_partial_command(self):
-        """Half a command, and stays."""
+        """Sends the beginning of a command and keeps the connection open."""
         try:
             reader, writer = await asyncio.open_connection(self.gateway.address, CLIENTS_PORT)
         except OSError:
@@ -182,13 +183,14 @@
             await asyncio.wait_for(reader.read(1), 3.0 + self.world.lag() + 0.2)
         except asyncio.TimeoutError:
             if self.world.running_since(self.gateway, began):
-                self.world.oracle.report_violation("bad client", f"{self.gateway.name}: half a command, no error or close in 3 s")
+                self.world.oracle.report_violation(
+                    "bad client", f"{self.gateway.name}: a partial command got neither an error nor a close within 3 s")
         except OSError:
             pass
         writer.transport.abort()
 
     async def hold_idle_connections(self, count, duration):
-        """Connections that say nothing."""
+        """Opens connections that send nothing, and holds them for `duration` seconds."""
         sockets = []
         for _ in range(count):
             s = socket.socket()
--- a/tests/soak/discovery.py
+++ b/tests/soak/discovery.py
@@ -1,13 +1,13 @@
-"""Discovery over HTTP/1.1, with the faults that the protocol page knows."""
+"""Emulates discovery over HTTP/1.1, with the faults that its protocol allows for."""
 import asyncio
 import json
 import re
 
-SILENT_WATCH_TIMEOUT = 6.0  # what a silent watch misses counts as told then
+SILENT_WATCH_TIMEOUT = 6.0  # seconds after which a change counts as known, even if the open watch was silent
 
 
 class Discovery:
-    """One address of it, for one gateway. Each has two: a new configuration moves it from one to the other."""
+    """One discovery server of a gateway. Each gateway has two; a new configuration moves it from one to the other."""
 
     def __init__(self, world, gateway):
         self.world, self.gateway = world, gateway
@@ -37,7 +37,7 @@
                 "targets": [self.entry(self.world.hosts[name]) for name in sorted(names)]}
 
     def push(self):
-        """A host has changed: watches that are open and not silent are told."""
+        """Sends the latest changes of hosts to the open watches that are not silent."""
         for session in list(self.sessions):
             session.push()
 
@@ -52,7 +52,7 @@
                 session.push()
 
     def set_silent(self, silent):
-        """Open watches fall silent for good; new ones work."""
+        """Silences the open watches for good; new ones work."""
         if silent:
             for session in list(self.sessions):
                 session.mute = session.silenced = True
--- a/tests/soak/fault_shim.c
+++ b/tests/soak/fault_shim.c
@@ -1,10 +1,10 @@
 /*
- * Makes system calls of one process fail on demand. Loaded with LD_PRELOAD into a gateway under test.
+ * Makes system calls of one process fail on demand. It is loaded into a gateway under test with LD_PRELOAD.
  *
- * The plan lies in a file of `struct plan` named by FAULT_SHIM_PLAN, which the test maps and changes while the
- * process runs. A call fails with its errno either a number of times in a row (`next`) or by chance (`share`, in
- * 1/65536). Clocks: `wall_step_ns` is added to CLOCK_REALTIME; the monotonic clock is never touched.
- * Not thread safe beyond what single counters need: the gateway has one thread.
+ * FAULT_SHIM_PLAN names a file that holds a `struct plan`, which the test maps and changes while the process
+ * runs. A call fails with the given errno either the next `next` times or with probability `share` / 65536.
+ * `wall_step_ns` is added to CLOCK_REALTIME; the monotonic clock is not changed. The shim is not thread-safe:
+ * the gateway has one thread.
  */
 #define _GNU_SOURCE
 #include <dlfcn.h>
@@ -19,19 +19,32 @@
 #include <sys/socket.h>
 #include <sys/stat.h>
 #include <sys/time.h>
-#include <sys/un.h>
 #include <sys/uio.h>
+#include <sys/un.h>
 #include <time.h>
 #include <unistd.h>
 
-/* The order is that of soak.py and system_faults_test.cpp. */
-enum call { ACCEPT, SOCKET, CONNECT, EPOLL_WAIT, RECV, SEND, SHORT_RECV, SHORT_SEND, BIND_UNIX, WRITE_FILE, READ_FILE, CALLS };
+/* In the same order as in gateways.py and tests/fault_shim.h. */
+enum call {
+  ACCEPT,
+  SOCKET,
+  CONNECT,
+  EPOLL_WAIT,
+  RECV,
+  SEND,
+  SHORT_RECV,
+  SHORT_SEND,
+  BIND_UNIX,
+  WRITE_FILE,
+  READ_FILE,
+  CALLS
+};
 
 struct fault {
   int32_t error; /* errno to fail with */
-  int32_t next;  /* so many of the next calls fail */
-  int32_t share; /* and of all others so many in 65536 */
-  int32_t hits;  /* written here: how many have failed */
+  int32_t next;  /* how many of the next calls fail */
+  int32_t share; /* how many of 65536 other calls fail, on average */
+  int32_t hits;  /* written by the shim: how many calls have failed */
 };
 
 struct plan {
@@ -62,7 +75,7 @@
   return (uint32_t)(random_state >> 20) & 0xffff;
 }
 
-/* Whether this call fails; errno is set then. */
+/* Decides whether this call fails, and sets errno if it does. */
 static int should_fail(enum call which) {
   volatile struct fault *f = &plan->faults[which];
   if (f->next > 0) {
@@ -78,7 +91,8 @@
 static void *next_symbol(const char *name) { return dlsym(RTLD_NEXT, name); }
 #define REAL(name) ((__typeof__(&name))next_symbol(#name))
 
-/* A connection that is gone before it is accepted has left the queue, unlike one that there is no room for. */
+/* A connection that was aborted before accept has left the queue; one that lacks a descriptor or memory stays
+ * in it. */
 static int accept_fails(int fd) {
   struct pollfd waiting = {fd, POLLIN, 0};
   if (poll(&waiting, 1, 0) <= 0 || !should_fail(ACCEPT)) return 0;
@@ -140,7 +154,8 @@
   return fstat(fd, &what) == 0 && S_ISREG(what.st_mode);
 }
 ssize_t write(int fd, const void *from, size_t size) {
-  return plan != &no_plan && is_regular_file(fd) && should_fail(WRITE_FILE) ? -1 : REAL(write)(fd, from, size);
+  return plan != &no_plan && is_regular_file(fd) && should_fail(WRITE_FILE) ? -1
+                                                                            : REAL(write)(fd, from, size);
 }
 ssize_t read(int fd, void *to, size_t size) {
   return plan != &no_plan && is_regular_file(fd) && should_fail(READ_FILE) ? -1 : REAL(read)(fd, to, size);
--- a/tests/soak/faults.py
+++ b/tests/soak/faults.py
@@ -1,4 +1,4 @@
-"""The faults of a soak, and the schedule that lets two or three of them overlap."""
+"""The faults of a soak test, and the schedule by which up to three of them overlap."""
 import asyncio
 import errno
 import os
@@ -103,11 +103,13 @@
     if world.automatic_discovery:
         for name in world.gateways:
             for host in world.hosts.values():
-                world.oracle.record_listed_state(name, host.name, host.state, max(now, world.discovery_moved_at[name] + 4 if now < world.discovery_moved_at[name] + 4 else now))
+                world.oracle.record_listed_state(
+                    name, host.name, host.state,
+                    max(now, world.discovery_moved_at[name] + 4 if now < world.discovery_moved_at[name] + 4 else now))
 
 
 async def silent_watches(world, rng, duration):
-    """What open watches miss from now on counts as told 6 s later."""
+    """What open watches miss from now on counts as known to the gateways after SILENT_WATCH_TIMEOUT."""
     if world.automatic_discovery:
         previous = world.automatic_discovery
         world.automatic_discovery = False
@@ -136,7 +138,7 @@
 # ---- hosts ----
 
 async def drain(world, rng, duration):
-    """Some drain, leave, and come back as new processes that are cold."""
+    """Some hosts drain, leave, and come back as new, cold processes."""
     hosts = [h for h in sample_hosts(world, rng) if h.state == "active"]
     for h in hosts:
         world.change_host(h, "leaving")
@@ -158,7 +160,7 @@
 
 
 async def crash_hosts(world, rng, duration):
-    """Some die and are replaced by processes at the same address."""
+    """Some hosts crash and are replaced by new processes at the same addresses."""
     hosts = [h for h in sample_hosts(world, rng) if h.state == "active"]
     for h in hosts:
         h.stop()
@@ -194,7 +196,7 @@
 # ---- the network ----
 
 async def cut(world, rng, duration):
-    """Some hosts vanish for some gateways: nothing arrives, nobody is told."""
+    """Some hosts become unreachable for all gateways: bytes are dropped silently."""
     names = {h.name for h in sample_hosts(world, rng)}
     proxies = [p for p in world.proxies.values() if p.host.name in names]
     for p in proxies:
@@ -265,7 +267,7 @@
 
 
 async def abandoned_pipelines(world, rng, duration):
-    """Clients that send many commands at once and go before they are answered."""
+    """Clients send many commands at once and close before they are answered."""
     end = world.now() + duration
     while world.now() < end:
         c = world.clients[rng.choice(sorted(world.clients))]
@@ -290,7 +292,7 @@
 
 
 async def wall_clock_steps(world, rng, duration):
-    """Forward or back by seconds or an hour, and a host that starts meanwhile."""
+    """Steps the wall clock by seconds or an hour, in either direction, while hosts start."""
     for name in sample_gateways(world, rng, 10):
         world.gateways[name].fault_plan.wall_step_ns = int(rng.choice([5, -5, 3600, -3600]) * 1e9)
     await crash_hosts(world, rng, duration)
@@ -298,27 +300,27 @@
 
 
 GATEWAY_FAULTS = {"restart": restart, "kill": kill, "hold_up": pause, "reload_settings": reload_settings,
-            "move_discovery": move_discovery, "upgrade": upgrade}
+                  "move_discovery": move_discovery, "upgrade": upgrade}
 DISCOVERY_FAULTS = {"discovery_down": discovery_down, "silent_watches": silent_watches, "watches_end": watches_end,
-         "whole_lists": full_lists}
+                    "whole_lists": full_lists}
 HOST_FAULTS = {"drain": drain, "crash_hosts": crash_hosts, "hang": hang, "errors": host_faults(error=0.3, busy=0.2),
-         "spoilt": host_faults(malformed=0.2, duplicate=0.3, truncated=0.1), "silent": host_faults(silent=0.3, slow=0.3)}
+               "spoilt": host_faults(malformed=0.2, duplicate=0.3, truncated=0.1), "silent": host_faults(silent=0.3, slow=0.3)}
 NETWORK_FAULTS = {"cut": cut, "late_connections": late_connections, "resets": resets}
 CLIENT_FAULTS = {"leave": client_faults(abandon_share=0.5), "pipeline": client_faults(pipeline=60),
-           "short_time": client_faults(short_deadline_share=0.6), "burst": client_faults(burst=2.5), "bad_clients": bad_clients,
-           "idle_clients": idle_clients, "pipelines_that_leave": abandoned_pipelines}
+                 "short_time": client_faults(short_deadline_share=0.6), "burst": client_faults(burst=2.5),
+                 "bad_clients": bad_clients, "idle_clients": idle_clients, "pipelines_that_leave": abandoned_pipelines}
 SYSTEM_FAULTS = {"accept_fails": failing_calls(("accept", ACCEPT_ERRORS, 0.3)),
-           "connect_fails": failing_calls(("socket", SOCKET_ERRORS, 0.3), ("connect", CONNECT_ERRORS, 0.3)),
-           "interrupted": failing_calls(("epoll_wait", [errno.EINTR], 0.2), ("recv", [errno.EINTR], 0.05),
-                                        ("send", [errno.EINTR], 0.05)),
-           "short_calls": failing_calls(("short_recv", [0], 0.5), ("short_send", [0], 0.5)),
-           "disk": failing_calls(("bind_unix", [errno.ENOSPC, errno.EIO], 1.0)),
-           "wall_clock_steps": wall_clock_steps}
+                 "connect_fails": failing_calls(("socket", SOCKET_ERRORS, 0.3), ("connect", CONNECT_ERRORS, 0.3)),
+                 "interrupted": failing_calls(("epoll_wait", [errno.EINTR], 0.2), ("recv", [errno.EINTR], 0.05),
+                                              ("send", [errno.EINTR], 0.05)),
+                 "short_calls": failing_calls(("short_recv", [0], 0.5), ("short_send", [0], 0.5)),
+                 "disk": failing_calls(("bind_unix", [errno.ENOSPC, errno.EIO], 1.0)),
+                 "wall_clock_steps": wall_clock_steps}
 FAULT_KINDS = [GATEWAY_FAULTS, DISCOVERY_FAULTS, HOST_FAULTS, NETWORK_FAULTS, CLIENT_FAULTS, SYSTEM_FAULTS]
 
 
 async def run_schedule(world, seconds):
-    """Troubles of different kinds, up to MAX_OVERLAP at a time."""
+    """Injects faults of different kinds, up to MAX_OVERLAP at a time."""
     rng = world.rng
     faults_by_name = {name: t for kind in FAULT_KINDS for name, t in kind.items()}
     only = world.options.faults.split(",") if world.options.faults else None
@@ -333,7 +335,8 @@
             duration = rng.uniform(0.8, 4)
             world.steps.append((round(world.now() - world.began, 2), name, round(duration, 2)))
             world.active_faults.append((name, world.now() + duration + 4))
-            running[asyncio.ensure_future(faults_by_name[name](world, rng, duration))] = kind if not only else len(running) + 100 * len(world.steps)
+            running[asyncio.ensure_future(faults_by_name[name](world, rng, duration))] = (
+                kind if not only else len(running) + 100 * len(world.steps))
         await asyncio.sleep(rng.uniform(0.1, 0.9))
     for task in running:
         try:
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, with the shim that makes their system calls fail."""
+"""Runs gateways as real processes, with the shim that makes their system calls fail."""
 import asyncio
 import ctypes
 import errno
@@ -9,8 +9,8 @@
 import subprocess
 
 CALLS = ["accept", "socket", "connect", "epoll_wait", "recv", "send", "short_recv", "short_send", "bind_unix",
-         "write_file", "read_file"]  # in the order of fault_shim.c
-STOP_TIMEOUT = 3.7  # seconds from SIGTERM to SIGKILL
+         "write_file", "read_file"]  # in the order of `enum call` in fault_shim.c
+STOP_TIMEOUT = 3.7  # seconds from SIGTERM until the platform sends SIGKILL
 
 
 class Fault(ctypes.Structure):
@@ -25,16 +25,16 @@
 
 
 class Gateway:
-    """One place in the fleet; processes come and go at it."""
+    """One gateway of the fleet: its processes run one after another, two at a time during an upgrade."""
 
     def __init__(self, world, name, number, options):
         self.world, self.name, self.number, self.options = world, name, number, options
-        # An address of its own on loopback: no port that the system gives out can be in its way.
+        # An address of its own on loopback, so that its ports can't collide with ephemeral ports.
         self.address = f"127.{64 + os.getpid() % 128}.{number // 200}.{1 + number % 200}"
         self.folder = os.path.join(options.folder, name)
         os.makedirs(self.folder, exist_ok=True)
         self.config_path = os.path.join(self.folder, "config.json")
-        self.discovery_index = 0                 # which of its two discovery addresses
+        self.discovery_index = 0      # which of its two discovery addresses it uses
         self.process, self.log_path, self.admin_port = None, None, ADMIN_PORT
         self.processes = 0
         self.stopping = False
@@ -63,7 +63,7 @@
 
     def start(self):
         self.processes += 1
-        self.admin_port = ADMIN_PORT + self.processes % 50  # two processes of an upgrade have one each
+        self.admin_port = ADMIN_PORT + self.processes % 50  # both processes of an upgrade need one of their own
         self.write_config()
         self.log_path = os.path.join(self.folder, f"log-{self.processes}")
         env = dict(os.environ, EDGE_NAME=self.name, EDGE_LISTEN=f"{self.address}:{CLIENTS_PORT}",
@@ -90,7 +90,7 @@
         self.signal(signal.SIGHUP)
 
     async def stop(self, process=None):
-        """SIGTERM, and SIGKILL if the process is still there when the platform would send it."""
+        """Sends SIGTERM, and SIGKILL if the process still runs when the platform would send it."""
         process = process or self.process
         if process is None or process.poll() is not None:
             return
--- a/tests/soak/hosts.py
+++ b/tests/soak/hosts.py
@@ -7,25 +7,25 @@
 
 from wire import Error, ProtocolError, Reader, encode
 
-DEFAULT_IDLE_CLOSE = 30.0   # a connection of a host that idles for longer is closed
-# A host's second answer comes up to 10 ms after the first, and a pause of the proxy on top must not make it later than
-# a gateway's connection rests (25 ms): nothing in an answer says which request it is for.
+DEFAULT_IDLE_CLOSE = 30.0   # seconds after which a host closes an idle connection
+# A host's duplicate answer follows the first by up to 10 ms. The pause that the proxy adds must not delay it beyond the
+# 25 ms for which a gateway rests a connection: nothing in an answer tells which request it belongs to.
 PIECE_PAUSE = 0.01
-WORKERS = 3     # requests that a host works on at once
-QUEUE_LIMIT = 40      # and that wait for it; more are turned away
+WORKERS = 3           # requests that a host processes at once
+QUEUE_LIMIT = 40      # requests that wait for a worker; more are rejected
 
 
-LAST_DATA_RECEIVED = 52  # its place in Linux's struct tcp_info, in milliseconds before the call
+LAST_DATA_RECEIVED = 52  # offset of tcpi_last_data_recv in Linux's struct tcp_info: milliseconds since the last data
 
 
 def since_last_data(transport):
-    """Seconds since the last bytes came, which may have waited in the kernel for this process."""
+    """Seconds since the last bytes arrived in the kernel, where they may have waited for this process."""
     info = transport.get_extra_info("socket").getsockopt(socket.IPPROTO_TCP, socket.TCP_INFO, 104)
     return struct.unpack_from("I", info, LAST_DATA_RECEIVED)[0] / 1000
 
 
 def reset(transport):
-    """Closes with a reset, whatever was sent or read."""
+    """Closes the connection with a reset, even if bytes are still to be sent or read."""
     try:
         sock = transport.get_extra_info("socket")
         sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, b"\x01\x00\x00\x00\x00\x00\x00\x00")
@@ -41,9 +41,9 @@
         self.world, self.name, self.zone, self.cell = world, name, zone, cell
         self.state = "active"
         self.boot_ms = 0
-        self.process = 0            # counts restarts
-        self.mean_service_s = 0.02            # seconds for a request
-        self.faults = {}            # name: share of the requests
+        self.process = 0            # number of restarts
+        self.mean_service_s = 0.02
+        self.faults = {}            # name: fraction of the requests
         self.idle_close = DEFAULT_IDLE_CLOSE
         self.hangs = False
         self.sessions = set()
@@ -52,7 +52,7 @@
         self.waiting, self.working = [], 0
 
     def start_work(self, work):
-        """Calls `work` when a worker is free; false if too many wait already."""
+        """Calls `work` when a worker is free; returns False if the queue is full."""
         if self.working < WORKERS:
             self.working += 1
             work()
@@ -63,7 +63,7 @@
         return True
 
     def finish_work(self):
-        """A worker is free."""
+        """Releases a worker, which takes the next request that waits."""
         self.working -= 1
         if self.waiting:
             self.working += 1
@@ -118,7 +118,7 @@
         host = self.host
         rid = self.queue[0]
         if host.hangs:
-            return None  # it may run, and says nothing
+            return None  # never answered; the request may have run
         if host.state == "left" or host.draw_fault("busy"):
             return self.reply(rid, encode_error("BUSY"), ran=False)
         value = f"{rid}:{host.name}:{host.process}:{random.getrandbits(32):08x}".encode()
@@ -173,15 +173,15 @@
 
 
 class Proxy:
-    """The network between one gateway and one host."""
+    """The network between one gateway and one host: a TCP proxy with faults."""
 
     def __init__(self, world, gateway, host):
         self.world, self.gateway, self.host = world, gateway, host
-        self.blackholed = False             # bytes of both sides go nowhere, and nobody is told
-        self.reset_share = 0.0       # of the answers: a reset instead
-        self.split_answers = False          # small pieces with pauses
+        self.blackholed = False      # bytes in both directions are dropped silently
+        self.reset_share = 0.0       # fraction of the answers replaced by a reset
+        self.split_answers = False   # answers are forwarded in two pieces with a pause between
         self.links = set()
-        self.queue_fillers = []               # connections that fill the queue of the listener
+        self.queue_fillers = []      # connections that fill the listener's accept queue
 
     def start(self):
         self.listener = socket.socket()
@@ -193,7 +193,7 @@
         asyncio.get_running_loop().add_reader(self.listener.fileno(), self.accept)
 
     def accept(self):
-        """True if there was a connection."""
+        """Accepts one connection; returns whether there was one."""
         try:
             connection, _ = self.listener.accept()
         except OSError:
@@ -205,9 +205,9 @@
         return True
 
     def delay_new_connections(self):
-        """New connections come up late from now on: the queue is full, and their SYN is sent again after 1 s."""
+        """Delays new connections: the accept queue is full, so a SYN is dropped and sent again after 1 s."""
         asyncio.get_running_loop().remove_reader(self.listener.fileno())
-        while self.accept():  # those are up for the gateway already
+        while self.accept():  # connections that are established for the gateway already
             pass
         self.listener.listen(0)
         for _ in range(2):
@@ -229,7 +229,7 @@
 
 
 class ProxyLink(asyncio.Protocol):
-    """One connection of a gateway, relayed to its host, with every attempt on it reported."""
+    """One connection of a gateway, relayed to its host; reports each attempt on it to the oracle."""
     connection_ids = itertools.count()
 
     def __init__(self, proxy):
@@ -237,7 +237,7 @@
         self.connection_id = next(ProxyLink.connection_ids)
         self.upstream, self.buffered = None, []
         self.attempt, self.rid = None, None
-        self.passed_at = {}  # values that went by, and when
+        self.passed_at = {}  # value: when it was first forwarded
         self.closed = False
 
     def connection_made(self, transport):
@@ -311,10 +311,10 @@
         self.transport.write(data)
 
     def record_second_answer(self, answer):
-        """How long behind the first a second answer was passed on, for those who read a breach."""
+        """Records how long after the first a second answer was forwarded, for the text of a violation."""
         value = answer[0] if isinstance(answer, list) and answer else None
         if not isinstance(value, bytes) or value.count(b":") != 3:
-            return  # an error, or spoilt
+            return  # an error, or malformed
         now = self.proxy.world.now()
         first = self.passed_at.setdefault(value, now)
         if now > first:
--- a/tests/soak/oracle.py
+++ b/tests/soak/oracle.py
@@ -1,20 +1,21 @@
-"""Judges a run by what clients, hosts and the network saw. It knows nothing of the gateway's own tables.
+"""Checks a run by what clients, hosts and the network observed, without access to the gateways' internal state.
 
-Times are seconds of one monotonic clock. `lag` is how late the observer itself may have been; it widens each
-bound, so that a busy machine is never taken for a fault of the gateway.
+Times are seconds of one monotonic clock. `lag` is how late the observer itself may have been. It widens each bound,
+so that a busy machine is not reported as a fault of the gateway.
 """
 import collections
 import math
 
-ANSWER_SLACK = 0.5     # an answer so long after its time only earns nothing; later it is lost
-CLIENT_LEFT_SLACK = 0.1     # an attempt may begin so long after its client closed
-DEADLINE_SLACK = 0.15  # a host may be told so much more than the client has left
-SAME_ITERATION = 0.02       # what happens in one turn of the observer's loop is seen in any order
-NETWORK_SLACK = 0.05   # the protocol's sockets add it to each time limit
+# All in seconds.
+ANSWER_SLACK = 0.5       # an answer up to this long after its deadline only earns nothing; a later one is lost
+CLIENT_LEFT_SLACK = 0.1  # an attempt may begin up to this long after its client closed the connection
+DEADLINE_SLACK = 0.15    # the deadline given to a host may exceed the client's remaining time by this much
+SAME_ITERATION = 0.02    # events within one iteration of the observer's event loop are seen in any order
+NETWORK_SLACK = 0.05     # added to each time limit of the protocol for the sockets
 
 
 class Request:
-    """What is known of one request, by its id on the wire."""
+    """What was observed of one request, which is identified by its id on the wire."""
 
     def __init__(self, class_name, gateway, plan, customer, units, timeout, sent):
         self.class_name, self.gateway, self.plan, self.customer = class_name, gateway, plan, customer
@@ -28,23 +29,23 @@
 class Attempt:
     def __init__(self, host, location, gateway, began):
         self.host, self.location, self.gateway, self.began = host, location, gateway, began
-        self.received_at = None     # when its last byte came
-        self.connection_id = None      # the connection's number
-        self.ended = None     # when it was answered or its connection ended
-        self.ran = None       # None: may have or may yet
+        self.received_at = None    # when its last byte arrived
+        self.connection_id = None
+        self.ended = None          # when it was answered or its connection was closed
+        self.ran = None            # False: the host rejected it; None: it may have run or may still run
 
 
 class Oracle:
     def __init__(self, classes, plans, rules, capacity, lag):
         self.classes, self.plans, self.rules, self.capacity, self.lag = classes, plans, rules, capacity, lag
         self.requests = {}
-        self.listed_states = {}                                 # (gateway, host): (state, since)
-        self.host_started_at = {}                               # host: when its process began
+        self.listed_states = {}                        # (gateway, host): (state in the gateway's list, since)
+        self.host_started_at = {}                      # host: when its current process started
         self.cold_sends = collections.defaultdict(collections.deque)
         self.overloaded_starts = set()
-        self.second_answer_delays = {}                       # value: seconds behind the first
+        self.second_answer_delays = {}                 # value: seconds after the first answer
         self.overlaps = collections.deque()
-        self.buckets = {}                               # customer: [level, at]
+        self.buckets = {}                              # customer: (level, at)
         self.violations = []
         self.counts = collections.Counter()
 
@@ -68,22 +69,25 @@
             self.report_violation("lost", f"{rid} ({r.class_name}) at {r.gateway} was answered {late:.3f} s too late")
         if outcome == "served" and value not in r.host_values:
             behind = self.second_answer_delays.get(value)
-            self.report_violation("lost", f"{rid} was served what no host made for it: {value!r}, a second answer "
-                                f"{'of no host' if behind is None else f'{behind * 1000:.0f} ms behind the first'}; "
-                                f"{self.history(rid)}; made for {self.history(value.split(b':')[0].decode())}")
+            self.report_violation(
+                "lost", f"{rid} was served a value that no host returned for it: {value!r}, "
+                        f"{'not a second answer' if behind is None else f'second answer after {behind * 1000:.0f} ms'}; "
+                        f"{self.history(rid)}; returned for {self.history(value.split(b':')[0].decode())}")
         if outcome == "refused":
             self._check_refusal(rid, r)
 
     def history(self, rid):
-        """What happened to a request and when, in milliseconds of one clock."""
+        """The events of a request with their times in milliseconds of one clock, modulo 100 s."""
         r = self.requests.get(rid)
         if r is None:
-            return f"{rid} unknown"
+            return f"unknown request {rid}"
 
         def ms(at):
             return "-" if at is None else f"{at * 1000 % 100000:.1f}"
-        attempts = ", ".join(f"{a.host} link {a.connection_id} {ms(a.began)}/{ms(a.received_at)}/{ms(a.ended)}" for a in r.attempts)
-        return f"{rid} sent {ms(r.sent)}, {r.outcome or 'open'} at {ms(r.answered_at)}, left {ms(r.client_left_at)}, attempts [{attempts}]"
+        attempts = ", ".join(f"{a.host} connection {a.connection_id} began {ms(a.began)} received {ms(a.received_at)} "
+                             f"ended {ms(a.ended)}" for a in r.attempts)
+        return (f"{rid} sent {ms(r.sent)}, {r.outcome or 'open'} at {ms(r.answered_at)}, "
+                f"client left {ms(r.client_left_at)}, attempts [{attempts}]")
 
     def _check_refusal(self, rid, r):
         settings = self.classes[r.class_name]
@@ -99,15 +103,16 @@
             self.counts["left"] += 1
 
     def connection_closed_after_read(self, rid, now):
-        """The gateway closed the connection with no answer, and had read all that was sent on it."""
+        """The gateway closed the connection without an answer, after it had read everything sent on it."""
         r = self.requests[rid]
         if r.answered or r.client_left or r.crashed:
             return
         r.answered = True
-        self.report_violation("lost", f"{rid} ({r.class_name}) at {r.gateway} was read and its connection closed with no answer")
+        self.report_violation(
+            "lost", f"{rid} ({r.class_name}) at {r.gateway} was read, and its connection closed without an answer")
 
     def connection_closed_unread(self, rid, now):
-        """The gateway closed the connection and had not read the request: its client may send it again."""
+        """The gateway closed the connection without having read the request: its client may send it again."""
         r = self.requests[rid]
         if any(a.gateway == r.gateway for a in r.attempts):
             return self.connection_closed_after_read(rid, now)
@@ -126,7 +131,8 @@
         listed = self.listed_states.get((gateway, host))
         grace = self.rules["drain_grace_ms"] / 1000 + NETWORK_SLACK + self.lag()
         if listed and listed[0] != "active" and now > listed[1] + grace:
-            self.report_violation("drain", f"{gateway} sent to {host} {now - listed[1]:.3f} s after it was told '{listed[0]}'")
+            self.report_violation(
+                "drain", f"{gateway} sent to {host} {now - listed[1]:.3f} s after its list had it as '{listed[0]}'")
         return Attempt(host, location, gateway, now)
 
     def attempt_received(self, attempt, rid, timeout, now):
@@ -134,15 +140,17 @@
         self.counts["attempts"] += 1
         r = self.requests.get(rid)
         if r is None:
-            return self.report_violation("lost", f"{rid}: an attempt for a request that nobody sent")
+            return self.report_violation("lost", f"{rid}: an attempt for a request that no client sent")
         lag = self.lag()
         remaining = r.sent + r.timeout - attempt.began
         if timeout > remaining + DEADLINE_SLACK + lag:
-            self.report_violation("deadline", f"{rid} at {r.gateway}: {attempt.host} was told {timeout:.3f} s with {remaining:.3f} s left")
+            self.report_violation(
+                "deadline", f"{rid} at {r.gateway}: {attempt.host} was given a deadline of {timeout:.3f} s "
+                            f"with {remaining:.3f} s left")
         if r.client_left_at is not None and attempt.began > r.client_left_at + CLIENT_LEFT_SLACK + lag:
             self.report_violation("lost", f"{rid}: an attempt began {attempt.began - r.client_left_at:.3f} s after its client left")
         elif r.answered and attempt.began > r.sent + r.timeout + lag:
-            self.report_violation("lost", f"{rid}: an attempt began after the final answer")
+            self.report_violation("lost", f"{rid}: an attempt began after the final answer and the deadline")
         self._check_duplicate(rid, r, attempt, now, lag)
         if not any(a.received_at for a in r.attempts):
             self._check_ceiling(r, rid, now)
@@ -163,18 +171,26 @@
             return self.report_violation("duplicate", f"{rid} was sent again though an attempt may have run")
         first = ran[0]
         group = settings["group"]
-        same_group = group == "all" or (group == "zone" and first.location[0] == attempt.location[0]) or first.location == attempt.location
+        same_group = (group == "all" or (group == "zone" and first.location[0] == attempt.location[0])
+                      or first.location == attempt.location)
         if not same_group:
-            self.report_violation("duplicate", f"{rid}: sent to {attempt.location} after {first.location}, group {group}")
+            self.report_violation(
+                "duplicate", f"{rid}: sent to {attempt.location} after {first.location}, outside its group '{group}'")
         if attempt.began > first.received_at + settings["key_ttl_ms"] / 1000 + lag:
-            self.report_violation("duplicate", f"{rid}: sent again {attempt.began - first.received_at:.3f} s after the first attempt")
+            self.report_violation(
+                "duplicate", f"{rid}: sent again {attempt.began - first.received_at:.3f} s after the first attempt, "
+                             f"beyond its key's lifetime")
 
     def check_overlaps(self, now):
-        """Two attempts out at once. The end of the first may be seen just after the second's bytes, in one turn."""
+        """Reports attempts that were in flight at once.
+
+        The end of the first may be observed just after the second's bytes, within one iteration of the event loop.
+        """
         while self.overlaps and self.overlaps[0][0] < now - 0.3:
             at, rid, class_name, first = self.overlaps.popleft()
             if first.ended is None or first.ended > at + SAME_ITERATION + self.lag():
-                self.report_violation("duplicate", f"{rid} ({class_name}): two attempts out, the first since {at - first.received_at:.3f} s")
+                self.report_violation("duplicate", f"{rid} ({class_name}): two attempts in flight, the first for "
+                                                   f"{at - first.received_at:.3f} s")
 
     def _check_ceiling(self, r, rid, now):
         plan = self.plans[r.plan]
@@ -185,7 +201,7 @@
         self.buckets[r.customer] = (level, now)
         slack = plan["ceiling_slack"] + plan["hard_rate"] * (0.15 + self.lag())
         if level < -slack:
-            self.report_violation("ceiling", f"customer {r.customer:x} of {r.plan} stands at {level:.2f}")
+            self.report_violation("ceiling", f"customer {r.customer:x} of plan {r.plan}: bucket level {level:.2f}")
 
     def _check_cold_host(self, attempt, now, lag):
         start = self.host_started_at.get(attempt.host)
@@ -202,7 +218,8 @@
         budget = expected + 2 * math.sqrt(expected) + 2 if expected >= 30 else expected + 3 * math.sqrt(expected) + 3
         if len(sends) > budget and (attempt.host, start) not in self.overloaded_starts:
             self.overloaded_starts.add((attempt.host, start))
-            self.report_violation("cold host", f"{attempt.host} got {len(sends)} of {budget:.1f} {now - start:.2f} s after its start")
+            self.report_violation("cold host", f"{attempt.host} got {len(sends)} attempts, at most {budget:.1f} allowed, "
+                                               f"{now - start:.2f} s after its start")
 
     def record_listed_state(self, gateway, host, state, when):
         previous = self.listed_states.get((gateway, host))
@@ -214,4 +231,5 @@
     def finish(self, now):
         for rid, r in self.requests.items():
             if not (r.answered or r.client_left or r.crashed or r.closed_unread):
-                self.report_violation("lost", f"{rid} ({r.class_name}) at {r.gateway}, sent {now - r.sent:.1f} s ago, was never answered")
+                self.report_violation(
+                    "lost", f"{rid} ({r.class_name}) at {r.gateway}, sent {now - r.sent:.1f} s ago, was never answered")
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,11 +1,11 @@
 #!/usr/bin/env python3
-"""A randomized fault soak: real gateways between clients, hosts and discovery that all misbehave, judged by the rules.
+"""A randomized fault soak test: real gateways between clients, hosts and discovery that all misbehave.
 
     tests/soak/soak.py --program build/cometfold --shim build/fault_shim.so --seeds 1-20 --seconds 25
 
-Each seed draws a fleet and a schedule of faults, of which two or three overlap at any time. What the run saw is
-judged by oracle.py; a broken rule, a crash or a stop that takes too long fails it, with the faults that were on.
-The schedule of a seed is always the same, the moments of a run are those of the machine.
+Each seed determines a fleet and a schedule of faults, of which up to three overlap. oracle.py checks what clients,
+hosts and the network observed; a violated rule, a crash or a stop that takes too long fails the run, and is reported
+with the faults that were active. A seed gives the same schedule each time; the exact timing depends on the machine.
 """
 import argparse
 import asyncio
@@ -28,17 +28,17 @@
 from hosts import WORKERS, Host, Proxy  # noqa: E402
 from oracle import Oracle  # noqa: E402
 
-LAG_CHECK_INTERVAL = 0.005          # how often the observer looks at its own lateness
-LAG_WINDOW = 2.0      # seconds that a late moment widens the bounds
+LAG_CHECK_INTERVAL = 0.005  # seconds between two measurements of the observer's own lag
+LAG_WINDOW = 2.0            # seconds for which a measured lag widens the bounds
 WARM_UP, SETTLE = 2.0, 6.0
-PARTIAL_RUN_LAG = 0.1     # a run in which the observer was later than this is said to be partial
+PARTIAL_RUN_LAG = 0.1       # a run in which the observer lagged more than this is reported as partial
 
 
 class World:
     def __init__(self, options, seed):
         self.options, self.seed = options, seed
         self.rng = random.Random(seed)
-        self.automatic_discovery = self.rng.random() < 0.5          # lists are pushed, or have to be asked for
+        self.automatic_discovery = self.rng.random() < 0.5  # lists are pushed; else gateways subscribe
         self.hosts, self.proxies, self.discovery, self.gateways, self.clients = {}, {}, {}, {}, {}
         self.connections = collections.defaultdict(set)
         self.revision, self.changes = 1, []
@@ -61,7 +61,7 @@
         self.plans = {
             "team": {"hard_rate": 0.0, "hard_burst": 0.0, "ceiling_slack": 0.0, "quota_rate": 1000.0, "share": 4},
             "firm": {"hard_rate": 4.0, "hard_burst": 8.0, "ceiling_slack": 4.0, "quota_rate": 4.0, "share": 1}}
-        self.capacity = options.gateways * options.rate / options.hosts / options.use  # requests a second of a warm host
+        self.capacity = options.gateways * options.rate / options.hosts / options.use  # requests per second of a warm host
         self.mean_service_s = WORKERS / self.capacity
         self.oracle = Oracle(self.classes, self.plans, self.rules, self.capacity, self.lag)
 
@@ -72,7 +72,7 @@
         return time.monotonic()
 
     def lag(self):
-        """How late this process may have been of late."""
+        """How late this process may have observed recent events, in seconds."""
         now = self.now()
         while self.lag_samples and self.lag_samples[0][0] < now - LAG_WINDOW:
             self.lag_samples.popleft()
@@ -88,7 +88,7 @@
                 self.lag_samples.append((self.now(), late))
                 self.worst_lag = max(self.worst_lag, late)
 
-    # ---- what the fleet is ----
+    # ---- the fleet ----
 
     def config(self, gateway):
         lanes = []
@@ -100,7 +100,8 @@
                      "overrun_cost": 1.0, "beyond_earns": 0.0, "hard_rate": p["hard_rate"], "hard_burst": p["hard_burst"],
                      "ceiling_slack": p["ceiling_slack"], "concurrency": 0} for name, p in self.plans.items()]
         discovery = self.discovery[gateway.name][gateway.discovery_index]
-        return {"name": gateway.name, "listen": f"{gateway.address}:{CLIENTS_PORT}", "seed": f"{self.seed * 977 + gateway.number:x}",
+        return {"name": gateway.name, "listen": f"{gateway.address}:{CLIENTS_PORT}",
+                "seed": f"{self.seed * 977 + gateway.number:x}",
                 "discovery": f"127.0.0.1:{discovery.port}", "admin": f"{gateway.address}:{gateway.admin_port}",
                 "limits": {"cores": 1.0, "memory_mb": 64, "sockets": self.options.sockets},
                 "known": discovery.full_list(),
@@ -139,7 +140,7 @@
     def start_process(self, gateway):
         gateway.start()
         self.started_at[gateway.name] = self.now()
-        if not self.automatic_discovery:  # it knows what its configuration says; the rest counts later
+        if not self.automatic_discovery:  # it knows the list of its configuration; other states count later
             for host in self.hosts.values():
                 self.oracle.listed_states.pop((gateway.name, host.name), None)
                 self.schedule_listed_state(gateway.name, host, self.now())
@@ -164,7 +165,7 @@
                 discovery.push()
 
     def schedule_listed_state(self, name, host, since):
-        """What discovery has and could tell counts as told in the end, whether or not it arrived."""
+        """Counts a host's state as known to the gateway after the timeout of a silent watch, even if it did not arrive."""
         if host.state == "active":
             return
         state, process = host.state, host.process
@@ -173,7 +174,8 @@
         def record_if_unchanged():
             if (host.state, host.process) != (state, process):
                 return
-            if not self.discovery_available(name) or self.now() < max(since, self.discovery_up_since[name]) + SILENT_WATCH_TIMEOUT - 0.01:
+            if (not self.discovery_available(name)
+                    or self.now() < max(since, self.discovery_up_since[name]) + SILENT_WATCH_TIMEOUT - 0.01):
                 self.schedule_listed_state(name, host, since)
                 return
             self.oracle.record_listed_state(name, host.name, state, self.now())
@@ -181,14 +183,14 @@
         asyncio.get_running_loop().call_later(max(record_at - self.now(), 0.1), record_if_unchanged)
 
     def list_sent(self, gateway, since):
-        """A list with all changes after that version was written."""
+        """Records that a list with all changes after revision `since` was sent; 0: a full list."""
         now = self.now()
         names = {name for rev, name in self.changes if rev > since} if since else set(self.hosts)
         for name in names:
             if self.hosts[name].state != "active":
                 self.oracle.record_listed_state(gateway, name, self.hosts[name].state, now)
 
-    # ---- what clients saw ----
+    # ---- observations of clients ----
 
     def on_answer(self, rid, answer, now, connection):
         request = self.oracle.requests[rid]
@@ -216,7 +218,7 @@
         gateway.kill()
 
     def report_late_stop(self, gateway):
-        self.oracle.report_violation("stop", f"{gateway} was still there when the platform kills it")
+        self.oracle.report_violation("stop", f"{gateway} still ran when the platform sends SIGKILL")
 
     def report_crash(self, gateway, process):
         self.oracle.report_violation("crash", f"{gateway.name} ended with {process.returncode}: {gateway.log()[-800:]}")
@@ -234,7 +236,7 @@
             active = ", ".join(name for name, until in self.active_faults if until > self.now() - 1.5)
             self.report_without_faults(rule, f"{text} [{self.now() - self.began:.2f} s; {active or 'no fault'}]")
         self.oracle.report_violation = report_violation
-        # A mistake of the observer's own fails the run too: what it missed was not judged.
+        # An exception in the observer fails the run too: what it missed was not checked.
         asyncio.get_running_loop().set_exception_handler(
             lambda _, context: report_violation("observer", f"{context['message']}: {context.get('exception')!r}"))
         tasks = [asyncio.ensure_future(self.track_lag())]
@@ -284,7 +286,10 @@
                 if line.startswith("edge_edge.") and "|" in line}
 
     async def read_own_checks(self):
-        """What the gateways' own checks counted: each is a fault, whether or not it did harm."""
+        """Sums the gateways' own counters of violated rules and of closed connections, by name.
+
+        A violated rule is a fault even if it did no harm.
+        """
         sums = collections.Counter()
         for gateway in self.gateways.values():
             for name, value in (await self.read_metrics(gateway)).items():
@@ -307,28 +312,31 @@
     finally:
         world.close()
     result = {"seed": seed, "agent": world.automatic_discovery, "second_copies": world.rules["second_copies"],
-              "breaches": world.oracle.violations, "counts": dict(world.oracle.counts), "worst_lag": round(world.worst_lag, 3),
-              "partial": world.worst_lag > PARTIAL_RUN_LAG, "steps": world.steps, "own_checks": dict(own_checks), "notes": world.notes}
+              "breaches": world.oracle.violations, "counts": dict(world.oracle.counts),
+              "worst_lag": round(world.worst_lag, 3), "partial": world.worst_lag > PARTIAL_RUN_LAG, "steps": world.steps,
+              "own_checks": dict(own_checks), "notes": world.notes}
     return result
 
 
 def main():
     parser = argparse.ArgumentParser(description=__doc__, formatter_class=argparse.RawDescriptionHelpFormatter)
     parser.add_argument("--program", required=True, help="the gateway")
-    parser.add_argument("--settings", help="the gateway's own settings")
-    parser.add_argument("--shim", help="the library that makes system calls fail; without it those faults are left out")
+    parser.add_argument("--settings", help="the gateway's settings file")
+    parser.add_argument("--shim", help="the library that makes system calls fail; without it such faults are left out")
     parser.add_argument("--seeds", default="1", help="one seed, or first-last")
-    parser.add_argument("--seconds", type=float, default=20, help="of faults")
+    parser.add_argument("--seconds", type=float, default=20, help="how long faults are injected")
     parser.add_argument("--gateways", type=int, default=10)
     parser.add_argument("--hosts", type=int, default=8)
-    parser.add_argument("--rate", type=float, default=15, help="requests a second at each gateway")
-    parser.add_argument("--use", type=float, default=0.5, help="part of the hosts' capacity that the ordinary traffic takes")
+    parser.add_argument("--rate", type=float, default=15, help="requests per second at each gateway")
+    parser.add_argument("--use", type=float, default=0.5,
+                        help="fraction of the hosts' capacity that the traffic takes without faults")
     parser.add_argument("--sockets", type=int, default=200, help="descriptors that a gateway may use")
     parser.add_argument("--no-delay", action="store_true",
-                        help="hosts' answers are never held back by their system: leaves out a fault that is known")
-    parser.add_argument("--faults", help="only these, with commas between")
-    parser.add_argument("--results", help="a file that a line of JSON is added to for each seed")
-    parser.add_argument("--keep", help="a folder for logs, kept")
+                        help="sets TCP_NODELAY on the proxies' connections, so that the kernel never holds back "
+                             "hosts' answers: leaves out a known fault")
+    parser.add_argument("--faults", help="inject only these faults, separated by commas")
+    parser.add_argument("--results", help="a file to which a line of JSON is appended for each seed")
+    parser.add_argument("--keep", help="a folder in which logs are kept")
     options = parser.parse_args()
     options.command = [options.program] + (["--settings", options.settings] if options.settings else [])
     first, _, last = options.seeds.partition("-")
--- a/tests/soak/wire.py
+++ b/tests/soak/wire.py
@@ -1,4 +1,4 @@
-"""RESP2 as clients and hosts speak it: encoding, and an incremental reader."""
+"""RESP2 for clients and hosts: an encoder and an incremental parser."""
 
 
 def encode(*words):
@@ -10,11 +10,11 @@
 
 
 class ProtocolError(Exception):
-    """Bytes that are no RESP2."""
+    """Raised for bytes that are not RESP2."""
 
 
 class Reader:
-    """Bytes in, values out: bytes for bulk strings, str for simple ones, int, None, list, or Error."""
+    """Parses bytes to values: bytes for bulk strings, str for simple strings, int, None, list, or Error."""
 
     def __init__(self):
         self.buffer = bytearray()
@@ -23,7 +23,7 @@
         self.buffer += data
 
     def next(self):
-        """One value, or `Reader.MORE`."""
+        """The next value, or `Reader.MORE` if it is incomplete."""
         value, end = self._parse(0)
         if end is not None:
             del self.buffer[:end]
@@ -68,4 +68,4 @@
 
 
 class Error(str):
-    """An error line, without its '-'."""
+    """An error reply, without its leading '-'."""
