--- a/tests/count_quotas.py
+++ b/tests/count_quotas.py
@@ -8,8 +8,8 @@
 CLASS = "0.000 decision: class=0 worth=3 aim=1000 deadline=4000\n"
 
 
-def ask(at, what, customer="a1"):
-    return f"{at:.3f} decision: customer={customer} plan=0 class=0 units=1 spread=2 {what}\n"
+def decision_line(at, verdict, customer="a1"):
+    return f"{at:.3f} decision: customer={customer} plan=0 class=0 units=1 spread=2 {verdict}\n"
 
 
 def run(tool, logs):
@@ -25,8 +25,8 @@
     tool = os.path.join(sys.argv[1], "tools", "count_quotas.py")
     # At once three are sent on; the store holds two. A fourth is refused, a fifth comes a second later and is inside.
     code, text = run(tool, {
-        "n0": PLAN + CLASS + ask(0.1, "sent") + ask(0.1, "sent") + ask(0.1, "refused=beyond") + "0.200 note: other\n",
-        "n1": PLAN + CLASS + ask(0.1, "sent") + ask(1.2, "sent")})
+        "n0": PLAN + CLASS + decision_line(0.1, "sent") + decision_line(0.1, "sent") + decision_line(0.1, "refused=beyond") + "0.200 note: other\n",
+        "n1": PLAN + CLASS + decision_line(0.1, "sent") + decision_line(1.2, "sent")})
     assert code == 0, text
     # Due are two at once and one later, six each; one beyond costs half of six.
     assert "5 requests; price of quotas 0.1667 of the worth due" in text, text
@@ -35,7 +35,7 @@
     assert "refused beyond, store was empty: 0.3333" in text, text
     code, text = run(tool, {"n0": "0.000 ready: n0\n"})
     assert code != 0 and "no decisions in it" in text, text
-    code, text = run(tool, {"n0": PLAN + CLASS + ask(0.1, "sent") + "0.2 17 lines were left out\n"})
+    code, text = run(tool, {"n0": PLAN + CLASS + decision_line(0.1, "sent") + "0.2 17 lines were left out\n"})
     assert code != 0 and "n0.log:4: lines are missing" in text, text
     print("count_quotas: good")
 
--- a/tests/deploy_frames.py
+++ b/tests/deploy_frames.py
@@ -13,7 +13,7 @@
     return struct.pack("<IId", 16 + len(body), len(records), now) + body
 
 
-def play(data):
+def run_sim(data):
     done = subprocess.run(["/bin/sh", "-c", SIM], input=data, capture_output=True, timeout=60)
     return done.returncode, done.stdout, done.stderr.decode()
 
@@ -33,7 +33,7 @@
 job = struct.pack("<BQHIQdfff", 1, 5, 0, 0, 9, 2900.0, 1.0, 2.0, 0.0)
 good = frame([]) + frame([switch, attach, sheet, member], CONF + host) + frame([switch, job], now=1004.0)
 
-code, out, err = play(good)
+code, out, err = run_sim(good)
 answers = list(replies(out))
 assert code == 0 and err == "", (code, err)
 assert [a[0] for a in answers][0] == 0 and len(answers) == 3, answers
@@ -41,12 +41,12 @@
 assert codes[0] == 77 and 64 in codes, codes  # speaks for the instance and relays the request
 relay = answers[2][1][24 * codes.index(64):]
 assert struct.unpack_from("<QI", relay, 1) == (5, 17), relay[:24]
-assert play(good)[1] == out, "the same events must give the same actions"
+assert run_sim(good)[1] == out, "the same events must give the same actions"
 
-code, out, err = play(good[:-7])
+code, out, err = run_sim(good[:-7])
 assert code != 0 and err.count("\n") == 1 and "ends inside" in err, (code, err)
 assert len(list(replies(out))) == 2, "no partial reply"
 bad = CONF.replace(b"siblings=2", b"siblings=x")
-code, out, err = play(frame([switch, attach], bad))
+code, out, err = run_sim(frame([switch, attach], bad))
 assert code != 0 and out == b"" and "siblings is not a number" in err, (code, err)
 print("deploy file: built, started and answered 3 frames; bad input named")
--- a/tests/deploy_platform.py
+++ b/tests/deploy_platform.py
@@ -18,11 +18,11 @@
 
 # Imports that could start a program or reach a call that the platform refuses, each with why it is there all the
 # same. None of them is called: the start below refuses them all.
-REASONS = {
+ALLOWED_IMPORTS = {
     "sendfile": "std::filesystem::copy_file, in the object of libstdc++ that also reads paths; files are not copied",
     "syscall": "futex waits of libstdc++'s static initialisation and of Boost.Asio's threads",
 }
-WATCHED = re.compile(r"^(v?fork|_Fork|clone\d?|exec\w*|fexecve|posix_spawnp?|popen|system|daemon|forkpty|wordexp|"
+RESTRICTED_IMPORTS = re.compile(r"^(v?fork|_Fork|clone\d?|exec\w*|fexecve|posix_spawnp?|popen|system|daemon|forkpty|wordexp|"
                      r"io_uring\w*|splice|vmsplice|tee|sendfile(64)?|copy_file_range|syscall|dlopen|dlmopen)$")
 
 
@@ -37,8 +37,8 @@
     assert "libc.so.6" in needed, f"not linked dynamically against the C library: {needed}"
     imported = {line.split()[7].split("@")[0] for line in readelf("--dyn-syms").splitlines()
                 if " UND " in line and len(line.split()) > 7}
-    watched = {name for name in imported if WATCHED.match(name)}
-    assert watched <= set(REASONS), f"imports without a written reason: {sorted(watched - set(REASONS))}"
+    restricted = {name for name in imported if RESTRICTED_IMPORTS.match(name)}
+    assert restricted <= set(ALLOWED_IMPORTS), f"imports without a written reason: {sorted(restricted - set(ALLOWED_IMPORTS))}"
     assert "malloc" in imported, "the import table could not be read"
 
 
@@ -71,9 +71,9 @@
                           capture_output=True, check=False).returncode != 0
 
 
-def serves(folder, tmpdir):
+def check_serves(folder, tmpdir):
     node = deploy_run.start(deploy_run.CONFIG, folder, run=RUN, preexec_fn=refuse_calls, TMPDIR=tmpdir)
-    address = deploy_run.ready(node)
+    address = deploy_run.wait_until_ready(node)
     with socket.create_connection(address, timeout=30) as client:
         client.sendall(b"*1\r\n$4\r\nPING\r\n")
         assert client.recv(100) == b"+PONG\r\n"
@@ -95,6 +95,6 @@
         a_file = os.path.join(scratch, "file")
         with open(a_file, "w", encoding="ascii"):
             pass
-        for place in (scratch, os.path.join(scratch, "missing"), a_file, read_only, scratch + "/" + "long" * 40, ""):
-            serves(scratch, place)
+        for tmpdir in (scratch, os.path.join(scratch, "missing"), a_file, read_only, scratch + "/" + "long" * 40, ""):
+            check_serves(scratch, tmpdir)
 print("deploy file: one process, dynamically linked, nothing refused is needed, TMPDIR may be of no use")
--- a/tests/deploy_run.py
+++ b/tests/deploy_run.py
@@ -37,43 +37,43 @@
                             text=True, preexec_fn=preexec_fn)
 
 
-def ready(node):
+def wait_until_ready(node):
     """Where it listens, once it says so."""
-    said = []
+    lines = []
     for line in node.stderr:
-        said.append(line)
+        lines.append(line)
         if line.startswith("ready"):
             host, port = line.split()[-1].rsplit(":", 1)
             return host, int(port)
-    raise AssertionError(f"ended with {node.wait()}: {''.join(said)}")
+    raise AssertionError(f"ended with {node.wait()}: {''.join(lines)}")
 
 
 def main():
     with tempfile.TemporaryDirectory() as folder:
         node = start(CONFIG, folder, RUN)
-        with socket.create_connection(ready(node), timeout=30) as client:
+        with socket.create_connection(wait_until_ready(node), timeout=30) as client:
             client.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert client.recv(100) == b"+PONG\r\n"
         node.send_signal(signal.SIGTERM)
         node.stderr.read()
         assert node.wait(timeout=60) == 0, node.returncode
 
-        for path, value, named in [(("settings", "siblings"), None, "siblings"),
+        for path, value, field in [(("settings", "siblings"), None, "siblings"),
                                    (("settings", "lanes", 0, "deadline_ms"), "x", "deadline_ms"),
                                    (("settings", "packages", 0, "name"), None, "packages.0.name"),
                                    (("limits", "sockets"), "many", "sockets"),
                                    (("known",), None, "known")]:
             bad = copy.deepcopy(CONFIG)
-            at = bad
+            parent = bad
             for step in path[:-1]:
-                at = at[step]
+                parent = parent[step]
             if value is None:
-                del at[path[-1]]
+                del parent[path[-1]]
             else:
-                at[path[-1]] = value
+                parent[path[-1]] = value
             node = start(bad, folder, RUN)
             text = node.stderr.read()
-            assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and named in text, (node.returncode, text)
+            assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and field in text, (node.returncode, text)
         node = start("{", folder, RUN)
         text = node.stderr.read()
         assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and "not JSON" in text, text
--- a/tests/fuzz/seeds.cpp
+++ b/tests/fuzz/seeds.cpp
@@ -14,11 +14,11 @@
   const std::filesystem::path folder = argv[1];
   std::filesystem::create_directories(folder);
   int n = 0;
-  const auto seed = [&](const std::string& bytes) {
+  const auto write_seed = [&](const std::string& bytes) {
     std::ofstream(folder / ("seed-" + std::to_string(++n)), std::ios::binary) << bytes;
   };
   const std::string path(cometfold::extproc::kProcess);
-  const auto ask = [](const char* id, const char* attempt) {
+  const auto request = [](const char* id, const char* attempt) {
     return messages::request_headers({{":method", "GET"},
                                       {":path", "/x"},
                                       {"x-request-id", id},
@@ -32,15 +32,16 @@
        {std::string(), frame(kDataFrame, kEndStream, 1, message(report)),
         frame(kResetFrame, 0, 1, std::string("\0\0\0\10", 4)),
         frame(kPingFrame, 0, 0, "12345678") + frame(kDataFrame, 0, 1, message(report).substr(0, 7))}) {
-    seed(std::string(1, '\0') + kPreface + frame(kHeadersFrame, kEndHeaders, 1, call_headers(path)) +
-         frame(kDataFrame, 0, 1, message(ask("a", "1"))) + more);
+    write_seed(std::string(1, '\0') + kPreface + frame(kHeadersFrame, kEndHeaders, 1, call_headers(path)) +
+               frame(kDataFrame, 0, 1, message(request("a", "1"))) + more);
   }
-  const auto one = [](const std::string& m, unsigned what) {
+  const auto framed_message = [](const std::string& m, unsigned what) {
     return std::string{static_cast<char>(m.size() & 255),
                        static_cast<char>((m.size() >> 8 & 3) | what << 2)} +
            m;
   };
-  seed(std::string(1, '\1') + one(ask("a", "1"), 4) + one(report, 0) + one(ask("a", "2"), 1));
+  write_seed(std::string(1, '\1') + framed_message(request("a", "1"), 4) + framed_message(report, 0) +
+             framed_message(request("a", "2"), 1));
   namespace peers = cometfold::membership;
   const std::filesystem::path datagrams = argv[2];
   std::filesystem::create_directories(datagrams);
@@ -59,6 +60,6 @@
     all << framed << body;
     std::ofstream(datagrams / std::to_string(type), std::ios::binary) << framed << body;
   }
-  seed(std::string(1, '\1') + one(ask("a", "1"), 0) + one(ask("a", "1"), 1) + one(report, 52) +
-       one(report, 33));
+  write_seed(std::string(1, '\1') + framed_message(request("a", "1"), 0) +
+             framed_message(request("a", "1"), 1) + framed_message(report, 52) + framed_message(report, 33));
 }
--- a/tests/no_deployment.py
+++ b/tests/no_deployment.py
@@ -15,7 +15,7 @@
 }  # and 'basic' and 'standard', which are words of other things too
 
 
-def names_of(site):
+def deployment_names(site):
     yield site["name"]
     yield from site["net"]["zones"]
     for tier in site["tier"]:
@@ -25,7 +25,7 @@
         yield from (item["name"] for item in site[part])
 
 
-def named_in(text, names):
+def find_names(text, names):
     return sorted(n for n in names if re.search(r"(?<![A-Za-z0-9_-])" + re.escape(n) + r"(?![A-Za-z0-9_-])", text))
 
 
@@ -35,14 +35,14 @@
     if len(sites) < 2:
         sys.exit("no deployments under deploy/sites")
     for path in sites:
-        names.update(names_of(tomllib.loads(path.read_text())))
-    if named_in('if (name == "item-hold")', names) != ["item-hold"] or named_in("anchored", names):
+        names.update(deployment_names(tomllib.loads(path.read_text())))
+    if find_names('if (name == "item-hold")', names) != ["item-hold"] or find_names("anchored", names):
         sys.exit("this check can't find a name")
     files = [root / "deploy/balancer.toml"]
     for folder in ("src", "include", "adapter"):
         files += [p for p in (root / folder).rglob("*") if p.is_file()]
     bad = [f"{path.relative_to(root)}: {', '.join(found)}"
-           for path in sorted(files) if (found := named_in(path.read_text(), names))]
+           for path in sorted(files) if (found := find_names(path.read_text(), names))]
     if bad:
         sys.exit("named after a deployment:\n" + "\n".join(bad))
     print(f"{len(files)} files name none of {len(names)}")
--- a/tests/run_tests_test.py
+++ b/tests/run_tests_test.py
@@ -7,20 +7,20 @@
 # Tests good, red and mended; `red` fails, and `other` too where OTHER_FAILS is set.
 CTEST = r'''
 import os, re, sys
-all_of = {"good.one": 0, "red.one": 1, "mended.one": 0, "other.one": int(os.environ.get("OTHER_FAILS", "0"))}
+exit_codes = {"good.one": 0, "red.one": 1, "mended.one": 0, "other.one": int(os.environ.get("OTHER_FAILS", "0"))}
 arguments = sys.argv[1:]
 if "-N" in arguments:
-    for i, name in enumerate(all_of, 1):
+    for i, name in enumerate(exit_codes, 1):
         print(f"  Test #{i}: {name}")
     sys.exit(0)
-keep = lambda name: True
+is_selected = lambda name: True
 if "-R" in arguments:
-    keep = lambda name: re.search(arguments[arguments.index("-R") + 1], name)
+    is_selected = lambda name: re.search(arguments[arguments.index("-R") + 1], name)
 if "-E" in arguments:
-    keep = lambda name: not re.search(arguments[arguments.index("-E") + 1], name)
-chosen = [name for name in all_of if keep(name)]
+    is_selected = lambda name: not re.search(arguments[arguments.index("-E") + 1], name)
+chosen = [name for name in exit_codes if is_selected(name)]
 print("ran " + " ".join(chosen))
-sys.exit(8 if any(all_of[name] for name in chosen) else 0)
+sys.exit(8 if any(exit_codes[name] for name in chosen) else 0)
 '''
 
 
--- a/tests/wire/check.js
+++ b/tests/wire/check.js
@@ -41,7 +41,7 @@
     family_info: { units_top: 4 },
   },
 };
-const own = `[extproc]
+const settings_text = `[extproc]
 listen = "127.0.0.1:0"
 repeats = "marked"
 [extproc.request]
@@ -53,12 +53,12 @@
 class = "lookup"
 `;
 const config_path = path.join(folder, 'config.json');
-const own_path = path.join(folder, 'own.toml');
+const settings_path = path.join(folder, 'own.toml');
 fs.writeFileSync(config_path, JSON.stringify(config));
-fs.writeFileSync(own_path, own);
+fs.writeFileSync(settings_path, settings_text);
 
 function start() {
-  const running = child_process.spawn(program, ['--settings', own_path], {
+  const running = child_process.spawn(program, ['--settings', settings_path], {
     env: { EDGE_NAME: 'n0', EDGE_LISTEN: '127.0.0.1:0', EDGE_DISCOVERY: '127.0.0.1:9', EDGE_CONFIG: config_path },
     stdio: ['ignore', 'ignore', 'pipe'],
   });
@@ -74,31 +74,31 @@
   });
 }
 
-const map = (headers) => ({ headers: Object.entries(headers).map(([key, value]) =>
+const header_map = (headers) => ({ headers: Object.entries(headers).map(([key, value]) =>
   ({ key, raw_value: Buffer.from(value) })) });
 
 // One call: what is sent, what comes.
 class Call {
   constructor(client) {
     this.stream = client.Process();
-    this.got = [];
+    this.received = [];
     this.waiting = [];
-    this.ended = new Promise((resolve) => this.stream.on('status', resolve));
+    this.status = new Promise((resolve) => this.stream.on('status', resolve));
     this.stream.on('error', () => {});
-    this.stream.on('data', (message) => (this.waiting.length ? this.waiting.shift()(message) : this.got.push(message)));
+    this.stream.on('data', (message) => (this.waiting.length ? this.waiting.shift()(message) : this.received.push(message)));
   }
   next() {
-    return this.got.length ? Promise.resolve(this.got.shift())
+    return this.received.length ? Promise.resolve(this.received.shift())
       : new Promise((resolve) => this.waiting.push(resolve));
   }
-  ask(headers, more = {}) {
-    this.stream.write({ request_headers: { headers: map(headers), end_of_stream: true }, ...more });
+  send_request_headers(headers, extra = {}) {
+    this.stream.write({ request_headers: { headers: header_map(headers), end_of_stream: true }, ...extra });
     return this.next();
   }
-  report(headers, attributes) {
+  send_response_headers(headers, attributes) {
     const fields = {};
     for (const [name, value] of Object.entries(attributes || {})) fields[name] = { stringValue: value };
-    this.stream.write({ response_headers: { headers: map(headers), end_of_stream: false },
+    this.stream.write({ response_headers: { headers: header_map(headers), end_of_stream: false },
       attributes: attributes ? { 'envoy.filters.http.ext_proc': { fields } } : {} });
     return this.next();
   }
@@ -107,17 +107,17 @@
   assert.strictEqual(h.append_action, 'OVERWRITE_IF_EXISTS_OR_ADD');
   return [h.header.key, h.header.raw_value.toString()];
 }));
-const get = (more) => ({ ':method': 'GET', ':path': '/items/1', ':scheme': 'http', ':authority': 'shop', ...more });
+const get = (extra) => ({ ':method': 'GET', ':path': '/items/1', ':scheme': 'http', ':authority': 'shop', ...extra });
 
 async function main() {
   const gateway = await start();
   const client = new ExternalProcessor(`127.0.0.1:${gateway.port}`, grpc.credentials.createInsecure());
   let checks = 0;
-  const checked = (name) => { ++checks; console.log(`ok ${name}`); };
+  const passed = (name) => { ++checks; console.log(`ok ${name}`); };
 
   {  // the way it should be: a host, the answer, its body and trailers
     const call = new Call(client);
-    const decision = await call.ask(get({ 'x-request-id': 'a' }));
+    const decision = await call.send_request_headers(get({ 'x-request-id': 'a' }));
     assert.strictEqual(decision.response, 'request_headers');
     const set = set_headers(decision.request_headers.response.header_mutation);
     const endpoint = set['x-gateway-destination-endpoint'];
@@ -129,16 +129,16 @@
     assert.strictEqual(lb['x-gateway-destination-endpoint'].stringValue, endpoint);
     assert.strictEqual(decision.mode_override.response_header_mode, 'SEND');
     assert.strictEqual(decision.mode_override.request_trailer_mode, 'SKIP');
-    const seen = await call.report({ ':status': '200', 'endpoint-load-metrics': 'TEXT cpu_utilization=0.5' },
+    const seen = await call.send_response_headers({ ':status': '200', 'endpoint-load-metrics': 'TEXT cpu_utilization=0.5' },
       { 'response.code_details': 'via_upstream' });
     assert.strictEqual(seen.response, 'response_headers');
     call.stream.write({ response_body: { body: Buffer.from('x'), end_of_stream: false } });
     assert.strictEqual((await call.next()).response, 'response_body');
-    call.stream.write({ response_trailers: { trailers: map({ t: 'v' }) } });
+    call.stream.write({ response_trailers: { trailers: header_map({ t: 'v' }) } });
     assert.strictEqual((await call.next()).response, 'response_trailers');
     call.stream.end();
-    assert.strictEqual((await call.ended).code, grpc.status.OK);
-    checked('a host, and all parts of the answer');
+    assert.strictEqual((await call.status).code, grpc.status.OK);
+    passed('a host, and all parts of the answer');
   }
   {  // refused, for HTTP and for gRPC callers
     const refusals = [];
@@ -146,9 +146,9 @@
       const call = new Call(client);
       const headers = get({ 'x-cometfold-plan': 'tiny', 'x-cometfold-customer': 'small' });
       if (i % 2) headers['content-type'] = 'application/grpc';
-      const message = await call.ask(headers);
+      const message = await call.send_request_headers(headers);
       if (message.response === 'immediate_response') {
-        assert.strictEqual((await call.ended).code, grpc.status.OK);
+        assert.strictEqual((await call.status).code, grpc.status.OK);
         refusals.push([i % 2, message.immediate_response]);
       } else {
         call.stream.end();
@@ -163,51 +163,51 @@
       else assert.ok(!refusal.grpc_status);
     }
     assert.ok(refusals.some(([g]) => g) && refusals.some(([g]) => !g));
-    checked('refusals say when to come back');
+    passed('refusals say when to come back');
   }
   {  // failed: an unsafe request is not sent twice
     const headers = get({ 'x-request-id': 'once', 'x-cometfold-class': 'pay' });
     const first = new Call(client);
-    const decision = await first.ask(headers);
+    const decision = await first.send_request_headers(headers);
     assert.strictEqual(set_headers(decision.request_headers.response.header_mutation)['x-envoy-max-retries'], '0');
-    await first.report({ ':status': '500' });
+    await first.send_response_headers({ ':status': '500' });
     const again = new Call(client);
-    const answer = await again.ask({ ...headers, 'x-envoy-attempt-count': '2' });
+    const answer = await again.send_request_headers({ ...headers, 'x-envoy-attempt-count': '2' });
     assert.strictEqual(answer.immediate_response.status.code, 'ServiceUnavailable');
     const grpc_again = new Call(client);
-    const grpc_answer = await grpc_again.ask(
+    const grpc_answer = await grpc_again.send_request_headers(
       { ...headers, 'x-envoy-attempt-count': '3', 'content-type': 'application/grpc' });
     assert.strictEqual(grpc_answer.immediate_response.grpc_status.status, grpc.status.UNAVAILABLE);
     first.stream.end();
-    checked('an unsafe request is given one host');
+    passed('an unsafe request is given one host');
   }
   {  // a safe one may come again
     const headers = get({ 'x-request-id': 'twice' });
     const first = new Call(client);
-    const one = set_headers((await first.ask(headers)).request_headers.response.header_mutation);
-    await first.report({ ':status': '503' }, { 'response.code_details': 'upstream_reset_before_response_started{connection_failure}' });
+    const first_headers = set_headers((await first.send_request_headers(headers)).request_headers.response.header_mutation);
+    await first.send_response_headers({ ':status': '503' }, { 'response.code_details': 'upstream_reset_before_response_started{connection_failure}' });
     const again = new Call(client);
-    const decision = await again.ask({ ...headers, 'x-envoy-attempt-count': '2' });
-    const two = set_headers(decision.request_headers.response.header_mutation);
-    assert.notStrictEqual(two['x-gateway-destination-endpoint'], one['x-gateway-destination-endpoint']);
-    await again.report({ ':status': '200' });
+    const decision = await again.send_request_headers({ ...headers, 'x-envoy-attempt-count': '2' });
+    const second_headers = set_headers(decision.request_headers.response.header_mutation);
+    assert.notStrictEqual(second_headers['x-gateway-destination-endpoint'], first_headers['x-gateway-destination-endpoint']);
+    await again.send_response_headers({ ':status': '200' });
     first.stream.end();
     again.stream.end();
-    checked('a safe request gets another host');
+    passed('a safe request gets another host');
   }
   {  // complaints
     const call = new Call(client);
-    const answer = await call.ask({ ':method': 'GET', ':path': '/nowhere' });
+    const answer = await call.send_request_headers({ ':method': 'GET', ':path': '/nowhere' });
     assert.strictEqual(answer.immediate_response.status.code, 'BadRequest');
     assert.match(answer.immediate_response.body.toString(), /^no class is named: /);
     const late = new Call(client);
-    const timed = await late.ask(get({ 'x-cometfold-deadline-ms': '5' }));
+    const timed = await late.send_request_headers(get({ 'x-cometfold-deadline-ms': '5' }));
     assert.strictEqual(timed.response, 'immediate_response');
     const twice = new Call(client);
-    await twice.ask(get());
-    twice.stream.write({ request_headers: { headers: map(get()) } });
-    assert.strictEqual((await twice.ended).code, grpc.status.INVALID_ARGUMENT);
-    checked('what can not be is said');
+    await twice.send_request_headers(get());
+    twice.stream.write({ request_headers: { headers: header_map(get()) } });
+    assert.strictEqual((await twice.status).code, grpc.status.INVALID_ARGUMENT);
+    passed('what can not be is said');
   }
   {  // a method that is not there, and a call that is cancelled
     await new Promise((resolve) => client.makeUnaryRequest('/envoy.service.ext_proc.v3.ExternalProcessor/Other',
@@ -216,24 +216,24 @@
         resolve();
       }));
     const call = new Call(client);
-    await call.ask(get());
+    await call.send_request_headers(get());
     call.stream.cancel();
-    assert.strictEqual((await call.ended).code, grpc.status.CANCELLED);
-    checked('statuses of calls');
+    assert.strictEqual((await call.status).code, grpc.status.CANCELLED);
+    passed('statuses of calls');
   }
   {  // the end: what is open may finish
     const call = new Call(client);
-    await call.ask(get());
+    await call.send_request_headers(get());
     const exit = new Promise((resolve) => gateway.running.removeAllListeners('exit').on('exit', resolve));
     gateway.running.kill('SIGTERM');
     await new Promise((resolve) => setTimeout(resolve, 700));
-    assert.strictEqual((await call.report({ ':status': '200' })).response, 'response_headers');
+    assert.strictEqual((await call.send_response_headers({ ':status': '200' })).response, 'response_headers');
     call.stream.end();
-    assert.strictEqual((await call.ended).code, grpc.status.OK);
+    assert.strictEqual((await call.status).code, grpc.status.OK);
     client.close();
     assert.strictEqual(await exit, 0);
     assert.match(gateway.log(), /external processor totals: asked=\d+ again=3 /);
-    checked('a stop lets open calls end');
+    passed('a stop lets open calls end');
   }
   assert.strictEqual(checks, 7);
 }
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -253,11 +253,11 @@
         time.sleep(0.02)
 
 
-TIMED = re.compile(r"(\bat=|\bleft=|\bconnection=|\battempt=|,d=)[-\d.]+|(\bhost=)[0-9a-f]{8}")
+TIME_FIELDS = re.compile(r"(\bat=|\bleft=|\bconnection=|\battempt=|,d=)[-\d.]+|(\bhost=)[0-9a-f]{8}")
 
 
-def without_times(line):
-    return TIMED.sub(lambda found: (found[1] or found[2]) + "#", line)
+def mask_times(line):
+    return TIME_FIELDS.sub(lambda found: (found[1] or found[2]) + "#", line)
 
 
 def free_port():
@@ -265,7 +265,7 @@
         return listener.getsockname()[1]
 
 
-def record_service(program, folder, forms):
+def record_service(program, folder, outputs):
     host = Host()
     discovery = Discovery(host.port)
     config = copy.deepcopy(CONFIG)
@@ -275,18 +275,18 @@
     gateway = Gateway(program, config, folder)
     address = gateway.address()
     wait_for_metric(admin, "edge_edge.known_hosts", "1|g")
-    forms["commands"] = [f"{' '.join(words)} -> {run_command(address, words)}" for words in COMMANDS]
-    forms["commands_to_hosts"] = [without_times(command) for command in host.commands]
+    outputs["commands"] = [f"{' '.join(words)} -> {run_command(address, words)}" for words in COMMANDS]
+    outputs["commands_to_hosts"] = [mask_times(command) for command in host.commands]
     wait_for_metric(admin, "edge_edge.closed.client", f"{len(COMMANDS)}|c")
-    forms["metrics_after_commands"] = [f"{name}:{value}" for name, value in sorted(metrics(admin).items())]
-    forms["lists"] = []
+    outputs["metrics_after_commands"] = [f"{name}:{value}" for name, value in sorted(metrics(admin).items())]
+    outputs["lists"] = []
     for line, hosts, excluded in ((LISTS[1], 2, 0), (LISTS[2], 2, 1), (LISTS[3], 1, 0)):
         discovery.push(line)
         wait_for_metric(admin, "edge_edge.known_hosts", f"{hosts}|g")
         wait_for_metric(admin, "edge_edge.skipped_hosts", f"{excluded}|g")
-        forms["lists"].append(f"{line} -> {hosts} known, {excluded} skipped")
-    forms["lists"].append(f"the call: {discovery.calls[0]}")
-    forms["operators_calls"] = [
+        outputs["lists"].append(f"{line} -> {hosts} known, {excluded} skipped")
+    outputs["lists"].append(f"the call: {discovery.calls[0]}")
+    outputs["operators_calls"] = [
         f"{method} {path} -> {http_call(admin, method, path)[:2]} {http_call(admin, method, path)[2]!r}"
         for method, path in (("GET", "/_ready"), ("POST", "/_ready"), ("GET", "/_members"), ("GET", "/none"),
                              ("POST", "/_lameduck/on"), ("GET", "/_ready"), ("POST", "/_lameduck/off"),
@@ -294,10 +294,10 @@
     gateway.wait_for(f"id={COMMANDS[-1][2]} step=refused")
     logged = list(gateway.lines)
     # Whether a connection is up already when an attempt begins depends on time: then there is no first_byte line.
-    steps = [without_times(line) for line in logged if "step=" in line]
-    forms["request_log"] = [line for line in steps if "step=first_byte" not in line]
-    forms["request_log"].append(next(line for line in steps if "step=first_byte" in line))
-    forms["decision_log"] = [line for line in logged if "customer=" in line or "plan=" in line or "class=" in line]
+    steps = [mask_times(line) for line in logged if "step=" in line]
+    outputs["request_log"] = [line for line in steps if "step=first_byte" not in line]
+    outputs["request_log"].append(next(line for line in steps if "step=first_byte" in line))
+    outputs["decision_log"] = [line for line in logged if "customer=" in line or "plan=" in line or "class=" in line]
     gateway.stop()
 
 
@@ -308,7 +308,7 @@
     return os.path.join(folder, names[0])
 
 
-def record_handover(program, folder, forms):
+def record_handover(program, folder, outputs):
     """This test as the second process: what a gateway hands over."""
     host = Host()
     discovery = Discovery(host.port)
@@ -327,7 +327,7 @@
         peer.settimeout(WAIT_S)
         peer.connect(path)
         hello, descriptors, _, _ = socket.recv_fds(peer, 1, 1)
-        forms["handover_hello"] = [f"{hello!r} with {len(descriptors)} descriptor"]
+        outputs["handover_hello"] = [f"{hello!r} with {len(descriptors)} descriptor"]
         gateway.wait_for("a successor process has connected")
         gateway.process.send_signal(signal.SIGTERM)
         text = b""
@@ -338,16 +338,16 @@
     for descriptor in descriptors:
         os.close(descriptor)
     assert gateway.process.wait(WAIT_S) == 0
-    forms["handover_name"] = [re.sub(r"\d{4,5}(?=\.handover)", "PORT", os.path.basename(path))]
+    outputs["handover_name"] = [re.sub(r"\d{4,5}(?=\.handover)", "PORT", os.path.basename(path))]
     state = json.loads(text)
-    forms["handover_state"] = shape("state", state)
+    outputs["handover_state"] = describe_json("state", state)
     return text
 
 
-def shape(name, value):
+def describe_json(name, value):
     """Keys, types and lengths of a JSON value, one a line."""
     if isinstance(value, dict):
-        return [line for key in value for line in shape(f"{name}.{key}", value[key])]
+        return [line for key in value for line in describe_json(f"{name}.{key}", value[key])]
     if isinstance(value, list) and value and isinstance(value[0], list):
         return [f"{name}: {len(value)} of [{', '.join(type(item).__name__ for item in value[0])}]"]
     if isinstance(value, list):
@@ -355,7 +355,7 @@
     return [f"{name}: {value if isinstance(value, str) else type(value).__name__}"]
 
 
-def read_old_state(program, folder, forms):
+def read_old_state(program, folder, outputs):
     """This test as the first process: a gateway takes over the state that 1c36e3a wrote."""
     host = Host()
     discovery = Discovery(host.port)
@@ -380,7 +380,7 @@
         peer.sendall(HANDOVER_STATE.read_bytes())
         taken = gateway.wait_for("taken over")
     listener.close()
-    forms["handover_read"] = [re.sub(r"^.*(?=taken over)", "", taken)]
+    outputs["handover_read"] = [re.sub(r"^.*(?=taken over)", "", taken)]
     assert run_command(gateway.address(), ["PING"]) == "'PONG'"
     gateway.stop()
 
@@ -396,7 +396,7 @@
                 "[limits.class.hold]\nsecond_copies = true\n", "[hosts]\nrest_ms = 30\nper_host = 90\nidle_per_host = 8\ndescriptors_share = 0.3\n"]
 
 
-def record_checks(program, folder, forms):
+def record_checks(program, folder, outputs):
     """Which configurations and settings are taken, and which are not."""
     def check(config, settings):
         path, own = os.path.join(folder, "checked.json"), os.path.join(folder, "checked.toml")
@@ -409,25 +409,25 @@
     good = dict(CONFIG, discovery="127.0.0.1:9")
     good.pop("admin")
     lines = [f"good: {check(good, '')}"]
-    for name, place, value in BAD_CONFIGS:
+    for name, key_path, value in BAD_CONFIGS:
         config = copy.deepcopy(good)
-        at = config
-        for step in place[:-1]:
-            at = at[step]
+        parent = config
+        for step in key_path[:-1]:
+            parent = parent[step]
         if value is None:
-            del at[place[-1]]
+            del parent[key_path[-1]]
         else:
-            at[place[-1]] = value
+            parent[key_path[-1]] = value
         lines.append(f"{name}: {check(config, '')}")
     lines += [f"{settings!r}: {check(good, settings)}" for settings in BAD_SETTINGS]
-    forms["checks"] = lines
+    outputs["checks"] = lines
     version = subprocess.run([program, "--outcomes"], capture_output=True, text=True, check=True).stdout
-    forms["outcomes"] = version.splitlines()
+    outputs["outcomes"] = version.splitlines()
 
 
-def compare(forms):
+def compare(outputs):
     different = []
-    for name, lines in sorted(forms.items()):
+    for name, lines in sorted(outputs.items()):
         golden = (GOLDEN / f"{name}.txt").read_text().splitlines()
         different += difflib.unified_diff(golden, lines, f"golden/{name}.txt", "this program", lineterm="")
     return different
@@ -435,17 +435,17 @@
 
 def main():
     program, record = os.path.abspath(sys.argv[1]), "--record" in sys.argv
-    forms = {}
+    outputs = {}
     for step in (record_service, record_handover, read_old_state, record_checks):
         with tempfile.TemporaryDirectory(prefix="forms-") as folder:
-            state = step(program, folder, forms)
+            state = step(program, folder, outputs)
             if record and step is record_handover:
                 HANDOVER_STATE.write_bytes(state)
     if record:
-        for name, lines in forms.items():
+        for name, lines in outputs.items():
             (GOLDEN / f"{name}.txt").write_text("\n".join(lines) + "\n")
-    different = compare(forms)
-    print("\n".join(different) or f"{len(forms)} outward forms are as in the golden files")
+    different = compare(outputs)
+    print("\n".join(different) or f"{len(outputs)} outward forms are as in the golden files")
     sys.exit(1 if different else 0)
 
 
--- a/tools/check_layers.py
+++ b/tools/check_layers.py
@@ -42,7 +42,7 @@
     return next((folder for folder in ALLOWED if text.startswith(folder + "/")), None)
 
 
-def wrong_lines(folder, text):
+def find_violations(folder, text):
     """Line numbers and reasons of what this folder's file must not have."""
     own = folder.rsplit("/", 1)[-1]
     for number, line in enumerate(text.splitlines(), 1):
@@ -69,7 +69,7 @@
         if folder is None or path.suffix not in (".h", ".cpp"):
             continue
         checked += 1
-        problems += [f"{path.relative_to(root)}:{number}: {why}" for number, why in wrong_lines(folder, path.read_text())]
+        problems += [f"{path.relative_to(root)}:{number}: {why}" for number, why in find_violations(folder, path.read_text())]
     for problem in problems:
         print(problem)
     print(f"layers: {checked} files, {len(problems)} includes that are not allowed")
--- a/tools/count_quotas.py
+++ b/tools/count_quotas.py
@@ -17,8 +17,8 @@
 import sys
 
 FIELD = re.compile(r"([a-z]+)=(\S+)")
-IDLE_S = 60.0
-ELSEWHERE_S = 2.0  # a refused customer's next request at another gateway within it may be the same one again
+IDLE_SECONDS = 60.0
+OTHER_GATEWAY_RETRY_SECONDS = 2.0  # a refused customer's next request at another gateway within it may be the same one again
 
 
 class Bucket:
@@ -56,7 +56,7 @@
 
 
 def count(plans, classes, requests, customer=None):
-    stores, ideal, slices, last_refused, seen_at = {}, {}, {}, {}, {}
+    buckets, ideal_buckets, slices, last_refused, seen_at = {}, {}, {}, {}, {}
     causes = collections.Counter()
     due, asked, passed = collections.Counter(), collections.Counter(), collections.Counter()
     kept, refused = collections.Counter(), collections.Counter()
@@ -66,28 +66,28 @@
         if p["rate"] <= 0:
             continue
         worth = p["pays"] * classes[cls] * units
-        store = stores.setdefault(c, Bucket(p["burst"], p["rate"], p["burst"], at))
-        best = ideal.setdefault(c, Bucket(p["burst"], p["rate"], p["burst"], at))
-        store.refill(at), best.refill(at)
+        bucket = buckets.setdefault(c, Bucket(p["burst"], p["rate"], p["burst"], at))
+        ideal_bucket = ideal_buckets.setdefault(c, Bucket(p["burst"], p["rate"], p["burst"], at))
+        bucket.refill(at), ideal_bucket.refill(at)
         asked[plan] += worth
-        room = store.level >= units - 1e-9
-        if best.level >= units - 1e-9:
-            best.level -= units
+        room = bucket.level >= units - 1e-9
+        if ideal_bucket.level >= units - 1e-9:
+            ideal_bucket.level -= units
             due[plan] += worth
             total_due += worth
         key = (gateway, c)
         first = key not in slices
-        idle = not first and at - seen_at[key] > IDLE_S
+        idle = not first and at - seen_at[key] > IDLE_SECONDS
         volume = p["burst"] / spread
         if first:
             slices[key] = Bucket(volume, p["rate"] / spread, volume, at)
-        mine = slices[key]
-        mine.refill(at)
-        holds = mine.level >= min(units, volume) - 1e-9
-        again = at - last_refused.get(c, (-1e9, ""))[0] < ELSEWHERE_S and last_refused[c][1] != gateway
+        slice_bucket = slices[key]
+        slice_bucket.refill(at)
+        holds = slice_bucket.level >= min(units, volume) - 1e-9
+        again = at - last_refused.get(c, (-1e9, ""))[0] < OTHER_GATEWAY_RETRY_SECONDS and last_refused[c][1] != gateway
         if customer == c:
-            print(f"{at:8.3f} {gateway:>6} units {units:.3g} slice {mine.level:+.4f} of {volume:.4f} "
-                  f"store {store.level:+.3f} of {store.volume:.3f} {'refused: ' + why if why else 'sent'}"
+            print(f"{at:8.3f} {gateway:>6} units {units:.3g} slice {slice_bucket.level:+.4f} of {volume:.4f} "
+                  f"store {bucket.level:+.3f} of {bucket.volume:.3f} {'refused: ' + why if why else 'sent'}"
                   f"{'' if why or room else ', beyond'}")
         seen_at[key] = at
         if why:
@@ -95,10 +95,10 @@
             refused[(plan, why, room)] += worth
             continue
         if holds:
-            mine.level -= units
+            slice_bucket.level -= units
         passed[plan] += worth
         if room:
-            store.level -= units
+            bucket.level -= units
             kept[plan] += worth
             continue
         if first:
@@ -112,7 +112,7 @@
         if again:
             cause += " (after a refusal elsewhere)"
         causes[(plan, cause)] += worth * p["cost"]
-    return causes, due, asked, passed, kept, refused, total_due, stores
+    return causes, due, asked, passed, kept, refused, total_due, buckets
 
 
 def main():
