--- a/tests/deploy_run.py
+++ b/tests/deploy_run.py
@@ -1,4 +1,5 @@
-"""Starts the deploy file's `run` on loopback: it answers PING, ends with 0 on SIGTERM, and names what is bad."""
+"""Starts the deploy file's `run` command on loopback: it answers PING, exits with 0 on SIGTERM, and names the field at
+fault in a bad configuration."""
 import copy
 import json
 import os
@@ -37,47 +38,47 @@
                             text=True, preexec_fn=preexec_fn)
 
 
-def ready(node):
-    """Where it listens, once it says so."""
-    said = []
+def wait_until_ready(node):
+    """Waits until the gateway logs that it is ready; returns the address that it listens on."""
+    lines = []
     for line in node.stderr:
-        said.append(line)
+        lines.append(line)
         if line.startswith("ready"):
             host, port = line.split()[-1].rsplit(":", 1)
             return host, int(port)
-    raise AssertionError(f"ended with {node.wait()}: {''.join(said)}")
+    raise AssertionError(f"the gateway exited with {node.wait()}: {''.join(lines)}")
 
 
 def main():
     with tempfile.TemporaryDirectory() as folder:
         node = start(CONFIG, folder, RUN)
-        with socket.create_connection(ready(node), timeout=30) as client:
+        with socket.create_connection(wait_until_ready(node), timeout=30) as client:
             client.sendall(b"*1\r\n$4\r\nPING\r\n")
             assert client.recv(100) == b"+PONG\r\n"
         node.send_signal(signal.SIGTERM)
         node.stderr.read()
         assert node.wait(timeout=60) == 0, node.returncode
 
-        for path, value, named in [(("settings", "siblings"), None, "siblings"),
+        for path, value, field in [(("settings", "siblings"), None, "siblings"),
                                    (("settings", "lanes", 0, "deadline_ms"), "x", "deadline_ms"),
                                    (("settings", "packages", 0, "name"), None, "packages.0.name"),
                                    (("limits", "sockets"), "many", "sockets"),
                                    (("known",), None, "known")]:
             bad = copy.deepcopy(CONFIG)
-            at = bad
+            parent = bad
             for step in path[:-1]:
-                at = at[step]
+                parent = parent[step]
             if value is None:
-                del at[path[-1]]
+                del parent[path[-1]]
             else:
-                at[path[-1]] = value
+                parent[path[-1]] = value
             node = start(bad, folder, RUN)
             text = node.stderr.read()
-            assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and named in text, (node.returncode, text)
+            assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and field in text, (node.returncode, text)
         node = start("{", folder, RUN)
         text = node.stderr.read()
         assert node.wait(timeout=60) == 1 and text.count("\n") == 1 and "not JSON" in text, text
-    print("deploy file: the gateway started, answered PING and stopped on SIGTERM; bad configuration named")
+    print("deploy file: the gateway started, answered PING and stopped on SIGTERM; it reported bad configurations")
 
 
 if __name__ == "__main__":
--- a/tests/soak/gateways.py
+++ b/tests/soak/gateways.py
@@ -1,4 +1,4 @@
-"""Gateways as real processes, with the shim that makes their system calls fail."""
+"""Runs gateways as real processes, with the shim that makes their system calls fail."""
 import asyncio
 import ctypes
 import errno
@@ -9,15 +9,15 @@
 import subprocess
 
 CALLS = ["accept", "socket", "connect", "epoll_wait", "recv", "send", "short_recv", "short_send", "bind_unix",
-         "write_file", "read_file"]  # in the order of fault_shim.c
-LONGEST_STOP = 3.7  # seconds from SIGTERM to SIGKILL
+         "write_file", "read_file"]  # in the order of `enum call` in fault_shim.c
+STOP_TIMEOUT = 3.7  # seconds from SIGTERM until the platform sends SIGKILL
 
 
 class Fault(ctypes.Structure):
     _fields_ = [("error", ctypes.c_int32), ("next", ctypes.c_int32), ("share", ctypes.c_int32), ("hits", ctypes.c_int32)]
 
 
-class Plan(ctypes.Structure):
+class FaultPlan(ctypes.Structure):
     _fields_ = [("wall_step_ns", ctypes.c_int64), ("faults", Fault * len(CALLS))]
 
 
@@ -25,33 +25,33 @@
 
 
 class Gateway:
-    """One place in the fleet; processes come and go at it."""
+    """One gateway of the fleet: its processes run one after another, two at a time during an upgrade."""
 
     def __init__(self, world, name, number, options):
         self.world, self.name, self.number, self.options = world, name, number, options
-        # An address of its own on loopback: no port that the system gives out can be in its way.
+        # An address of its own on loopback, so that its ports can't collide with ephemeral ports.
         self.address = f"127.{64 + os.getpid() % 128}.{number // 200}.{1 + number % 200}"
         self.folder = os.path.join(options.folder, name)
         os.makedirs(self.folder, exist_ok=True)
         self.config_path = os.path.join(self.folder, "config.json")
-        self.side = 0                 # which of its two discovery addresses
+        self.discovery_index = 0      # which of its two discovery addresses it uses
         self.process, self.log_path, self.admin_port = None, None, ADMIN_PORT
         self.processes = 0
         self.stopping = False
         self.ready_at = None
-        self.plan_path = os.path.join(self.folder, "plan")
-        with open(self.plan_path, "wb") as file:
-            file.write(bytes(ctypes.sizeof(Plan)))
-        with open(self.plan_path, "r+b") as file:
+        self.fault_plan_path = os.path.join(self.folder, "plan")
+        with open(self.fault_plan_path, "wb") as file:
+            file.write(bytes(ctypes.sizeof(FaultPlan)))
+        with open(self.fault_plan_path, "r+b") as file:
             self.memory = mmap.mmap(file.fileno(), 0)
-        self.plan = Plan.from_buffer(self.memory)
+        self.fault_plan = FaultPlan.from_buffer(self.memory)
 
-    def fault(self, call, error=0, next_calls=0, share=0.0):
-        f = self.plan.faults[CALLS.index(call)]
+    def set_fault(self, call, error=0, next_calls=0, share=0.0):
+        f = self.fault_plan.faults[CALLS.index(call)]
         f.error, f.share, f.next = error, int(share * 65536), next_calls
 
-    def heal(self):
-        for f in self.plan.faults:
+    def clear_faults(self):
+        for f in self.fault_plan.faults:
             f.next = f.share = 0
 
     def write_config(self):
@@ -63,13 +63,13 @@
 
     def start(self):
         self.processes += 1
-        self.admin_port = ADMIN_PORT + self.processes % 50  # two processes of an upgrade have one each
+        self.admin_port = ADMIN_PORT + self.processes % 50  # both processes of an upgrade need one of their own
         self.write_config()
         self.log_path = os.path.join(self.folder, f"log-{self.processes}")
         env = dict(os.environ, EDGE_NAME=self.name, EDGE_LISTEN=f"{self.address}:{CLIENTS_PORT}",
-                   EDGE_DISCOVERY=f"127.0.0.1:{self.world.discovery[self.name][self.side].port}",
+                   EDGE_DISCOVERY=f"127.0.0.1:{self.world.discovery[self.name][self.discovery_index].port}",
                    EDGE_CONFIG=self.config_path, EDGE_ADMIN=f"{self.address}:{self.admin_port}", TMPDIR=self.folder,
-                   FAULT_SHIM_PLAN=self.plan_path, FAULT_SHIM_SEED=str(self.options.seed * 1000 + self.processes),
+                   FAULT_SHIM_PLAN=self.fault_plan_path, FAULT_SHIM_SEED=str(self.options.seed * 1000 + self.processes),
                    ASAN_OPTIONS="verify_asan_link_order=0:detect_leaks=0")
         if self.options.shim:
             env["LD_PRELOAD"] = self.options.shim
@@ -90,27 +90,27 @@
         self.signal(signal.SIGHUP)
 
     async def stop(self, process=None):
-        """SIGTERM, and SIGKILL if the process is still there when the platform would send it."""
+        """Sends SIGTERM, and SIGKILL if the process still runs when the platform would send it."""
         process = process or self.process
         if process is None or process.poll() is not None:
             return
         self.stopping = True
         process.send_signal(signal.SIGTERM)
-        end = self.world.now() + LONGEST_STOP + self.world.lag()
+        end = self.world.now() + STOP_TIMEOUT + self.world.lag()
         while process.poll() is None and self.world.now() < end:
             await asyncio.sleep(0.02)
         if process.poll() is None:
             process.kill()
             self.world.note("stop", f"{self.name} had to be killed after SIGTERM")
-            self.world.killed_late(self.name)
+            self.world.report_late_stop(self.name)
         elif process.returncode != 0:
-            self.world.crash(self, process)
+            self.world.report_crash(self, process)
 
     def kill(self):
         if self.alive():
             self.process.kill()
             self.process.wait()
-            self.world.oracle.crashed(self.name)
+            self.world.oracle.gateway_crashed(self.name)
 
     def log(self):
         with open(self.log_path, encoding="utf-8", errors="replace") as file:
--- a/tests/wire_forms.py
+++ b/tests/wire_forms.py
@@ -1,11 +1,11 @@
-"""The program's outward forms, compared with golden files: what it reads and writes stays as it is.
+"""Compares everything that the program reads and writes with golden files, so that its formats stay compatible.
 
     tests/wire_forms.py PROGRAM [--record]      PROGRAM is build/cometfold
 
-A gateway runs on loopback between one emulated host and one emulated discovery, and fixed commands, lists, calls and
-configurations go in. What comes out is written one item a line, with numbers that depend on time or ports replaced,
-and compared with tests/golden/*.txt; --record writes those files instead. tests/golden/handover_1c36e3a.json is the
-state that the program at commit 1c36e3a handed over: a new process has to read it.
+A gateway runs on loopback between an emulated host and an emulated discovery, and receives fixed commands, lists, HTTP
+calls and configurations. Its output is written one item per line, with numbers that depend on time or ports masked, and
+compared with tests/golden/*.txt; --record writes those files instead. tests/golden/handover_1c36e3a.json is the state
+that the program at commit 1c36e3a handed over: a new process has to read it.
 """
 import array
 import asyncio
@@ -31,7 +31,7 @@
 
 GOLDEN = HERE / "golden"
 HANDOVER_STATE = GOLDEN / "handover_1c36e3a.json"
-WAIT_S = 20  # for anything that has to happen; never a measure
+WAIT_S = 20  # timeout of every wait; nothing is measured by it
 CUSTOMER = "00000000b4d65521"
 OWN_SETTINGS = "[log]\nrequests = true\ndecisions = true\n"
 
@@ -59,7 +59,7 @@
 
 
 class Host:
-    """An emulated host: answers by the request's id, and notes each command as it came."""
+    """An emulated host: its answer depends on the request's id. It records each command as received."""
 
     def __init__(self):
         self.commands = []
@@ -121,7 +121,7 @@
     ["SVC.QUERY", "0000000000000c0d", "0000000000000012", FIELDS.replace("team", "capped")],
 ] + [["SVC.QUERY", CUSTOMER, identity, FIELDS] for identity in REPLIES_BY_ID]
 
-LISTS = [  # as discovery may word them, and what of them is read shows in the metrics
+LISTS = [  # host lists as discovery sends them; the metrics show how the gateway reads them
     '{"rev":2,"all":true,"targets":[HOST]}',
     '{"rev":3,"all":false,"targets":[{"uid":"s-2","endpoint":"127.0.0.1:9","az":"b","model":"m","pod_group":3,'
     '"state":"active","capacity_hint":1.0,"boot_ms":0}]}',
@@ -133,7 +133,7 @@
 
 
 class Discovery:
-    """An emulated discovery: a watch that is given one line at a time."""
+    """An emulated discovery: sends a watch one line at a time."""
 
     def __init__(self, host_port):
         self.host = json.dumps({"uid": "s-1", "endpoint": f"127.0.0.1:{host_port}", "az": "a", "model": "m",
@@ -253,11 +253,11 @@
         time.sleep(0.02)
 
 
-TIMED = re.compile(r"(\bat=|\bleft=|\bconnection=|\battempt=|,d=)[-\d.]+|(\bhost=)[0-9a-f]{8}")
+TIME_FIELDS = re.compile(r"(\bat=|\bleft=|\bconnection=|\battempt=|,d=)[-\d.]+|(\bhost=)[0-9a-f]{8}")
 
 
-def without_times(line):
-    return TIMED.sub(lambda found: (found[1] or found[2]) + "#", line)
+def mask_times(line):
+    return TIME_FIELDS.sub(lambda found: (found[1] or found[2]) + "#", line)
 
 
 def free_port():
@@ -265,7 +265,7 @@
         return listener.getsockname()[1]
 
 
-def record_service(program, folder, forms):
+def record_service(program, folder, outputs):
     host = Host()
     discovery = Discovery(host.port)
     config = copy.deepcopy(CONFIG)
@@ -275,41 +275,41 @@
     gateway = Gateway(program, config, folder)
     address = gateway.address()
     wait_for_metric(admin, "edge_edge.known_hosts", "1|g")
-    forms["commands"] = [f"{' '.join(words)} -> {run_command(address, words)}" for words in COMMANDS]
-    forms["commands_to_hosts"] = [without_times(command) for command in host.commands]
+    outputs["commands"] = [f"{' '.join(words)} -> {run_command(address, words)}" for words in COMMANDS]
+    outputs["commands_to_hosts"] = [mask_times(command) for command in host.commands]
     wait_for_metric(admin, "edge_edge.closed.client", f"{len(COMMANDS)}|c")
-    forms["metrics_after_commands"] = [f"{name}:{value}" for name, value in sorted(metrics(admin).items())]
-    forms["lists"] = []
+    outputs["metrics_after_commands"] = [f"{name}:{value}" for name, value in sorted(metrics(admin).items())]
+    outputs["lists"] = []
     for line, hosts, excluded in ((LISTS[1], 2, 0), (LISTS[2], 2, 1), (LISTS[3], 1, 0)):
         discovery.push(line)
         wait_for_metric(admin, "edge_edge.known_hosts", f"{hosts}|g")
         wait_for_metric(admin, "edge_edge.skipped_hosts", f"{excluded}|g")
-        forms["lists"].append(f"{line} -> {hosts} known, {excluded} skipped")
-    forms["lists"].append(f"the call: {discovery.calls[0]}")
-    forms["operators_calls"] = [
+        outputs["lists"].append(f"{line} -> {hosts} known, {excluded} skipped")
+    outputs["lists"].append(f"the call: {discovery.calls[0]}")
+    outputs["operators_calls"] = [
         f"{method} {path} -> {http_call(admin, method, path)[:2]} {http_call(admin, method, path)[2]!r}"
         for method, path in (("GET", "/_ready"), ("POST", "/_ready"), ("GET", "/_members"), ("GET", "/none"),
                              ("POST", "/_lameduck/on"), ("GET", "/_ready"), ("POST", "/_lameduck/off"),
                              ("GET", "/_ready"), ("GET", "/_lameduck/on"))]
     gateway.wait_for(f"id={COMMANDS[-1][2]} step=refused")
     logged = list(gateway.lines)
-    # Whether a connection is up already when an attempt begins depends on time: then there is no first_byte line.
-    steps = [without_times(line) for line in logged if "step=" in line]
-    forms["request_log"] = [line for line in steps if "step=first_byte" not in line]
-    forms["request_log"].append(next(line for line in steps if "step=first_byte" in line))
-    forms["decision_log"] = [line for line in logged if "customer=" in line or "plan=" in line or "class=" in line]
+    # Whether a connection is established when an attempt begins depends on timing: if so, there is no first_byte line.
+    steps = [mask_times(line) for line in logged if "step=" in line]
+    outputs["request_log"] = [line for line in steps if "step=first_byte" not in line]
+    outputs["request_log"].append(next(line for line in steps if "step=first_byte" in line))
+    outputs["decision_log"] = [line for line in logged if "customer=" in line or "plan=" in line or "class=" in line]
     gateway.stop()
 
 
 def predecessor_path(folder, address):
-    """Where a second process finds the first: by name, address and port."""
+    """The socket by which a second process finds the first: its name holds the gateway's name, address and port."""
     names = [name for name in os.listdir(folder) if name.endswith(".handover")]
     assert len(names) == 1, names
     return os.path.join(folder, names[0])
 
 
-def record_handover(program, folder, forms):
-    """This test as the second process: what a gateway hands over."""
+def record_handover(program, folder, outputs):
+    """Acts as the second process, and records what a gateway hands over."""
     host = Host()
     discovery = Discovery(host.port)
     config = copy.deepcopy(CONFIG)
@@ -327,7 +327,7 @@
         peer.settimeout(WAIT_S)
         peer.connect(path)
         hello, descriptors, _, _ = socket.recv_fds(peer, 1, 1)
-        forms["handover_hello"] = [f"{hello!r} with {len(descriptors)} descriptor"]
+        outputs["handover_hello"] = [f"{hello!r} with {len(descriptors)} descriptor"]
         gateway.wait_for("a successor process has connected")
         gateway.process.send_signal(signal.SIGTERM)
         text = b""
@@ -338,16 +338,16 @@
     for descriptor in descriptors:
         os.close(descriptor)
     assert gateway.process.wait(WAIT_S) == 0
-    forms["handover_name"] = [re.sub(r"\d{4,5}(?=\.handover)", "PORT", os.path.basename(path))]
+    outputs["handover_name"] = [re.sub(r"\d{4,5}(?=\.handover)", "PORT", os.path.basename(path))]
     state = json.loads(text)
-    forms["handover_state"] = shape("state", state)
+    outputs["handover_state"] = describe_json("state", state)
     return text
 
 
-def shape(name, value):
-    """Keys, types and lengths of a JSON value, one a line."""
+def describe_json(name, value):
+    """Keys, types and lengths of a JSON value, one per line."""
     if isinstance(value, dict):
-        return [line for key in value for line in shape(f"{name}.{key}", value[key])]
+        return [line for key in value for line in describe_json(f"{name}.{key}", value[key])]
     if isinstance(value, list) and value and isinstance(value[0], list):
         return [f"{name}: {len(value)} of [{', '.join(type(item).__name__ for item in value[0])}]"]
     if isinstance(value, list):
@@ -355,8 +355,8 @@
     return [f"{name}: {value if isinstance(value, str) else type(value).__name__}"]
 
 
-def read_old_state(program, folder, forms):
-    """This test as the first process: a gateway takes over the state that 1c36e3a wrote."""
+def read_old_state(program, folder, outputs):
+    """Acts as the first process: a gateway takes over the state that 1c36e3a wrote."""
     host = Host()
     discovery = Discovery(host.port)
     config = copy.deepcopy(CONFIG)
@@ -374,12 +374,13 @@
     with peer:
         peer.sendmsg([b"L"], [(socket.SOL_SOCKET, socket.SCM_RIGHTS, array.array("i", [listener.fileno()]))])
         gateway.wait_for("the predecessor process is serving")
-        # Discovery has been heard by then, so that what is handed over of hosts finds its host.
+        gateway.wait_for("admin server is listening")
+        # The host must be known before the hand-over, so that its state can be applied to it.
         wait_for_metric(int(config["admin"].rsplit(":")[-1]), "edge_edge.known_hosts", "1|g")
         peer.sendall(HANDOVER_STATE.read_bytes())
         taken = gateway.wait_for("taken over")
     listener.close()
-    forms["handover_read"] = [re.sub(r"^.*(?=taken over)", "", taken)]
+    outputs["handover_read"] = [re.sub(r"^.*(?=taken over)", "", taken)]
     assert run_command(gateway.address(), ["PING"]) == "'PONG'"
     gateway.stop()
 
@@ -395,8 +396,8 @@
                 "[limits.class.hold]\nsecond_copies = true\n", "[hosts]\nrest_ms = 30\nper_host = 90\nidle_per_host = 8\ndescriptors_share = 0.3\n"]
 
 
-def record_checks(program, folder, forms):
-    """Which configurations and settings are taken, and which are not."""
+def record_checks(program, folder, outputs):
+    """Records which configurations and settings are accepted."""
     def check(config, settings):
         path, own = os.path.join(folder, "checked.json"), os.path.join(folder, "checked.toml")
         pathlib.Path(path).write_text(json.dumps(config))
@@ -408,25 +409,25 @@
     good = dict(CONFIG, discovery="127.0.0.1:9")
     good.pop("admin")
     lines = [f"good: {check(good, '')}"]
-    for name, place, value in BAD_CONFIGS:
+    for name, key_path, value in BAD_CONFIGS:
         config = copy.deepcopy(good)
-        at = config
-        for step in place[:-1]:
-            at = at[step]
+        parent = config
+        for step in key_path[:-1]:
+            parent = parent[step]
         if value is None:
-            del at[place[-1]]
+            del parent[key_path[-1]]
         else:
-            at[place[-1]] = value
+            parent[key_path[-1]] = value
         lines.append(f"{name}: {check(config, '')}")
     lines += [f"{settings!r}: {check(good, settings)}" for settings in BAD_SETTINGS]
-    forms["checks"] = lines
+    outputs["checks"] = lines
     version = subprocess.run([program, "--outcomes"], capture_output=True, text=True, check=True).stdout
-    forms["outcomes"] = version.splitlines()
+    outputs["outcomes"] = version.splitlines()
 
 
-def compare(forms):
+def compare(outputs):
     different = []
-    for name, lines in sorted(forms.items()):
+    for name, lines in sorted(outputs.items()):
         golden = (GOLDEN / f"{name}.txt").read_text().splitlines()
         different += difflib.unified_diff(golden, lines, f"golden/{name}.txt", "this program", lineterm="")
     return different
@@ -434,17 +435,17 @@
 
 def main():
     program, record = os.path.abspath(sys.argv[1]), "--record" in sys.argv
-    forms = {}
+    outputs = {}
     for step in (record_service, record_handover, read_old_state, record_checks):
         with tempfile.TemporaryDirectory(prefix="forms-") as folder:
-            state = step(program, folder, forms)
+            state = step(program, folder, outputs)
             if record and step is record_handover:
                 HANDOVER_STATE.write_bytes(state)
     if record:
-        for name, lines in forms.items():
+        for name, lines in outputs.items():
             (GOLDEN / f"{name}.txt").write_text("\n".join(lines) + "\n")
-    different = compare(forms)
-    print("\n".join(different) or f"{len(forms)} outward forms are as in the golden files")
+    different = compare(outputs)
+    print("\n".join(different) or f"{len(outputs)} outputs match the golden files")
     sys.exit(1 if different else 0)
 
 
