--- a/src/engine/engine.cpp
+++ b/src/engine/engine.cpp
@@ -234,7 +234,7 @@
   report_attempt_ends();
   const PendingRequest* const request = requests_.find(id);
   if (!request || request->streaming_attempt || now_ < request->expires_at) return;
-  if (!request->answered) logger_("a request reached its deadline without a decision by the policy", "");
+  if (!request->answered) logger_("a request failed at its deadline without a decision by the policy", "");
   replies_.fail(now_, id, FailureReason::kTimedOut);
 }
 
--- a/src/resp/host_connection.cpp
+++ b/src/resp/host_connection.cpp
@@ -171,7 +171,7 @@
 }
 
 void HostConnection::fail_malformed(Ms now, std::string_view detail) {
-  context_.log("malformed reply of a host", detail);
+  context_.log("malformed reply from a host; its connection is closed and the attempt fails", detail);
   fail(now, outcome_of_disconnect());
 }
 
--- a/src/resp/host_pool.cpp
+++ b/src/resp/host_pool.cpp
@@ -146,7 +146,8 @@
     if (connection->stalled(now)) stalled.push_back(connection);
   }
   for (const ConnectionPtr& connection : stalled) {
-    context_.log("a host gives nothing more of its value", "");
+    context_.log("a host stopped sending a streamed value; its connection is closed and the attempt fails",
+                 "");
     connection->fail(now, Outcome::kConnectionLost);
   }
 }
