--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -1,4 +1,4 @@
-// What lists of hosts contain and omit, and what the program concludes from that.
+// Host lists from discovery: zones, boot times, omitted hosts and a change of the discovery address.
 #include <chrono>
 #include <cstdlib>
 #include <string>
@@ -15,7 +15,7 @@
 
 std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// A host with a zone and a start; `boot_ms` below 0: not listed.
+// A list entry with a zone and a boot time in Unix milliseconds. A negative `boot_ms` is left out.
 std::string target_in(const std::string& uid, int port, const std::string& zone, double boot_ms = 0,
                       const std::string& state = "active") {
   boost::json::object o{{"uid", uid},          {"endpoint", "127.0.0.1:" + std::to_string(port)},
@@ -34,8 +34,9 @@
   return conf;
 }
 
-// The first attempt of a request with an idempotency key is in flight at `first` when a list removes that
-// host.
+// Starts an attempt with an idempotency key at `first`, which is in `zone`. Sends `next_list`, which removes
+// that host or marks it as leaving and adds `second` in another zone, and then resets the attempt's
+// connection. The request must fail without a retry at `second`.
 void expect_no_retry_after(const std::string& next_list, const std::string& zone, Listener& first,
                            Listener& second, Listener& discovery, Program& program) {
   auto watch = discovery.accept();
@@ -48,7 +49,7 @@
   std::this_thread::sleep_for(200ms);
   at.reset();
   EXPECT_EQ(client.reply(), "-ERR failed") << zone;
-  EXPECT_FALSE(second.waiting(300)) << "a host of another zone than " << zone << " got the retry";
+  EXPECT_FALSE(second.waiting(300)) << "a host outside zone " << zone << " received the retry";
 }
 
 TEST(HostLists, AHostThatASnapshotOmitsStaysInItsZone) {
@@ -66,7 +67,7 @@
                         discovery, program);
 }
 
-// Two emulated hosts, which count their requests.
+// Two emulated hosts that count the requests they receive.
 class Hosts {
  public:
   Hosts() : thread_([this] { io_.run(); }) {}
@@ -76,8 +77,8 @@
   }
   HostEmulator& first() { return first_; }
   HostEmulator& second() { return second_; }
-  // Sends so many requests, several at a time: single ones would all go to the host whose last replies were
-  // quicker by chance.
+  // Sends `requests` requests, kConcurrency at a time. Sent one by one, they would all go to the host whose
+  // last replies happened to be faster.
   void send_requests(Program& program, int requests) {
     auto client = program.client();
     for (int i = 0; i < requests; i += kConcurrency) {
@@ -102,7 +103,8 @@
       .count();
 }
 
-// A host that starts while this machine's wall clock is wrong still warms up from a cold start.
+// A host boots while this machine's wall clock is wrong. The clock's error must neither let the host skip its
+// slow start nor keep it in slow start for ever.
 class WallClockStep : public ::testing::TestWithParam<int> {};
 
 TEST_P(WallClockStep, ANewHostIsColdAndWarmsUp) {
@@ -116,25 +118,26 @@
     Program program(conf, plan.environment());
     auto watch = discovery.accept();
     watch_head(watch);
-    // A step of seconds can be told from a late list only after discovery has confirmed that there is nothing
-    // new.
+    // A step of a few seconds can be distinguished from a late list only after discovery has confirmed that
+    // nothing has changed.
     if (std::abs(GetParam()) < 30) chunk(watch, "\n");
     std::this_thread::sleep_for(100ms);
     plan.step_wall_clock(GetParam());
     chunk(watch, list(8, false, {target_in("s-2", hosts.second().port(), "a", unix_ms())}) + "\n");
     std::this_thread::sleep_for(100ms);
     hosts.send_requests(program, 100);
-    EXPECT_LT(hosts.second().received(), 36u) << "half of the requests went to a host that had just started";
+    EXPECT_LT(hosts.second().received(), 36u)
+        << "a host that had just booted received 36 or more of 100 requests";
     std::this_thread::sleep_for(6s);
     const auto cold = hosts.second().received();
     hosts.send_requests(program, 100);
-    EXPECT_GT(hosts.second().received() - cold, 25u) << "a host never warms up";
+    EXPECT_GT(hosts.second().received() - cold, 25u) << "the host is still in slow start after warm_after_ms";
   }
 }
 INSTANTIATE_TEST_SUITE_P(Seconds, WallClockStep, ::testing::Values(3600, -3600, 5, -5));
 
-// Two hosts, a gateway that watches one address of discovery, and the address that its configuration changes
-// to.
+// A gateway with two hosts that watches discovery at one address, and the new address that a reload of its
+// configuration changes to.
 class AddressChange {
  public:
   Hosts hosts;
@@ -145,7 +148,7 @@
   Peer watch = discovery.accept();
 
   AddressChange() { watch_head(watch); }
-  // The first call at the new address.
+  // Reloads the configuration with the new address. Returns the gateway's first connection to it.
   Peer reload_with_new_address() {
     conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
     program.reload(boost::json::serialize(conf));
@@ -153,12 +156,12 @@
   }
 };
 
-// A snapshot at the old address has omitted a host; the new address lags behind.
+// A snapshot of the old address has removed a host. The new address lags behind and still lists it.
 TEST(HostLists, AHostOmittedBeforeAnAddressChangeStaysRemovedWhileTheNewAddressLags) {
   AddressChange change;
   chunk(change.watch, list(8, true, {change.two}) + "\n");
   std::uint64_t before = 0;
-  do {  // until the list has been read
+  do {  // until the gateway has applied the snapshot
     before = change.hosts.first().received();
     change.hosts.send_requests(change.program, 20);
   } while (change.hosts.first().received() != before);
@@ -170,12 +173,13 @@
   EXPECT_EQ(change.hosts.first().received(), before);
 }
 
-// The new address's snapshot has been read; the old one's last change, written before, has not.
+// Guards against ending the old address's watch as soon as the new address's snapshot has been read: a last
+// change from the old address may still be unread. The process is paused so that both are pending at once.
 TEST(HostLists, TheOldAddressIsReadUntilAfterTheNewSnapshot) {
   AddressChange change;
   change.hosts.send_requests(change.program, 20);
   auto fetch = change.reload_with_new_address();
-  while (!fetch.line().empty()) {  // the call's head
+  while (!fetch.line().empty()) {  // the request line and the headers
   }
   {
     const Stopped stopped(change.program);
@@ -184,7 +188,7 @@
     std::this_thread::sleep_for(20ms);
     chunk(change.watch, list(10, false, {target("s-1", change.hosts.first().port(), "leaving")}) + "\n");
   }
-  auto follow = change.moved.accept();  // both have been handled
+  auto follow = change.moved.accept();  // by now both have been handled
   watch_head(follow);
   std::this_thread::sleep_for(300ms);
   const auto before = change.hosts.first().received();
--- a/tests/process_pause_test.cpp
+++ b/tests/process_pause_test.cpp
@@ -1,5 +1,5 @@
-// A gateway process that is paused: it finds everything that its clients, hosts and the kernel did meanwhile
-// at once, in an order of the kernel's choice.
+// A gateway process that is paused. When it continues, all events of its clients, its hosts and the kernel
+// are pending at once, and the kernel chooses the order in which they are reported.
 #include <chrono>
 #include <csignal>
 #include <memory>
@@ -14,11 +14,11 @@
 
 using namespace std::chrono_literals;
 
-// The longest pause that the requirements allow for. A client that disconnected at its beginning did so more
-// than 0.1 s ago, after which no attempt may start for it.
+// The longest pause that the requirements allow for. A client that disconnects when the pause begins has been
+// disconnected for more than 0.1 s when it ends, after which no attempt may start for that client.
 constexpr auto kPause = 150ms;
 
-// Pauses the process for kPause.
+// Pauses the process. The destructor waits for kPause before it continues the process.
 class ProcessPause {
  public:
   explicit ProcessPause(const Program& program) : stopped_(program) {}
@@ -30,7 +30,7 @@
 
 std::string host_list(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
-// Whether a command arrives on this connection, or on a new one.
+// Whether a command arrives on `connection` (null: there is none yet) or on a new connection to `host`.
 bool receives_command(Listener& host, Peer* connection) {
   if (connection && !connection->quiet(500)) return connection->more();
   if (!host.waiting(connection ? 0 : 500)) return false;
@@ -82,7 +82,7 @@
   (to_one ? at_one : at_two).command();
   {
     const ProcessPause pause(program);
-    (to_one ? at_one : at_two).reset();  // the gateway sees this first
+    (to_one ? at_one : at_two).reset();  // the gateway is notified of this first
     std::this_thread::sleep_for(20ms);
     client.close();
   }
@@ -93,7 +93,7 @@
 TEST(ProcessPause, WritesNothingToANewConnectionForAClientThatDisconnectedMeanwhile) {
   Listener host(0);
   Listener discovery;
-  // The system retries a connect that finds the accept queue full a second later.
+  // Fills the accept queue. The kernel retries a connect that finds the queue full one second later.
   std::vector<Fd> queue;
   for (int i = 0; i < 4; ++i) {
     queue.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
@@ -107,7 +107,7 @@
   queue.clear();
   while (host.waiting(50)) host.accept();
   auto pause = std::make_unique<ProcessPause>(program);
-  Peer connection = host.accept();  // the connection is up, which the gateway sees first
+  Peer connection = host.accept();  // established; the gateway is notified of this first
   std::this_thread::sleep_for(20ms);
   client.close();
   pause.reset();
@@ -115,8 +115,8 @@
       << "an attempt began 0.15 s after its client disconnected";
 }
 
-// A client has sent more than may be open at once, and has disconnected. Its end of stream lies behind all
-// that it sent: a gateway that does not read on does not see it.
+// A client sends more requests than may be open on one connection, and disconnects. Its end of stream is
+// queued behind the unread requests, so a gateway that has stopped reading does not notice it.
 TEST(UnreadRequests, AreDroppedWhenTheClientDisconnectsBehindThem) {
   constexpr unsigned kMaxOpen = 64;
   constexpr unsigned kExcess = 80;
@@ -130,7 +130,7 @@
   std::vector<Peer> connections;
   while (host.waiting(500)) connections.push_back(host.accept());
   sender.join();
-  client.shut_send();  // no reset, though rejections lie unread here
+  client.shut_send();  // not close(), which would send a reset because replies are unread
   std::this_thread::sleep_for(kPause);
   for (auto& connection : connections) {
     if (connection.quiet(0)) continue;
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -1,5 +1,5 @@
-// System calls that fail as Linux documents, signals at awkward moments and clocks that step, on the real
-// program.
+// The gateway program when system calls fail in ways that Linux documents, when commands wait unread, when
+// nobody reads its log and when a signal arrives during its start.
 #include <sys/un.h>
 
 #include <cerrno>
@@ -23,7 +23,8 @@
   EXPECT_EQ(client.reply(), "+PONG");
 }
 
-// A connection that is closed before it is accepted must not block the gateway.
+// accept fails with these errors if the connection was closed before it was accepted. The gateway must not
+// block after that.
 TEST(SystemFaults, AnAbortedAcceptDoesNotBlock) {
   for (const int error : {ECONNABORTED, EPROTO}) {
     Listener host, discovery;
@@ -35,9 +36,10 @@
     auto aborted = program.client();
     while (plan.hits(Call::kAccept) == 0) std::this_thread::sleep_for(1ms);
     client.send(command({"PING"}));
-    EXPECT_FALSE(client.quiet(5000)) << "the gateway stands still after accept failed with " << error;
+    EXPECT_FALSE(client.quiet(5000)) << "the gateway does not respond after accept failed with errno "
+                                     << error;
     program.terminate();
-    auto unblocks = program.client();  // else the program would not end
+    auto unblocks = program.client();  // lets a gateway that blocks in accept continue, so that it ends
   }
 }
 
@@ -62,13 +64,14 @@
   }
 }
 
-// The remaining time in the next command to a host, in milliseconds.
+// Reads the next command to a host and returns the remaining time in it, in milliseconds.
 double remaining_time(Peer& at) {
   const auto list = at.command().at(3);
   return std::stod(list.substr(list.find("d=") + 2));
 }
 
-// Out of descriptors for a while: a request's deadline runs while its connection waits in the queue.
+// The gateway has no descriptors for a while (EMFILE), so a connection waits in the accept queue. The
+// deadline of a request on it must run meanwhile.
 TEST(SystemFaults, TheDeadlineRunsWhileAConnectionWaitsToBeAccepted) {
   Listener host, discovery;
   FaultPlan plan;
@@ -86,7 +89,8 @@
   EXPECT_GE(spent, 700);
 }
 
-// Commands beyond the 64 that may be in flight on a connection are not read, but their deadlines run.
+// While 64 commands are in flight on a connection, no further ones are read from it. Their deadlines must run
+// meanwhile.
 TEST(SystemFaults, TheDeadlineRunsWhileACommandWaitsBehindOthers) {
   Listener host, discovery;
   Program program(config(known({target("s-1", host.port())}), discovery.port()));
@@ -104,7 +108,7 @@
             5000 - 700 + 150);
 }
 
-// The reader of the log has stopped, and the pipe is full.
+// Nobody reads the log, so its pipe fills up. The gateway must not block when it writes to it.
 TEST(SystemFaults, AnUnreadLogDoesNotBlock) {
   Listener host, discovery;
   const auto settings =
@@ -113,7 +117,7 @@
   Program program(config(known({target("s-1", host.port())}), discovery.port()),
                   {"--settings", settings.string()}, {});
   auto client = program.client();
-  // Each line is of some 60 bytes, and a pipe holds 64 KiB.
+  // A line has about 60 bytes and a pipe holds 64 KiB, so the pipe is full before the last request.
   for (unsigned n = 2; n < 1900; ++n) {
     client.send(command({"SVC.QUERY", id(n), id(n), "c=lookup,t=team,d=1,units=1,spread=2,first=0"}));
     ASSERT_FALSE(client.quiet(10'000)) << "no answer to request " << n;
@@ -122,7 +126,7 @@
   std::filesystem::remove(settings);
 }
 
-// An unresponsive process at the handover's path delays the start of the program.
+// A predecessor that listens at the hand-over path but never answers, which delays the start of the program.
 class HangingPredecessor {
  public:
   explicit HangingPredecessor(const std::string& folder)
@@ -134,12 +138,12 @@
     ::unlink(path_.c_str());
     if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
         ::listen(fd_.get(), 4) != 0) {
-      throw Hung("no place for a predecessor");
+      throw Hung("can't listen at the hand-over path");
     }
   }
   ~HangingPredecessor() { ::unlink(path_.c_str()); }
   void await_caller() {
-    if (!readable(fd_.get(), kHangMs)) throw Hung("the program does not look for a predecessor");
+    if (!readable(fd_.get(), kHangMs)) throw Hung("the program does not connect to the hand-over path");
   }
 
  private:
@@ -147,8 +151,8 @@
   std::string path_;
 };
 
-// The configuration is read at the start. A signal for a later one must not be lost before its handler is
-// installed.
+// The configuration is read at the beginning of the start. A SIGHUP for a later one must not be lost if it
+// arrives before its handler is installed.
 TEST(SystemFaults, AReloadDuringTheStartIsNotLost) {
   Listener host, discovery, moved;
   const std::string folder = std::filesystem::temp_directory_path().string();
@@ -163,7 +167,7 @@
   conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
   std::ofstream(path) << boost::json::serialize(conf);
   child.signal(SIGHUP);
-  EXPECT_TRUE(moved.waiting(10'000)) << "the new address of discovery is never called";
+  EXPECT_TRUE(moved.waiting(10'000)) << "the gateway does not connect to the new discovery address";
   std::filesystem::remove(path);
 }
 
