--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -13,11 +13,11 @@
 
 using namespace std::chrono_literals;
 
-std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
+std::string host_list(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
 // A list entry with a zone and a boot time in Unix milliseconds. A negative `boot_ms` is left out.
-std::string target_in(const std::string& uid, int port, const std::string& zone, double boot_ms = 0,
-                      const std::string& state = "active") {
+std::string target_with_zone(const std::string& uid, int port, const std::string& zone, double boot_ms = 0,
+                             const std::string& state = "active") {
   boost::json::object o{{"uid", uid},          {"endpoint", "127.0.0.1:" + std::to_string(port)},
                         {"az", zone},          {"model", "m"},
                         {"pod_group", 3},      {"state", state},
@@ -26,7 +26,7 @@
   return boost::json::serialize(o);
 }
 
-boost::json::object keyed_by_zone(const std::string& list, int discovery_port) {
+boost::json::object config_with_keys_by_zone(const std::string& list, int discovery_port) {
   auto conf = config(list, discovery_port);
   auto& settings = conf["settings"].as_object();
   settings["zones"] = boost::json::array{"a", "b"};
@@ -43,28 +43,30 @@
   watch_head(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
-  auto at = first.accept();
-  at.command();
+  auto connection = first.accept();
+  connection.command();
   chunk(watch, next_list + "\n");
   std::this_thread::sleep_for(200ms);
-  at.reset();
+  connection.reset();
   EXPECT_EQ(client.reply(), "-ERR failed") << zone;
   EXPECT_FALSE(second.waiting(300)) << "a host outside zone " << zone << " received the retry";
 }
 
 TEST(HostLists, AHostThatASnapshotOmitsStaysInItsZone) {
   Listener first, second, discovery;
-  Program program(keyed_by_zone(known({target_in("s-1", first.port(), "b")}), discovery.port()));
-  expect_no_retry_after(list(8, true, {target_in("s-2", second.port(), "a")}), "b", first, second, discovery,
-                        program);
+  Program program(
+      config_with_keys_by_zone(host_list({target_with_zone("s-1", first.port(), "b")}), discovery.port()));
+  expect_no_retry_after(list(8, true, {target_with_zone("s-2", second.port(), "a")}), "b", first, second,
+                        discovery, program);
 }
 
 TEST(HostLists, UnknownZonesAreNotOneZone) {
   Listener first, second, discovery;
-  Program program(keyed_by_zone(known({target_in("s-1", first.port(), "x")}), discovery.port()));
-  const auto leaves = target_in("s-1", first.port(), "x", 0, "leaving");
-  expect_no_retry_after(list(8, false, {target_in("s-2", second.port(), "y"), leaves}), "x", first, second,
-                        discovery, program);
+  Program program(
+      config_with_keys_by_zone(host_list({target_with_zone("s-1", first.port(), "x")}), discovery.port()));
+  const auto leaving_target = target_with_zone("s-1", first.port(), "x", 0, "leaving");
+  expect_no_retry_after(list(8, false, {target_with_zone("s-2", second.port(), "y"), leaving_target}), "x",
+                        first, second, discovery, program);
 }
 
 // Two emulated hosts that count the requests they receive.
@@ -112,7 +114,7 @@
     Hosts hosts;
     Listener discovery;
     FaultPlan plan;
-    auto conf = config(known({target("s-1", hosts.first().port())}), discovery.port());
+    auto conf = config(host_list({target("s-1", hosts.first().port())}), discovery.port());
     conf["settings"].as_object()["rules"].as_object()["warm_after_ms"] = 6000.0;
     if (before_start) plan.step_wall_clock(GetParam());
     Program program(conf, plan.environment());
@@ -123,15 +125,16 @@
     if (std::abs(GetParam()) < 30) chunk(watch, "\n");
     std::this_thread::sleep_for(100ms);
     plan.step_wall_clock(GetParam());
-    chunk(watch, list(8, false, {target_in("s-2", hosts.second().port(), "a", unix_ms())}) + "\n");
+    chunk(watch, list(8, false, {target_with_zone("s-2", hosts.second().port(), "a", unix_ms())}) + "\n");
     std::this_thread::sleep_for(100ms);
     hosts.send_requests(program, 100);
     EXPECT_LT(hosts.second().received(), 36u)
         << "a host that had just booted received 36 or more of 100 requests";
     std::this_thread::sleep_for(6s);
-    const auto cold = hosts.second().received();
+    const auto received_while_cold = hosts.second().received();
     hosts.send_requests(program, 100);
-    EXPECT_GT(hosts.second().received() - cold, 25u) << "the host is still in slow start after warm_after_ms";
+    EXPECT_GT(hosts.second().received() - received_while_cold, 25u)
+        << "the host is still in slow start after warm_after_ms";
   }
 }
 INSTANTIATE_TEST_SUITE_P(Seconds, WallClockStep, ::testing::Values(3600, -3600, 5, -5));
@@ -141,33 +144,34 @@
 class AddressChange {
  public:
   Hosts hosts;
-  Listener discovery, moved;
-  const std::string one = target("s-1", hosts.first().port()), two = target("s-2", hosts.second().port());
-  boost::json::object conf = config(known({one, two}), discovery.port());
+  Listener discovery, new_discovery;
+  const std::string first_target = target("s-1", hosts.first().port()),
+                    second_target = target("s-2", hosts.second().port());
+  boost::json::object conf = config(host_list({first_target, second_target}), discovery.port());
   Program program{conf};
   Peer watch = discovery.accept();
 
   AddressChange() { watch_head(watch); }
   // Reloads the configuration with the new address. Returns the gateway's first connection to it.
   Peer reload_with_new_address() {
-    conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
+    conf["discovery"] = "127.0.0.1:" + std::to_string(new_discovery.port());
     program.reload(boost::json::serialize(conf));
-    return moved.accept();
+    return new_discovery.accept();
   }
 };
 
 // A snapshot of the old address has removed a host. The new address lags behind and still lists it.
 TEST(HostLists, AHostOmittedBeforeAnAddressChangeStaysRemovedWhileTheNewAddressLags) {
   AddressChange change;
-  chunk(change.watch, list(8, true, {change.two}) + "\n");
+  chunk(change.watch, list(8, true, {change.second_target}) + "\n");
   std::uint64_t before = 0;
   do {  // until the gateway has applied the snapshot
     before = change.hosts.first().received();
     change.hosts.send_requests(change.program, 20);
   } while (change.hosts.first().received() != before);
   auto fetch = change.reload_with_new_address();
-  whole_list(fetch, list(9, true, {change.one, change.two}));
-  auto follow = change.moved.accept();
+  whole_list(fetch, list(9, true, {change.first_target, change.second_target}));
+  auto follow = change.new_discovery.accept();
   watch_head(follow);
   change.hosts.send_requests(change.program, 20);
   EXPECT_EQ(change.hosts.first().received(), before);
@@ -183,12 +187,13 @@
   }
   {
     const Stopped stopped(change.program);
-    const auto both = list(9, true, {change.one, change.two});
-    fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(both.size()) + "\r\n\r\n" + both);
+    const auto full_list = list(9, true, {change.first_target, change.second_target});
+    fetch.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(full_list.size()) + "\r\n\r\n" +
+               full_list);
     std::this_thread::sleep_for(20ms);
     chunk(change.watch, list(10, false, {target("s-1", change.hosts.first().port(), "leaving")}) + "\n");
   }
-  auto follow = change.moved.accept();  // by now both have been handled
+  auto follow = change.new_discovery.accept();  // by now both have been handled
   watch_head(follow);
   std::this_thread::sleep_for(300ms);
   const auto before = change.hosts.first().received();
--- a/tests/process_pause_test.cpp
+++ b/tests/process_pause_test.cpp
@@ -59,16 +59,16 @@
 }
 
 TEST(ProcessPause, StartsNoRetryForAClientThatDisconnectedMeanwhile) {
-  Listener one;
-  Listener two;
+  Listener first_host;
+  Listener second_host;
   Listener discovery;
-  Program program(
-      config(host_list({target("s-1", one.port()), target("s-2", two.port())}), discovery.port()));
+  Program program(config(host_list({target("s-1", first_host.port()), target("s-2", second_host.port())}),
+                         discovery.port()));
   auto client = program.client();
   client.send(query(1) + query(2));  // the second goes to the host with fewer requests in flight
-  Peer at_one = one.accept();
-  Peer at_two = two.accept();
-  for (Peer* connection : {&at_one, &at_two}) {
+  Peer first_connection = first_host.accept();
+  Peer second_connection = second_host.accept();
+  for (Peer* connection : {&first_connection, &second_connection}) {
     connection->command();
     connection->send(served("v"));
   }
@@ -76,17 +76,18 @@
   client.reply();
   let_rest();
   client.send(query(3));
-  while (at_one.quiet(1) && at_two.quiet(1)) {
+  while (first_connection.quiet(1) && second_connection.quiet(1)) {
   }
-  const bool to_one = !at_one.quiet(0);
-  (to_one ? at_one : at_two).command();
+  const bool sent_to_first = !first_connection.quiet(0);
+  (sent_to_first ? first_connection : second_connection).command();
   {
     const ProcessPause pause(program);
-    (to_one ? at_one : at_two).reset();  // the gateway is notified of this first
+    (sent_to_first ? first_connection : second_connection).reset();  // the gateway is notified of this first
     std::this_thread::sleep_for(20ms);
     client.close();
   }
-  EXPECT_FALSE(receives_command(to_one ? two : one, to_one ? &at_two : &at_one))
+  EXPECT_FALSE(receives_command(sent_to_first ? second_host : first_host,
+                                sent_to_first ? &second_connection : &first_connection))
       << "a retry began 0.15 s after its client disconnected";
 }
 
@@ -94,17 +95,17 @@
   Listener host(0);
   Listener discovery;
   // Fills the accept queue. The kernel retries a connect that finds the queue full one second later.
-  std::vector<Fd> queue;
+  std::vector<Fd> queue_fillers;
   for (int i = 0; i < 4; ++i) {
-    queue.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
-    const auto at = loopback(host.port());
-    ::connect(queue.back().get(), reinterpret_cast<const sockaddr*>(&at), sizeof at);
+    queue_fillers.emplace_back(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0));
+    const auto address = loopback(host.port());
+    ::connect(queue_fillers.back().get(), reinterpret_cast<const sockaddr*>(&address), sizeof address);
   }
   Program program(config(host_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   client.send(query(1));
   std::this_thread::sleep_for(200ms);
-  queue.clear();
+  queue_fillers.clear();
   while (host.waiting(50)) host.accept();
   auto pause = std::make_unique<ProcessPause>(program);
   Peer connection = host.accept();  // established; the gateway is notified of this first
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -16,7 +16,7 @@
 
 using namespace std::chrono_literals;
 
-std::string known(const std::vector<std::string>& targets) { return list(7, true, targets); }
+std::string host_list(const std::vector<std::string>& targets) { return list(7, true, targets); }
 
 void expect_pong(Peer& client) {
   client.send(command({"PING"}));
@@ -29,7 +29,7 @@
   for (const int error : {ECONNABORTED, EPROTO}) {
     Listener host, discovery;
     FaultPlan plan;
-    Program program(config(known({target("s-1", host.port())}), discovery.port()), plan.environment());
+    Program program(config(host_list({target("s-1", host.port())}), discovery.port()), plan.environment());
     auto client = program.client();
     expect_pong(client);
     plan.fail_next(Call::kAccept, error);
@@ -39,7 +39,7 @@
     EXPECT_FALSE(client.quiet(5000)) << "the gateway does not respond after accept failed with errno "
                                      << error;
     program.terminate();
-    auto unblocks = program.client();  // lets a gateway that blocks in accept continue, so that it ends
+    auto last_client = program.client();  // lets a gateway that blocks in accept continue, so that it ends
   }
 }
 
@@ -48,14 +48,14 @@
                                     std::pair(Call::kSend, ENOBUFS), std::pair(Call::kSend, ENOMEM)}) {
     Listener host, discovery;
     FaultPlan plan;
-    Program program(config(known({target("s-1", host.port())}), discovery.port()), plan.environment());
+    Program program(config(host_list({target("s-1", host.port())}), discovery.port()), plan.environment());
     auto client = program.client();
     expect_pong(client);
     client.send(query(1));
-    auto at = host.accept();
-    at.command();
+    auto connection = host.accept();
+    connection.command();
     plan.fail_next(call, error, 3);
-    at.send(served("value"));
+    connection.send(served("value"));
     EXPECT_EQ(client.reply(), "value");
     plan.fail_next(call, error, 3);
     client.send(command({"PING"}));
@@ -65,9 +65,9 @@
 }
 
 // Reads the next command to a host and returns the remaining time in it, in milliseconds.
-double remaining_time(Peer& at) {
-  const auto list = at.command().at(3);
-  return std::stod(list.substr(list.find("d=") + 2));
+double remaining_time(Peer& connection) {
+  const auto fields = connection.command().at(3);
+  return std::stod(fields.substr(fields.find("d=") + 2));
 }
 
 // The gateway has no descriptors for a while (EMFILE), so a connection waits in the accept queue. The
@@ -75,17 +75,17 @@
 TEST(SystemFaults, TheDeadlineRunsWhileAConnectionWaitsToBeAccepted) {
   Listener host, discovery;
   FaultPlan plan;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()), plan.environment());
+  Program program(config(host_list({target("s-1", host.port())}), discovery.port()), plan.environment());
   plan.fail_next(Call::kAccept, EMFILE, 1'000'000);
   auto client = program.client();
   const auto sent = std::chrono::steady_clock::now();
   client.send(query(1, "5000"));
   std::this_thread::sleep_for(700ms);
   plan.fail_next(Call::kAccept, EMFILE, 0);
-  auto at = host.accept();
+  auto connection = host.accept();
   const double spent =
       std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - sent).count();
-  EXPECT_LE(remaining_time(at), 5000 - 700 + 150);
+  EXPECT_LE(remaining_time(connection), 5000 - 700 + 150);
   EXPECT_GE(spent, 700);
 }
 
@@ -93,19 +93,20 @@
 // meanwhile.
 TEST(SystemFaults, TheDeadlineRunsWhileACommandWaitsBehindOthers) {
   Listener host, discovery;
-  Program program(config(known({target("s-1", host.port())}), discovery.port()));
+  Program program(config(host_list({target("s-1", host.port())}), discovery.port()));
   auto client = program.client();
   std::string text = query(1);
   for (int i = 0; i < 63; ++i) text += command({"PING"});
   client.send(text + query(2, "5000"));
-  auto at = host.accept();
-  at.command();
+  auto connection = host.accept();
+  connection.command();
   std::this_thread::sleep_for(700ms);
-  at.send(served("first"));
+  connection.send(served("first"));
   EXPECT_EQ(client.reply(), "first");
   for (int i = 0; i < 63; ++i) EXPECT_EQ(client.reply(), "+PONG");
-  EXPECT_LE(host.waiting(200) ? remaining_time(*std::make_unique<Peer>(host.accept())) : remaining_time(at),
-            5000 - 700 + 150);
+  EXPECT_LE(
+      host.waiting(200) ? remaining_time(*std::make_unique<Peer>(host.accept())) : remaining_time(connection),
+      5000 - 700 + 150);
 }
 
 // Nobody reads the log, so its pipe fills up. The gateway must not block when it writes to it.
@@ -114,7 +115,7 @@
   const auto settings =
       std::filesystem::temp_directory_path() / ("log-" + std::to_string(::getpid()) + ".toml");
   std::ofstream(settings) << "[log]\ndecisions = true\n";
-  Program program(config(known({target("s-1", host.port())}), discovery.port()),
+  Program program(config(host_list({target("s-1", host.port())}), discovery.port()),
                   {"--settings", settings.string()}, {});
   auto client = program.client();
   // A line has about 60 bytes and a pipe holds 64 KiB, so the pipe is full before the last request.
@@ -132,17 +133,17 @@
   explicit HangingPredecessor(const std::string& folder)
       : fd_(::socket(AF_UNIX, SOCK_STREAM | SOCK_CLOEXEC, 0)),
         path_(folder + "/cometfold-n0-127.0.0.1-0.handover") {
-    sockaddr_un at{};
-    at.sun_family = AF_UNIX;
-    path_.copy(at.sun_path, sizeof at.sun_path - 1);
+    sockaddr_un address{};
+    address.sun_family = AF_UNIX;
+    path_.copy(address.sun_path, sizeof address.sun_path - 1);
     ::unlink(path_.c_str());
-    if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
+    if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(fd_.get(), 4) != 0) {
       throw Hung("can't listen at the hand-over path");
     }
   }
   ~HangingPredecessor() { ::unlink(path_.c_str()); }
-  void await_caller() {
+  void await_connection() {
     if (!readable(fd_.get(), kHangMs)) throw Hung("the program does not connect to the hand-over path");
   }
 
@@ -154,20 +155,20 @@
 // The configuration is read at the beginning of the start. A SIGHUP for a later one must not be lost if it
 // arrives before its handler is installed.
 TEST(SystemFaults, AReloadDuringTheStartIsNotLost) {
-  Listener host, discovery, moved;
+  Listener host, discovery, new_discovery;
   const std::string folder = std::filesystem::temp_directory_path().string();
-  HangingPredecessor before(folder);
-  auto conf = config(known({target("s-1", host.port())}), discovery.port());
+  HangingPredecessor predecessor(folder);
+  auto conf = config(host_list({target("s-1", host.port())}), discovery.port());
   const auto path = folder + "/reload-at-start-" + std::to_string(::getpid()) + ".json";
   std::ofstream(path) << boost::json::serialize(conf);
   Child child({COMETFOLD_PROGRAM},
               {"EDGE_NAME=n0", "EDGE_LISTEN=127.0.0.1:0", "TMPDIR=" + folder, "EDGE_CONFIG=" + path,
                "EDGE_DISCOVERY=127.0.0.1:" + std::to_string(discovery.port())});
-  before.await_caller();
-  conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
+  predecessor.await_connection();
+  conf["discovery"] = "127.0.0.1:" + std::to_string(new_discovery.port());
   std::ofstream(path) << boost::json::serialize(conf);
   child.signal(SIGHUP);
-  EXPECT_TRUE(moved.waiting(10'000)) << "the gateway does not connect to the new discovery address";
+  EXPECT_TRUE(new_discovery.waiting(10'000)) << "the gateway does not connect to the new discovery address";
   std::filesystem::remove(path);
 }
 
