--- a/tests/consumer/main.cpp
+++ b/tests/consumer/main.cpp
@@ -1,4 +1,5 @@
-// Embeds the module as an operator's own gateway would.
+// Embeds the admission module through its public headers only. Exits with 0 if the one request is sent to the
+// host.
 #include <cometfold/admission_controller.h>
 
 #include <cstdio>
