--- a/emulators/cluster/check.cpp
+++ b/emulators/cluster/check.cpp
@@ -13,11 +13,12 @@
 
 namespace {
 
-// Both ends are seen by one process, one after the other: what came in close together may be seen in the
-// other order.
+// One process records what clients and hosts observe, one after the other, so events close together may be
+// recorded in the wrong order.
 constexpr double kObservationSkewMs = 25;
-constexpr double kConflictDetectionMs = 4000;  // two of one name, for longer than this, both say so
-constexpr double kResumeGraceMs = 500;  // a process that was stopped has answered what was due in this time
+// Two processes of one name that overlap for longer must both report the conflict.
+constexpr double kConflictDetectionMs = 4000;
+constexpr double kResumeGraceMs = 500;  // after SIGCONT, to answer requests that expired meanwhile
 constexpr std::size_t kMaxViolations = 50;
 
 std::string text(const Line& line, const char* key) { return std::string(line.at(key).as_string()); }
@@ -34,13 +35,13 @@
   std::uint64_t number = 0;
   double started = 0, ended = 1e18;
   std::vector<std::pair<double, double>> stops;  // from, to
-  std::map<std::string, ShownMember> view;       // by name, as last seen
-  std::uint64_t incarnation = 0;                 // its own number, as last seen
-  std::set<std::uint64_t> incarnations;          // all that it had
+  std::map<std::string, ShownMember> view;       // the last one, by member name
+  std::uint64_t incarnation = 0;                 // the last one that it reported
+  std::set<std::uint64_t> incarnations;          // all that it reported
   std::string standing;
   double last_view_at = -1;
   bool conflict = false;
-  std::set<std::pair<std::string, std::uint64_t>> departed;  // failed or left, once
+  std::set<std::pair<std::string, std::uint64_t>> departed;  // shown as failed or left
   std::map<std::pair<std::string, std::uint64_t>, double> suspected_since;
 
   bool ran_at(double t) const {
@@ -59,7 +60,8 @@
       throw std::runtime_error("not a history: the first line has no schedule");
     }
     schedule_ = parse_schedule(text(history_.front(), "text"), "the history's schedule");
-    if (text(history_.back(), "what") != "finished") add_violation("the run was not finished");
+    if (text(history_.back(), "what") != "finished")
+      add_violation("the run was not finished: the last line is not `finished`");
     for (const auto& line : history_) observe_membership(line);
     check_convergence();
     check_name_conflicts();
@@ -72,7 +74,7 @@
     if (verdict_.violations.size() < kMaxViolations) verdict_.violations.push_back(what);
   }
 
-  // ---- who is there ----
+  // ---- membership ----
 
   void observe_membership(const Line& line) {
     const auto what = text(line, "what");
@@ -111,7 +113,7 @@
         if (p.departed.insert(key).second && state == "failed") observe_failure(t, p, name, incarnation);
       } else if (p.departed.contains(key)) {
         add_violation("process " + std::to_string(p.number) + " (" + p.gateway + ") shows " + name +
-                      " with start number " + std::to_string(incarnation) + " " + state +
+                      " in incarnation " + std::to_string(incarnation) + " " + state +
                       " after it had failed or left");
         p.departed.erase(key);
       }
@@ -152,26 +154,27 @@
     return all;
   }
 
-  // Why the last views differ from who runs; nothing if they don't.
+  // Describes the first difference between the latest views and the running processes; empty if there is
+  // none.
   std::string difference(double t) const {
     const auto expected = running(t);
     for (const auto& [number, p] : processes_) {
       if (t < p.started || t >= p.ended) continue;
       const std::string who = "process " + std::to_string(number) + " (" + p.gateway + ")";
-      if (p.last_view_at < 0) return who + " never said what it sees";
-      if (t - p.last_view_at > 3000) return who + " says nothing any more";
+      if (p.last_view_at < 0) return who + " never sent a view";
+      if (t - p.last_view_at > 3000) return who + " sent no view for more than 3 s";
       for (const auto& [name, incarnation] : expected) {
         const auto it = p.view.find(name);
         if (it == p.view.end()) return who + " does not know " + name;
         if (it->second.state != "alive") return who + " shows " + name + " " + it->second.state;
-        if (it->second.incarnation != incarnation) return who + " knows " + name + " by another start number";
+        if (it->second.incarnation != incarnation) return who + " knows " + name + " by another incarnation";
       }
       for (const auto& [name, m] : p.view) {
         if (!expected.contains(name) && (m.state == "alive" || m.state == "suspect")) {
           return who + " shows " + name + " " + m.state + ", which does not run";
         }
       }
-      if (expected.size() > 1 && p.standing != "together") return who + " stands " + p.standing;
+      if (expected.size() > 1 && p.standing != "together") return who + " reports standing " + p.standing;
     }
     return {};
   }
@@ -182,11 +185,10 @@
     for (const auto& line : history_) {
       if (text(line, "what") == "view") end = time_of(line);
     }
-    if (converged_since_ < 0) return add_violation("no agreement at the end: " + difference(end));
+    if (converged_since_ < 0) return add_violation("views do not agree at the end: " + difference(end));
     verdict_.converged_after = std::max(0.0, converged_since_ - last_fault_);
     if (verdict_.converged_after > 1000 * schedule_.agree_within) {
-      add_violation("agreement came " + std::to_string(verdict_.converged_after) +
-                    " ms after the last fault");
+      add_violation("views agreed " + std::to_string(verdict_.converged_after) + " ms after the last fault");
     }
     for (const auto& [at, number] : ends_) {
       const Ms ended_at = at;
@@ -212,7 +214,7 @@
             std::min({p.ended, q.ended, time_of(history_.back())}) - std::max(p.started, q.started);
         if (overlap > kConflictDetectionMs && !p.conflict) {
           add_violation("process " + std::to_string(a) + " (" + p.gateway +
-                        ") never said that another has its name");
+                        ") never reported a name conflict");
         }
       }
     }
@@ -229,10 +231,11 @@
   void check_rules() {
     const auto settings =
         std::find_if(history_.begin(), history_.end(), [](auto& l) { return text(l, "what") == "settings"; });
-    if (settings == history_.end()) return add_violation("the history has no settings to judge the rules by");
+    if (settings == history_.end())
+      return add_violation("the history has no settings to check the rules against");
     const auto config = net::parse_config(settings->at("config"));
     std::vector<TimedEvent> events;
-    std::map<std::uint64_t, std::pair<std::uint64_t, double>> at_gateway;  // request to process, and when
+    std::map<std::uint64_t, std::pair<std::uint64_t, double>> at_gateway;  // process and time, by request
     for (const auto& line : history_) {
       const auto what = text(line, "what");
       if (what == "taken") {
@@ -266,7 +269,7 @@
     const double t = time_of(line);
     rules::Event e;
     if (what == "end") {
-      if (!line.contains("killed")) return;  // a planned end leaves nobody without an answer
+      if (!line.contains("killed")) return;  // a planned shutdown answers all of its requests
       e.kind = Kind::kGatewayCrashed;
       e.gateway = static_cast<rules::GatewayId>(number(line, "process"));
       events.push_back({t, e, {}});
@@ -291,7 +294,7 @@
     e.request = std::stoull(text(line, "request"), nullptr, 16);
     const auto at = at_gateway.find(e.request);
     if (at == at_gateway.end())
-      return add_violation("host saw request " + text(line, "request") + ", which nobody sent");
+      return add_violation("a host received request " + text(line, "request") + ", which no client sent");
     e.gateway = static_cast<rules::GatewayId>(at->second.first);
     if (const auto* host = line.if_contains("host")) {
       e.host = std::stoul(std::string(host->as_string()).substr(1)) + 1;
@@ -307,7 +310,7 @@
       e.plan_index = index(config.plan_names, text(line, "plan"));
       e.customer = number(line, "customer");
       e.expires_at = line.at("expires").to_number<double>();
-      // A process that stands still answers nobody; once it goes on it has to, at once.
+      // A stopped process can't answer; once continued it has to answer what expired meanwhile.
       for (const auto& [from, to] : processes_.at(at->second.first).stops) {
         if (t <= to && from <= e.expires_at) e.expires_at = std::max(e.expires_at, to + kResumeGraceMs);
       }
@@ -318,7 +321,7 @@
     verdict_.failed += what == "failed";
     verdict_.disconnected += what == "gone";
     const bool early = what == "came" || what == "made";
-    // A process that is no more writes nothing: what a client reads of it later was written before its end.
+    // An ended process writes nothing: an answer that a client reads later was written before the end.
     const bool answer = what == "served" || what == "refused" || what == "failed";
     const double written =
         answer ? std::min(t, std::nextafter(processes_.at(at->second.first).ended, 0.0)) : t;
@@ -333,10 +336,10 @@
   Schedule schedule_;
   Verdict verdict_;
   std::map<std::uint64_t, Process> processes_;
-  std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> process_by_incarnation_;  // to process
+  std::map<std::pair<std::string, std::uint64_t>, std::uint64_t> process_by_incarnation_;
   std::vector<std::pair<double, std::uint64_t>> ends_;
   std::map<std::uint64_t, std::map<std::uint64_t, double>>
-      detection_delays_;  // ended process, observer: after how long
+      detection_delays_;  // by ended process and observer, in ms
   double last_fault_ = 0, converged_since_ = -1;
 };
 
--- a/emulators/cluster/main.cpp
+++ b/emulators/cluster/main.cpp
@@ -1,4 +1,4 @@
-// cometfold-cluster: real gateways, faults between them, and a judgement of what happened.
+// cometfold-cluster: runs real gateways under injected faults and checks the recorded history.
 #include <CLI/CLI.hpp>
 #include <cstdio>
 #include <filesystem>
@@ -41,7 +41,7 @@
   return v.violations.empty() ? 0 : 1;
 }
 
-// Steps, and what each process believes whenever that changes, for people.
+// Prints the steps of the schedule, and each process's view whenever it changes.
 class ProgressPrinter {
  public:
   void print(const Line& line) {
@@ -51,9 +51,9 @@
     if (what == "start" || what == "end" || what == "stop" || what == "continue") {
       std::printf("%6.1f s  %s: %s\n", t, text("gateway").c_str(), what.c_str());
     }
-    if (what == "fault") std::printf("%6.1f s  ---- the next step of the schedule ----\n", t);
+    if (what == "fault") std::printf("%6.1f s  ---- next step of the schedule ----\n", t);
     if (what != "view") return;
-    std::string view = text("gateway") + " stands " + text("standing") + ":";
+    std::string view = text("gateway") + " reports standing " + text("standing") + ":";
     for (const auto& value : line.at("members").as_array()) {
       const auto& m = value.as_array();
       if (m.at(0) != line.at("gateway"))
@@ -104,43 +104,47 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Starts real gateways, puts faults between them, and judges what happened."};
+  CLI::App app{"Runs real gateways under injected faults and checks the recorded history."};
   app.require_subcommand(1);
   std::vector<std::string> schedules;
   std::string program, history, logs, folder = "examples/cluster";
   std::uint64_t seed = 0;
   std::size_t gateways = 0;
   bool show = false;
-  auto* run_it = app.add_subcommand("run", "play schedules one after the other, and check each");
+  auto* run_it = app.add_subcommand("run", "run schedules one after the other and check each history");
   run_it->add_option("schedule", schedules, "TOML files")->required()->check(CLI::ExistingFile);
-  auto* replay = app.add_subcommand("replay", "play the schedule of a history again, and check it");
-  replay->add_option("history", schedules, "as `run` wrote it")
+  auto* replay =
+      app.add_subcommand("replay", "run the schedule of a history again and check the new history");
+  replay->add_option("history", schedules, "history file written by `run`")
       ->required()
       ->expected(1)
       ->check(CLI::ExistingFile);
   for (auto* sub : {run_it, replay}) {
-    sub->add_option("--program", program, "the gateway, as built")->required()->check(CLI::ExistingFile);
+    sub->add_option("--program", program, "path of the gateway binary")->required()->check(CLI::ExistingFile);
     sub->add_option("--history", history, "write the history to this file (of the last schedule)");
-    sub->add_option("--logs", logs, "a folder for the gateways' logs");
-    sub->add_flag("--show", show, "print what each process believes, whenever that changes");
-    sub->add_option("--seed", seed, "another seed than the schedule's");
-    sub->add_option("--gateways", gateways, "more gateways than the schedule's")->check(CLI::Range(1, 100));
+    sub->add_option("--logs", logs, "directory for the gateways' logs");
+    sub->add_flag("--show", show, "print each process's view whenever it changes");
+    sub->add_option("--seed", seed, "overrides the schedule's seed");
+    sub->add_option("--gateways", gateways, "the number of gateways, if more than the schedule's")
+        ->check(CLI::Range(1, 100));
   }
   std::uint64_t first = 1, count = 1;
-  auto* random = app.add_subcommand("random", "play schedules drawn from seeds, and check each");
-  random->add_option("--program", program, "the gateway, as built")->required()->check(CLI::ExistingFile);
+  auto* random = app.add_subcommand("random", "run schedules generated from seeds and check each history");
+  random->add_option("--program", program, "path of the gateway binary")
+      ->required()
+      ->check(CLI::ExistingFile);
   random->add_option("--history", history, "write the history to this file (of the last schedule)");
-  random->add_option("--logs", logs, "a folder for the gateways' logs");
+  random->add_option("--logs", logs, "directory for the gateways' logs");
   random->add_option("--first", first, "the first seed");
-  random->add_option("--count", count, "so many seeds")->check(CLI::Range(1, 10'000));
-  random->add_option("--gateways", gateways, "gateways; 8 if not said")->check(CLI::Range(2, 100));
-  auto* check_it = app.add_subcommand("check", "judge a history");
-  check_it->add_option("history", schedules, "as `run` wrote it")
+  random->add_option("--count", count, "the number of seeds")->check(CLI::Range(1, 10'000));
+  random->add_option("--gateways", gateways, "the number of gateways; default 8")->check(CLI::Range(2, 100));
+  auto* check_it = app.add_subcommand("check", "check a history");
+  check_it->add_option("history", schedules, "history file written by `run`")
       ->required()
       ->expected(1)
       ->check(CLI::ExistingFile);
-  auto* list_them = app.add_subcommand("list", "the schedules of a folder");
-  list_them->add_option("folder", folder, "with TOML files")->check(CLI::ExistingDirectory);
+  auto* list_them = app.add_subcommand("list", "list the schedules of a directory");
+  list_them->add_option("folder", folder, "directory with TOML files")->check(CLI::ExistingDirectory);
   CLI11_PARSE(app, argc, argv);
   try {
     if (*list_them) return list_schedules(folder);
--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -28,13 +28,13 @@
 
 constexpr auto kPollInterval = std::chrono::milliseconds(200);
 constexpr auto kPollTimeout = std::chrono::milliseconds(900);
-constexpr double kDeadlineMs = 3000;  // that clients tell
+constexpr double kDeadlineMs = 3000;  // sent with each request
 
 Steady::duration seconds(double n) {
   return std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(n));
 }
 
-// A request of its own connection.
+// One client request on a connection of its own.
 class ClientRequest : public std::enable_shared_from_this<ClientRequest> {
  public:
   using Callback = std::function<void(const char* what, std::string_view value)>;
@@ -47,7 +47,7 @@
       if (!error) self->end("gone", {});
     });
     socket_.async_connect(at, [self = shared_from_this()](error_code error) {
-      if (error) return self->end(nullptr, {});  // nobody there: nothing was asked
+      if (error) return self->end(nullptr, {});  // not connected: nothing was sent, nothing is recorded
       self->on_event_("taken", {});
       asio::async_write(self->socket_, asio::buffer(self->text_), [self](error_code failed, std::size_t) {
         failed ? self->end("gone", {}) : self->read();
@@ -83,7 +83,7 @@
   resp::RespReader reader_{resp::RespLimits{}, false};
 };
 
-// One call at a gateway's operators' listener.
+// One GET request to a gateway's admin server. Failures are ignored.
 class AdminQuery : public std::enable_shared_from_this<AdminQuery> {
  public:
   AdminQuery(asio::io_context& io, std::string target, std::function<void(std::string)> then)
@@ -127,7 +127,7 @@
     char folder[] = "cometfold-cluster-XXXXXX";
     const auto pattern = std::filesystem::temp_directory_path() / folder;
     std::string path = pattern.string();
-    if (!::mkdtemp(path.data())) throw Hung("no folder for the gateways' settings");
+    if (!::mkdtemp(path.data())) throw Hung("can't create a directory for the gateways' settings in " + path);
     folder_ = path;
   }
   ~Run() {
@@ -142,7 +142,7 @@
         {{"what", "schedule"}, {"name", schedule_.name}, {"seed", schedule_.seed}, {"text", schedule_.text}});
     make_hosts();
     for (std::size_t i = 0; i < schedule_.gateways; ++i) add_gateway(gateway_name(i), i);
-    // A second process of a name has a place of its own.
+    // The second process of a gateway's name has an entry and addresses of its own.
     for (std::size_t i = 0; i < schedule_.gateways; ++i) add_gateway(gateway_name(i) + "'", 100 + i);
     record({{"what", "settings"}, {"config", configuration(0)}});
     for (std::size_t i = 0; i < schedule_.gateways; ++i) start(gateway_name(i));
@@ -185,7 +185,7 @@
   }
   double draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
 
-  // Runs beside each other on one machine have addresses of their own.
+  // The process id selects the range of addresses, so that concurrent runs on one machine don't collide.
   static asio::ip::address_v4 address(unsigned third, std::size_t last) {
     const auto own = 64 + static_cast<unsigned>(::getpid()) % 128;
     return asio::ip::address_v4((127U << 24) | (own << 16) | (third << 8) | static_cast<unsigned>(last + 1));
@@ -336,7 +336,7 @@
     p.child->signal(on ? SIGSTOP : SIGCONT);
     if (!on) record(line_for("continue", p));
   }
-  // 40 ms of work, 360 ms of none, by turns.
+  // Lets the process run for 40 ms and stops it for 360 ms, alternately.
   void starve(const std::string& name, std::uint64_t process, Steady::time_point until) {
     GatewayProcess& p = gateways_.at(name);
     if (p.process != process || p.child->ended()) return;
@@ -402,7 +402,7 @@
     }
   }
 
-  // In an open loop, at any gateway that runs.
+  // Open loop: requests start at fixed times, each at a random running gateway.
   void schedule_request() {
     request_timer_.expires_at(start_time_ +
                               seconds(0.5 + static_cast<double>(request_count_) / schedule_.rate));
--- a/emulators/cluster/schedule.cpp
+++ b/emulators/cluster/schedule.cpp
@@ -170,7 +170,8 @@
   std::mt19937_64 random(seed);
   const auto draw = [&random](std::size_t below) { return static_cast<std::size_t>(random() % below); };
   std::ostringstream out;
-  // More than half may be lost at once, and the silent are waited for.
+  // `settle` is long because more than half of the gateways may fail at once, and the others then wait for
+  // the unreachable ones.
   out << "name = \"random " << seed << "\"\nseed = " << seed << "\ngateways = " << gateways
       << "\nsettle = 45\nagree_within = 40\nrate = 30\n";
   double time = 0;
@@ -223,7 +224,7 @@
     }
     pause(4000);
   }
-  time += 4;  // whoever is starved is so no more
+  time += 4;  // the longest starvation, 4 s, has ended by then
   step("heal");
   return out.str();
 }
--- a/emulators/cluster/schedule.h
+++ b/emulators/cluster/schedule.h
@@ -11,7 +11,7 @@
 
 namespace cometfold::emulators::cluster {
 
-// One line: the place, what is wrong and what would be right.
+// The message is one line: the position, the error and what is expected.
 struct ScheduleError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -33,33 +33,34 @@
   };
   double at = 0;  // seconds after the warm-up
   Action action = kKill;
-  std::vector<std::string> targets;              // gateways; of kDrain hosts
+  std::vector<std::string> targets;              // gateways, or hosts for kDrain
   std::vector<std::vector<std::string>> groups;  // kCut
-  std::vector<std::string> from, to;             // kLink: all pairs of these
+  std::vector<std::string> from, to;             // kLink: all pairs of one of each
   Link link;
   double seconds = 1;  // kStarve
 };
 
 struct Schedule {
-  std::string name, text;  // `text` as it was read
+  std::string name, text;  // `text`: the unparsed TOML
   std::uint64_t seed = 1;
   std::size_t gateways = 5, hosts = 3;
-  double rate = 50;         // requests a second, over all gateways; 0: no clients
+  double rate = 50;         // requests per second over all gateways; 0: no clients
   double warm_up = 3;       // seconds before the faults
-  double settle = 12;       // seconds after the last step; then all must agree
-  double agree_within = 0;  // seconds after the last step; 0: `quorum_hold_ms`
-  std::string settings;     // more lines for [peers] of each gateway
-  std::vector<Step> steps;  // by time
+  double settle = 12;       // seconds from the last step to the end of the run
+  double agree_within = 0;  // seconds after the last fault until all views must agree; 0: `settle`
+  std::string settings;     // additional lines in the [peers] section of each gateway
+  std::vector<Step> steps;  // sorted by time
 };
 
 std::string gateway_name(std::size_t n);
 
-// Gateways are named g0, g1 and so on; "g2..g7" names a range, "all" all of them. Throws ScheduleError.
+// Gateways are named g0, g1 and so on; "g2..g7" is a range and "all" stands for all of them. Throws
+// ScheduleError.
 Schedule parse_schedule(const std::string& text, const std::string& place);
 Schedule read_schedule(const std::string& path);
 
-// A schedule drawn from `seed`, as TOML: some of all that can go wrong, and all of it over at the end. The
-// same seed and size, the same schedule.
+// Generates a schedule of random faults as TOML. Links and partitions are healed at the end; killed gateways
+// may stay down. The same seed and size give the same schedule.
 std::string random_schedule(std::uint64_t seed, std::size_t gateways);
 
 }  // namespace cometfold::emulators::cluster
--- a/emulators/network/network.cpp
+++ b/emulators/network/network.cpp
@@ -17,7 +17,7 @@
 namespace {
 
 constexpr std::size_t kMaxDatagramBytes = 65'536;
-constexpr std::size_t kMaxRecent = 64;  // datagrams from before, for each pair
+constexpr std::size_t kMaxRecent = 64;  // datagrams kept per link for replay
 constexpr auto kRetransmitDelay = std::chrono::seconds(1);
 constexpr auto kMaxQueueDelay = std::chrono::seconds(2);
 constexpr auto kRecheckInterval = std::chrono::milliseconds(20);
@@ -36,13 +36,13 @@
 
 struct Network::LinkState {
   Link link;
-  bool partitioned = false;  // by a cut
+  bool partitioned = false;  // by Network::partition()
   LinkCount count;
-  Clock::time_point free_at{};  // of what the rate has let through
+  Clock::time_point free_at{};  // when the rate limit has passed all bytes so far
   std::deque<Datagram> recent;
 };
 
-// One connection: two directions, each piece read, delayed and written in its order.
+// One TCP connection. In each direction chunks are read, delayed and written in order.
 class Network::Stream : public std::enable_shared_from_this<Stream> {
  public:
   Stream(Network& net, Process& from, Process& to, tcp::socket socket)
@@ -62,7 +62,7 @@
     std::array<char, 16 * 1024> bytes{};
   };
 
-  // A cut pair gets no connection: it stands until the cut ends or the caller gives up.
+  // While either direction is blocked the accepted connection waits, and is connected when both are open.
   void connect() {
     const bool open = net_.passes(net_.link_state(from_.number, to_.number)) &&
                       net_.passes(net_.link_state(to_.number, from_.number));
@@ -162,7 +162,7 @@
 Network::Process& Network::process(const std::string& name) const {
   const auto it =
       std::find_if(processes_.begin(), processes_.end(), [&](auto& p) { return p->name == name; });
-  if (it == processes_.end()) throw std::out_of_range("the network has no process " + name);
+  if (it == processes_.end()) throw std::out_of_range("the network emulator has no process named " + name);
   return **it;
 }
 
@@ -202,7 +202,7 @@
   return !link_state.partitioned && !link_state.link.silent;
 }
 
-// How long these bytes are on their way.
+// The delay of these bytes: queueing behind the rate limit, the link's delay and jitter.
 Clock::duration Network::transit_time(LinkState& link_state, std::size_t bytes) {
   const auto ms = [](double n) {
     return std::chrono::duration_cast<Clock::duration>(std::chrono::duration<double, std::milli>(n));
@@ -264,7 +264,7 @@
 void Network::pass(Process& from, Process& to, Datagram datagram) {
   const auto after = transit_time(link_state(from.number, to.number), datagram->size());
   const auto send = [&from, &to, datagram] {
-    error_code ignored;  // nobody there: as lost
+    error_code ignored;  // nobody listens: treated as lost
     from.datagrams.send_to(asio::buffer(*datagram),
                            udp::endpoint(to.private_ip, to.datagrams.local_endpoint().port()), 0, ignored);
   };
--- a/emulators/network/network.h
+++ b/emulators/network/network.h
@@ -1,7 +1,7 @@
-// A network that breaks: datagrams and streams between processes on loopback pass through it. Each process
-// has two addresses: the real one, at which it listens and from which it sends, and a public one, which is
-// the network's and at which the others reach it. So every ordered pair of processes has a link of its own,
-// whose faults can be set while all run. Nothing privileged.
+// Network emulator: forwards datagrams and TCP streams between processes on loopback and injects faults. Each
+// process has two addresses: a private one, at which it listens and from which it sends, and a public one,
+// which the emulator owns and at which the others reach it. So every ordered pair of processes has a link of
+// its own, whose faults can be set while the processes run. Needs no privileges.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -16,22 +16,23 @@
 
 namespace cometfold::emulators {
 
-// What one direction between two processes does. Parts are from 0 to 1, drawn for each datagram; on a
-// stream, for each piece that is read.
+// The faults of one direction between two processes. Probabilities, from 0 to 1, apply to each datagram and
+// to each chunk that is read from a stream.
 struct Link {
-  double loss = 0;        // a stream is not lost but held back for a second, as resending would
-  double delay_ms = 0;    // for each
-  double jitter_ms = 0;   // up to so much more, drawn; datagrams overtake each other by it
-  double duplicate = 0;   // comes twice, the second by a way of its own
-  double corrupt = 0;     // one byte is another
-  double truncate = 0;    // the end is missing; a stream ends there
-  double replay = 0;      // one from before comes again behind it; datagrams only
-  double bytes_rate = 0;  // a second; 0: no bound. What would wait for more than 2 s is lost
-  bool silent = false;    // nothing passes; a stream stands, and goes on when this ends
+  double loss = 0;        // probability; a stream's chunk is delayed by 1 s instead, as by a retransmission
+  double delay_ms = 0;    // of each datagram and chunk
+  double jitter_ms = 0;   // maximum of an additional uniform random delay, which reorders datagrams
+  double duplicate = 0;   // probability; the copy has a delay of its own; datagrams only
+  double corrupt = 0;     // probability that one byte is changed
+  double truncate = 0;    // probability that the end is cut off, which closes a stream
+  double replay = 0;      // probability that an earlier datagram is sent again; datagrams only
+  double bytes_rate = 0;  // bytes per second; 0: unlimited. Datagrams are dropped while the queue exceeds 2 s
+  bool silent = false;    // drops all datagrams; streams stall until this ends
 };
 
+// `datagrams` and `bytes` count what was sent into the link, `altered` the faults that changed its data.
 struct LinkCount {
-  std::uint64_t datagrams = 0, bytes = 0, lost = 0, altered = 0;  // sent into the link; harmed: not as sent
+  std::uint64_t datagrams = 0, bytes = 0, lost = 0, altered = 0;
 };
 
 class Network {
@@ -41,18 +42,19 @@
   Network(const Network&) = delete;
   Network& operator=(const Network&) = delete;
 
-  // A process at `real` that others reach at `open`, two IPv4 addresses of loopback that nobody else has.
-  // The port is the same at both, of the system's choice. Throws boost::system::system_error.
+  // Adds a process that listens at `private_ip` and that others reach at `public_ip`, two loopback addresses
+  // that nothing else uses. Returns the port, chosen by the system and the same at both. Throws
+  // boost::system::system_error.
   std::uint16_t add(const std::string& name, const boost::asio::ip::address_v4& private_ip,
                     const boost::asio::ip::address_v4& public_ip);
   boost::asio::ip::udp::endpoint public_address(const std::string& name) const;
 
-  // The link from one process to another; from now on. Unknown names: std::out_of_range.
+  // Sets the faults from one process to another, from now on. Throws std::out_of_range for unknown names.
   void set(const std::string& from, const std::string& to, const Link& link);
   void set_all(const Link& link);
   const Link& link(const std::string& from, const std::string& to) const;
-  // Only processes of one group reach each other; whoever is in none reaches nobody. No groups: all again.
-  // Silence that was set on single links stays.
+  // Only processes of the same group reach each other; one in no group is isolated. No groups: removes the
+  // partition. Doesn't change the faults of single links.
   void partition(const std::vector<std::vector<std::string>>& groups);
 
   LinkCount count(const std::string& from, const std::string& to) const;
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -1,4 +1,4 @@
-// The cluster rig's judge, on histories that were tampered with: each property is seen to fail.
+// The checker of cluster histories on modified histories: a violation of each property must be reported.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -25,7 +25,7 @@
   return all;
 }
 
-// Two gateways, one request, all good.
+// Two gateways and one request, without a violation.
 std::vector<Line> good_history() {
   const auto both = shows({{"g0", 10, "alive"}, {"g1", 11, "alive"}});
   std::vector<Line> h;
@@ -93,15 +93,16 @@
         shows({{"g0", 10, "alive"}, {"g1", 11, "alive"}, {"g2", 1, "alive"}})}) {
     auto h = good_history();
     (h.end() - 3)->at("members") = members;
-    EXPECT_NE(violations(h).find("no agreement at the end"), std::string::npos) << json::serialize(members);
+    EXPECT_NE(violations(h).find("views do not agree at the end"), std::string::npos)
+        << json::serialize(members);
   }
   auto h = good_history();
   (h.end() - 3)->at("standing") = "doubtful";
-  EXPECT_NE(violations(h).find("stands doubtful"), std::string::npos);
+  EXPECT_NE(violations(h).find("reports standing doubtful"), std::string::npos);
   h = good_history();
   h.erase(h.end() - 2);
   (h.end() - 2)->at("t") = 9000;
-  EXPECT_NE(violations(h).find("says nothing any more"), std::string::npos);
+  EXPECT_NE(violations(h).find("sent no view for more than 3 s"), std::string::npos);
 }
 
 TEST(ClusterCheck, AgreementThatComesTooLate) {
@@ -114,7 +115,7 @@
   auto h = good_history();
   h.insert(h.begin() + 4, Line{{"t", 3}, {"what", "start"}, {"gateway", "g1"}, {"process", 3}});
   h.back()["t"] = 9000;
-  EXPECT_NE(violations(h).find("never said that another has its name"), std::string::npos);
+  EXPECT_NE(violations(h).find("never reported a name conflict"), std::string::npos);
 }
 
 TEST(ClusterCheck, TheRulesAreJudgedByHostsAndClients) {
@@ -142,10 +143,11 @@
 
   h = good_history();
   line_of(h, "came")->at("request") = "0000000000000009";
-  EXPECT_NE(violations(h).find("which nobody sent"), std::string::npos);
+  EXPECT_NE(violations(h).find("which no client sent"), std::string::npos);
 }
 
-// The rig is busy with eight kills, and a client reads an answer of a killed gateway after its end was noted.
+// Guards against a false violation: while the process is busy killing several gateways, a client may read the
+// answer of a killed gateway after the kill was recorded.
 TEST(ClusterCheck, AnAnswerWrittenBeforeAKillMayBeReadAfterIt) {
   const auto history = [] {
     auto h = good_history();
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -1,4 +1,4 @@
-// The emulated network: each fault as seen by the sockets of two processes, in one direction only.
+// The network emulator: the effect of each fault, set in one direction, on the sockets of two processes.
 #include "emulators/network/network.h"
 
 #include <gtest/gtest.h>
@@ -37,7 +37,7 @@
 };
 
 asio::ip::address_v4 address(unsigned third, unsigned last) {
-  const auto own = 64 + static_cast<unsigned>(::getpid()) % 128;  // tests run beside each other
+  const auto own = 64 + static_cast<unsigned>(::getpid()) % 128;  // tests run concurrently
   return asio::ip::address_v4((127U << 24) | (own << 16) | (third << 8) | last);
 }
 
