--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -131,7 +131,7 @@
       of([](auto& r) { return static_cast<double>(r.load.offered) / r.load.seconds; }),
       of([](auto& r) { return static_cast<double>(r.load.served) / r.load.seconds; }),
       of([](auto& r) { return static_cast<double>(r.load.refused); }),
-      of([](auto& r) { return static_cast<double>(r.load.failed + r.load.unanswered + r.load.wrong); }),
+      of([](auto& r) { return static_cast<double>(r.load.failed + r.load.unanswered + r.load.mismatched); }),
       of([](auto& r) { return r.load.percentile(0.5); }), of([](auto& r) { return r.load.percentile(0.99); }),
       of([](auto& r) { return r.load.percentile(0.999); }), cpu, floor > 0 ? cpu / floor : 1.0,
       of([](auto& r) { return r.peak_mb; }),
@@ -173,7 +173,7 @@
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
     std::jthread servers([&io] { io.run(); });
-    Setup setup{hosts, plan, config(discovery.whole(), discovery.port()), relay, settings, peers};
+    Setup setup{hosts, plan, config(discovery.full_list(), discovery.port()), relay, settings, peers};
     setup.conf["limits"].as_object()["sockets"] = sockets;
     std::printf("%d hosts of %.1f ms, %d rounds of %.0f s, medians; latency in ms from the intended start\n",
                 host_count, behaviour.mean_ms, rounds, plan.seconds);
--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -195,12 +195,12 @@
     for (std::size_t i = 0; i < schedule_.hosts; ++i) {
       hosts_.push_back(std::make_unique<HostEmulator>(io_, Behaviour{.mean_ms = 3}, schedule_.seed + i));
       const auto name = "h" + std::to_string(i);
-      hosts_.back()->set_record([this, name](HostEmulator::Seen event, const std::string& id,
+      hosts_.back()->set_record([this, name](HostEmulator::RequestEvent event, const std::string& id,
                                              std::uint64_t connection, std::string_view value) {
-        const char* what = event == HostEmulator::Seen::kCame       ? "came"
-                           : event == HostEmulator::Seen::kNeverRan ? "never-ran"
-                           : event == HostEmulator::Seen::kMade     ? "made"
-                                                                    : "over";
+        const char* what = event == HostEmulator::RequestEvent::kReceived      ? "came"
+                           : event == HostEmulator::RequestEvent::kNotExecuted ? "never-ran"
+                           : event == HostEmulator::RequestEvent::kExecuted    ? "made"
+                                                                               : "over";
         Line line{{"what", what}, {"host", name}, {"connection", connection}, {"request", id}};
         if (!value.empty()) line["value"] = value;
         record(std::move(line));
@@ -220,7 +220,7 @@
   }
 
   json::object configuration(std::uint16_t port) const {
-    auto conf = config(discovery_.whole(), discovery_.port());
+    auto conf = config(discovery_.full_list(), discovery_.port());
     auto& settings = conf["settings"].as_object();
     settings["siblings"] = schedule_.gateways;
     conf["limits"].as_object()["memory_mb"] = 64;
--- a/emulators/demo.cpp
+++ b/emulators/demo.cpp
@@ -15,10 +15,10 @@
 
 using namespace cometfold::emulators;
 
-std::atomic<bool> stop_asked{false};
+std::atomic<bool> stop_requested{false};
 
 // Asks once and prints what came; true if the answer is a value or a refusal with a time.
-bool ask(Peer& client, const std::string& what, const std::string& text) {
+bool send_and_print(Peer& client, const std::string& what, const std::string& text) {
   client.send(text);
   const auto reply = client.reply();
   std::printf("%-44s -> %s\n", what.c_str(), reply.substr(0, 60).c_str());
@@ -26,23 +26,24 @@
   return reply.starts_with("value of") || reply.starts_with("-BUSY");
 }
 
-bool tour(const Program& gateway, DiscoveryEmulator& discovery, boost::asio::io_context& io, int first_host) {
+bool send_requests(const Program& gateway, DiscoveryEmulator& discovery, boost::asio::io_context& io,
+                   int first_host) {
   auto client = gateway.client();
-  bool good = true;
+  bool succeeded = true;
   unsigned n = 1;
   std::printf("requests of each kind of class:\n");
   for (int i = 0; i < 3; ++i) {
-    good &= ask(client, "  lookup, safe to repeat", query(n++));
-    good &= ask(client, "  hold, keyed", submit("hold", n++));
-    good &= ask(client, "  pay, unsafe", submit("pay", n++));
+    succeeded &= send_and_print(client, "  lookup, safe to repeat", query(n++));
+    succeeded &= send_and_print(client, "  hold, keyed", submit("hold", n++));
+    succeeded &= send_and_print(client, "  pay, unsafe", submit("pay", n++));
   }
   std::printf("host s-1 drains; the gateway is told, and asks the others:\n");
   boost::asio::post(io, [&discovery, first_host] { discovery.set("s-1", first_host, "leaving"); });
-  for (int i = 0; i < 3; ++i) good &= ask(client, "  lookup", query(n++));
+  for (int i = 0; i < 3; ++i) succeeded &= send_and_print(client, "  lookup", query(n++));
   std::printf("what is no request is told why:\n");
   client.send(command({"SVC.QUERY", id(1), id(99), "c=lookup"}));
   std::printf("%-44s -> %s\n", "  a list without the names needed", client.reply().c_str());
-  return good;
+  return succeeded;
 }
 
 }  // namespace
@@ -54,8 +55,8 @@
   app.add_option("program", program, "the gateway, as built")->required()->check(CLI::ExistingFile);
   app.add_flag("--once", once, "end after the requests instead of waiting for Ctrl-C");
   CLI11_PARSE(app, argc, argv);
-  std::signal(SIGINT, [](int) { stop_asked = true; });
-  std::signal(SIGTERM, [](int) { stop_asked = true; });
+  std::signal(SIGINT, [](int) { stop_requested = true; });
+  std::signal(SIGTERM, [](int) { stop_requested = true; });
   try {
     boost::asio::io_context io(1);
     const auto work = boost::asio::make_work_guard(io);
@@ -65,25 +66,25 @@
       hosts.push_back(std::make_unique<HostEmulator>(io, Behaviour{}, static_cast<std::uint64_t>(i)));
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
-    const auto conf = config(discovery.whole(), discovery.port());
+    const auto conf = config(discovery.full_list(), discovery.port());
     const int first_host = hosts[0]->port();
     std::jthread servers([&io] { io.run(); });
-    bool good = false;
+    bool succeeded = false;
     try {
       Program gateway(program, conf);
       std::printf("gateway on 127.0.0.1:%d, three stand-in hosts, discovery on 127.0.0.1:%d\n",
                   gateway.port(), discovery.port());
-      good = tour(gateway, discovery, io, first_host);
+      succeeded = send_requests(gateway, discovery, io, first_host);
       if (!once) std::printf("the gateway goes on until Ctrl-C\n");
       std::fflush(stdout);
-      while (!once && !stop_asked) std::this_thread::sleep_for(std::chrono::milliseconds(100));
+      while (!once && !stop_requested) std::this_thread::sleep_for(std::chrono::milliseconds(100));
       gateway.terminate();
       std::printf("gateway stopped with %d\n", gateway.exit_code());
     } catch (const std::exception& error) {
       std::fprintf(stderr, "playground: %s\n", error.what());
     }
     io.stop();
-    return good ? 0 : 1;
+    return succeeded ? 0 : 1;
   } catch (const std::exception& error) {
     std::fprintf(stderr, "playground: %s\n", error.what());
     return 1;
--- a/emulators/discovery_emulator.cpp
+++ b/emulators/discovery_emulator.cpp
@@ -11,8 +11,8 @@
 
 namespace {
 
-constexpr auto kHeartbeat = std::chrono::seconds(2);
-constexpr std::size_t kLongestHead = 16 * 1024;
+constexpr auto kHeartbeatInterval = std::chrono::seconds(2);
+constexpr std::size_t kMaxHeadBytes = 16 * 1024;
 
 std::string as_chunk(const std::string& text) {
   char size[16];
@@ -28,23 +28,23 @@
       : owner_(owner), socket_(std::move(socket)), timer_(socket_.get_executor()) {}
 
   void start() {
-    asio::async_read_until(socket_, asio::dynamic_buffer(head_, kLongestHead), "\r\n\r\n",
+    asio::async_read_until(socket_, asio::dynamic_buffer(head_, kMaxHeadBytes), "\r\n\r\n",
                            [self = shared_from_this()](error_code error, std::size_t n) {
                              if (error) return self->close();
                              const auto line = self->head_.substr(0, self->head_.find("\r\n"));
                              self->head_.erase(0, n);
-                             self->answer(line);
+                             self->handle_request(line);
                            });
   }
 
-  void tell(const std::string& text) {
+  void send_chunk(const std::string& text) {
     error_code error;
     asio::write(socket_, asio::buffer(as_chunk(text)), error);
     if (error) close();
   }
 
  private:
-  void answer(const std::string& line) {
+  void handle_request(const std::string& line) {
     if (owner_.silent_) return;
     if (line.starts_with("GET /api/targets?follow=1")) {
       error_code ignored;
@@ -53,27 +53,27 @@
                                            "Transfer-Encoding: chunked\r\n\r\n")),
                   ignored);
       owner_.watches_.insert(shared_from_this());
-      tell(owner_.whole() + "\n");
-      return beat();
+      send_chunk(owner_.full_list() + "\n");
+      return schedule_heartbeat();
     }
-    const bool whole = line.starts_with("GET /api/targets ");
-    const std::string body = whole ? owner_.whole() : "no such call";
+    const bool is_list = line.starts_with("GET /api/targets ");
+    const std::string body = is_list ? owner_.full_list() : "no such call";
     error_code error;
     asio::write(
         socket_,
-        asio::buffer((whole ? "HTTP/1.1 200 OK" : "HTTP/1.1 404 Not Found") +
+        asio::buffer((is_list ? "HTTP/1.1 200 OK" : "HTTP/1.1 404 Not Found") +
                      std::string("\r\nContent-Length: ") + std::to_string(body.size()) + "\r\n\r\n" + body),
         error);
     if (error) return close();
     start();
   }
 
-  void beat() {
-    timer_.expires_after(kHeartbeat);
+  void schedule_heartbeat() {
+    timer_.expires_after(kHeartbeatInterval);
     timer_.async_wait([self = shared_from_this()](error_code error) {
       if (error || !self->socket_.is_open()) return;
-      if (!self->owner_.silent_) self->tell("\n");
-      self->beat();
+      if (!self->owner_.silent_) self->send_chunk("\n");
+      self->schedule_heartbeat();
     });
   }
 
@@ -114,10 +114,10 @@
   }
   if (silent_) return;
   const auto all = watches_;  // one that has broken goes
-  for (const auto& watch : all) watch->tell(list(revision_, false, {entry}) + "\n");
+  for (const auto& watch : all) watch->send_chunk(list(revision_, false, {entry}) + "\n");
 }
 
-std::string DiscoveryEmulator::whole() const {
+std::string DiscoveryEmulator::full_list() const {
   std::vector<std::string> all;
   for (const auto& [uid, entry] : targets_) all.push_back(entry);
   return list(revision_, true, all);
--- a/emulators/discovery_emulator.h
+++ b/emulators/discovery_emulator.h
@@ -20,9 +20,9 @@
   // A host's state: active, leaving or left. Told to all watches at once.
   void set(const std::string& uid, int port, const std::string& state);
   // Silent: takes connections and says nothing, on open watches too.
-  void silence(bool on) { silent_ = on; }
+  void set_silent(bool on) { silent_ = on; }
   // The whole list as it stands.
-  std::string whole() const;
+  std::string full_list() const;
 
  private:
   class Session;
--- a/emulators/host_emulator.cpp
+++ b/emulators/host_emulator.cpp
@@ -14,15 +14,15 @@
 
 namespace {
 
-constexpr std::size_t kRunsKept = 100'000;
+constexpr std::size_t kMaxExecutionIds = 100'000;
 
-std::string value_of(std::size_t bytes, const std::string& id) {
+std::string make_value(std::size_t bytes, const std::string& id) {
   std::string value = "value of " + id + " ";
   value.resize(std::max(value.size(), bytes), '.');
   return value;
 }
 
-std::string good(const std::string& value) {
+std::string make_reply(const std::string& value) {
   std::string text;
   resp::append_array(text, 3);
   resp::append_bulk(text, value);
@@ -43,19 +43,19 @@
                             [self = shared_from_this()](error_code error, std::size_t n) {
                               if (error) return self->close();
                               self->reader_.commit(n);
-                              self->take();
+                              self->process_input();
                             });
   }
 
  private:
-  struct Due {
+  struct PendingReply {
     std::chrono::steady_clock::time_point at;
     std::string text;
-    bool ends = false;
+    bool closes = false;
     std::string id = {};
   };
 
-  void take() {
+  void process_input() {
     resp::Frame frame;
     for (;;) {
       const auto progress = reader_.next(frame);
@@ -63,90 +63,92 @@
       if (progress == resp::ReadResult::kNeedMore) break;
       command(frame);
     }
-    wait();
+    schedule_reply();
     read();
   }
 
   void command(const resp::Frame& frame) {
     const auto verb = frame.items.empty() ? std::string_view() : frame.items[0].text;
     if ((verb != "SVC.QUERY" && verb != "SVC.SUBMIT") || frame.items.size() < 4) {
-      return due_.push_back({std::chrono::steady_clock::now(), "-SYNTAX\r\n", false});
+      return pending_replies_.push_back({std::chrono::steady_clock::now(), "-SYNTAX\r\n", false});
     }
     ++owner_.received_;
     const auto& b = owner_.behaviour_;
     const std::string id(frame.items[2].text);
     const auto after = std::chrono::duration<double, std::milli>(b.mean_ms * (0.5 + owner_.draw()));
-    Due due{std::chrono::steady_clock::now() + std::chrono::duration_cast<std::chrono::nanoseconds>(after),
-            "", false, id};
-    open_.push_back(id);
-    owner_.record_(Seen::kCame, id, number_, {});
+    PendingReply pending{
+        std::chrono::steady_clock::now() + std::chrono::duration_cast<std::chrono::nanoseconds>(after), "",
+        false, id};
+    open_requests_.push_back(id);
+    owner_.record_(RequestEvent::kReceived, id, number_, {});
     double luck = owner_.draw();
-    const auto falls = [&luck](double part) { return (luck -= part) < 0; };
-    if (falls(b.busy)) {
-      due.text = "-BUSY\r\n";
-      owner_.record_(Seen::kNeverRan, id, number_, {});
-      return due_.push_back(std::move(due));
+    const auto is_selected = [&luck](double part) { return (luck -= part) < 0; };
+    if (is_selected(b.busy)) {
+      pending.text = "-BUSY\r\n";
+      owner_.record_(RequestEvent::kNotExecuted, id, number_, {});
+      return pending_replies_.push_back(std::move(pending));
     }
-    owner_.ran(id);
-    if (falls(b.silent)) return;
-    if (falls(b.error)) {
-      due.text = "-ERR failed\r\n";
-    } else if (falls(b.spoilt)) {
-      due.text = "*2\r\n$5\r\nnoise\r\n$-1\r\n";
-    } else if (falls(b.broken)) {
-      due.ends = true;
+    owner_.count_execution(id);
+    if (is_selected(b.silent)) return;
+    if (is_selected(b.error)) {
+      pending.text = "-ERR failed\r\n";
+    } else if (is_selected(b.malformed)) {
+      pending.text = "*2\r\n$5\r\nnoise\r\n$-1\r\n";
+    } else if (is_selected(b.disconnect)) {
+      pending.closes = true;
     } else {
-      const auto value = value_of(b.value_bytes, id);
-      owner_.record_(Seen::kMade, id, number_, value);
-      due.text = good(value);
-      if (falls(b.twin)) due.text += good(value_of(b.value_bytes, "nobody's"));
+      const auto value = make_value(b.value_bytes, id);
+      owner_.record_(RequestEvent::kExecuted, id, number_, value);
+      pending.text = make_reply(value);
+      if (is_selected(b.duplicate_reply)) pending.text += make_reply(make_value(b.value_bytes, "nobody's"));
     }
-    due_.push_back(std::move(due));
+    pending_replies_.push_back(std::move(pending));
   }
 
-  void wait() {
-    if (waiting_ || due_.empty()) return;
-    waiting_ = true;
-    timer_.expires_at(due_.front().at);
+  void schedule_reply() {
+    if (reply_scheduled_ || pending_replies_.empty()) return;
+    reply_scheduled_ = true;
+    timer_.expires_at(pending_replies_.front().at);
     timer_.async_wait([self = shared_from_this()](error_code error) {
-      self->waiting_ = false;
-      if (!error) self->answer();
+      self->reply_scheduled_ = false;
+      if (!error) self->send_reply();
     });
   }
 
-  void answer() {
-    const Due due = std::move(due_.front());
-    due_.pop_front();
-    if (due.ends) return close();
+  void send_reply() {
+    const PendingReply pending = std::move(pending_replies_.front());
+    pending_replies_.pop_front();
+    if (pending.closes) return close();
     error_code error;
-    asio::write(socket_, asio::buffer(due.text), error);  // answers are small: this does not block for long
+    asio::write(socket_, asio::buffer(pending.text),
+                error);  // answers are small: this does not block for long
     if (error) return close();
-    over(due.id);
-    wait();
+    end_request(pending.id);
+    schedule_reply();
   }
 
-  void over(const std::string& id) {
-    const auto it = std::find(open_.begin(), open_.end(), id);
-    if (it == open_.end()) return;
-    open_.erase(it);
-    owner_.record_(Seen::kOver, id, number_, {});
+  void end_request(const std::string& id) {
+    const auto it = std::find(open_requests_.begin(), open_requests_.end(), id);
+    if (it == open_requests_.end()) return;
+    open_requests_.erase(it);
+    owner_.record_(RequestEvent::kEnded, id, number_, {});
   }
 
   void close() {
     error_code ignored;
     socket_.close(ignored);
     timer_.cancel();
-    while (!open_.empty()) over(std::string(open_.front()));
+    while (!open_requests_.empty()) end_request(std::string(open_requests_.front()));
   }
 
   HostEmulator& owner_;
   tcp::socket socket_;
   asio::steady_timer timer_;
   resp::RespReader reader_{resp::RespLimits{}, true};
-  std::deque<Due> due_;
-  bool waiting_ = false;
+  std::deque<PendingReply> pending_replies_;
+  bool reply_scheduled_ = false;
   std::uint64_t number_;
-  std::vector<std::string> open_;  // ids of what came and is not over
+  std::vector<std::string> open_requests_;  // ids of what came and is not over
 };
 
 HostEmulator::HostEmulator(asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
@@ -171,19 +173,19 @@
   });
 }
 
-void HostEmulator::ran(const std::string& id) {
-  if (++runs_[id] > 1) return;
-  if (order_.size() < kRunsKept) {
-    order_.push_back(id);
+void HostEmulator::count_execution(const std::string& id) {
+  if (++executions_[id] > 1) return;
+  if (execution_ids_.size() < kMaxExecutionIds) {
+    execution_ids_.push_back(id);
   } else {
-    runs_.erase(std::exchange(order_[oldest_], id));
-    oldest_ = (oldest_ + 1) % kRunsKept;
+    executions_.erase(std::exchange(execution_ids_[oldest_id_], id));
+    oldest_id_ = (oldest_id_ + 1) % kMaxExecutionIds;
   }
 }
 
-std::size_t HostEmulator::runs_of(const std::string& id) const {
-  const auto it = runs_.find(id);
-  return it == runs_.end() ? 0 : it->second;
+std::size_t HostEmulator::executions_of(const std::string& id) const {
+  const auto it = executions_.find(id);
+  return it == executions_.end() ? 0 : it->second;
 }
 
 }  // namespace cometfold::emulators
--- a/emulators/load.cpp
+++ b/emulators/load.cpp
@@ -28,10 +28,10 @@
     read();
     return true;
   }
-  bool send(std::uint64_t number, Clock::time_point start, bool counts, const std::string& text) {
+  bool send(std::uint64_t number, Clock::time_point start, bool counted, const std::string& text) {
     number_ = number;
     start_ = start;
-    counts_ = counts;
+    counted_ = counted;
     open_ = true;
     error_code error;
     asio::write(socket_, asio::buffer(text), error);
@@ -42,12 +42,12 @@
     socket_.close(ignored);
   }
   bool open() const { return open_; }
-  bool counts() const { return counts_; }
+  bool counted() const { return counted_; }
   Clock::time_point start() const { return start_; }
 
  private:
   void read();
-  void got();
+  void on_data();
   friend class Run;
 
   Run& run_;
@@ -55,44 +55,45 @@
   resp::RespReader reader_{resp::RespLimits{}, false};
   std::uint64_t number_ = 0;
   Clock::time_point start_;
-  bool counts_ = false, open_ = false;
+  bool counted_ = false, open_ = false;
 };
 
 class Run {
  public:
   Run(int port, const LoadPlan& plan) : port_(port), plan_(plan), timer_(io_) {}
 
-  LoadResult play(const std::function<void()>& at_begin, const std::function<void()>& at_end) {
+  LoadResult run(const std::function<void()>& at_begin, const std::function<void()>& at_end) {
     begin_ = Clock::now();
     total_ = static_cast<std::uint64_t>(plan_.rate * (plan_.warm_up + plan_.seconds));
     first_counted_ = static_cast<std::uint64_t>(plan_.rate * plan_.warm_up);
     at_begin_ = at_begin;
-    next();
-    const auto end = at(total_);
+    send_due_requests();
+    const auto end = start_time(total_);
     io_.run_until(end);
     if (at_end) at_end();
     // The last ones may still be answered in their time.
     io_.restart();
-    const auto last = Clock::now() + std::chrono::milliseconds(static_cast<int>(plan_.wait_ms) + 200);
+    const auto last = Clock::now() + std::chrono::milliseconds(static_cast<int>(plan_.timeout_ms) + 200);
     while (Clock::now() < last &&
            std::any_of(clients_.begin(), clients_.end(), [](auto& c) { return c->open(); })) {
       io_.run_one_until(last);
     }
     for (auto& c : clients_) {
-      if (c->open() && c->counts()) ++result_.unanswered;
+      if (c->open() && c->counted()) ++result_.unanswered;
     }
     result_.seconds = plan_.seconds;
     std::sort(result_.latency_ms.begin(), result_.latency_ms.end());
     return result_;
   }
 
-  void done(Client& c, const resp::Frame& frame) {
+  void on_reply(Client& c, const resp::Frame& frame) {
     c.open_ = false;
     free_.push_back(c.shared_from_this());
-    if (!c.counts_) return;
+    if (!c.counted_) return;
     const auto& item = frame.items.at(0);
     if (item.type == resp::ItemType::kBulk) {
-      if (item.text.find(id(static_cast<unsigned>(c.number_))) == std::string_view::npos) ++result_.wrong;
+      if (item.text.find(id(static_cast<unsigned>(c.number_))) == std::string_view::npos)
+        ++result_.mismatched;
       ++result_.served;
       result_.latency_ms.push_back(
           std::chrono::duration<double, std::milli>(Clock::now() - c.start_).count());
@@ -102,47 +103,48 @@
   }
 
   // A connection that ended: what was open on it has failed.
-  void lost(const std::shared_ptr<Client>& c) {
-    if (c->open_ && c->counts_) ++result_.failed;
+  void on_disconnect(const std::shared_ptr<Client>& c) {
+    if (c->open_ && c->counted_) ++result_.failed;
     c->open_ = false;
     std::erase(clients_, c);
     std::erase(free_, c);
   }
 
  private:
-  Clock::time_point at(std::uint64_t number) const {
+  Clock::time_point start_time(std::uint64_t number) const {
     return begin_ + std::chrono::duration_cast<Clock::duration>(
                         std::chrono::duration<double>(static_cast<double>(number) / plan_.rate));
   }
 
-  void next() {
-    while (number_ < total_ && at(number_) <= Clock::now()) one();
+  void send_due_requests() {
+    while (number_ < total_ && start_time(number_) <= Clock::now()) send_request();
     if (number_ >= total_) return;
-    timer_.expires_at(at(number_));
+    timer_.expires_at(start_time(number_));
     timer_.async_wait([this](error_code error) {
-      if (!error) next();
+      if (!error) send_due_requests();
     });
   }
 
-  void one() {
+  void send_request() {
     const auto number = number_++;
-    const bool counts = number >= first_counted_;
+    const bool counted = number >= first_counted_;
     if (number == first_counted_ && at_begin_) at_begin_();
-    result_.offered += counts;
+    result_.offered += counted;
     const auto& cls = plan_.classes[number % plan_.classes.size()];
-    const auto name = id(static_cast<unsigned>(number + 1));
+    const auto key = id(static_cast<unsigned>(number + 1));
     const auto customer = id(static_cast<unsigned>(number * 7919 % plan_.customers));
-    const std::string fields = "c=" + cls + ",t=team,d=" + std::to_string(static_cast<int>(plan_.wait_ms)) +
-                               ",k=" + name + ",units=1,spread=2,first=0";
+    const std::string fields = "c=" + cls +
+                               ",t=team,d=" + std::to_string(static_cast<int>(plan_.timeout_ms)) +
+                               ",k=" + key + ",units=1,spread=2,first=0";
     const bool query = cls == "lookup";
-    const auto text = query ? command({"SVC.QUERY", customer, name, fields})
-                            : command({"SVC.SUBMIT", customer, name, fields, "BODY"});
+    const auto text = query ? command({"SVC.QUERY", customer, key, fields})
+                            : command({"SVC.SUBMIT", customer, key, fields, "BODY"});
     // A connection may have been closed for being idle: then another is tried.
     while (const auto c = connection()) {
-      if (c->send(number + 1, at(number), counts, text)) return;
-      lost(c);
+      if (c->send(number + 1, start_time(number), counted, text)) return;
+      on_disconnect(c);
     }
-    if (counts) ++result_.failed, ++result_.not_sent;
+    if (counted) ++result_.failed, ++result_.not_sent;
   }
 
   std::shared_ptr<Client> connection() {
@@ -173,31 +175,31 @@
   const auto space = reader_.prepare();
   socket_.async_read_some(asio::buffer(space.data(), space.size()),
                           [self = shared_from_this()](error_code error, std::size_t n) {
-                            if (error) return self->run_.lost(self);
+                            if (error) return self->run_.on_disconnect(self);
                             self->reader_.commit(n);
-                            self->got();
+                            self->on_data();
                           });
 }
 
-void Client::got() {
+void Client::on_data() {
   resp::Frame frame;
   while (reader_.next(frame) == resp::ReadResult::kFrame) {
-    if (open_) run_.done(*this, frame);
+    if (open_) run_.on_reply(*this, frame);
   }
   read();
 }
 
 }  // namespace
 
-double LoadResult::percentile(double part) const {
+double LoadResult::percentile(double fraction) const {
   if (latency_ms.empty()) return 0;
-  const auto i = static_cast<std::size_t>(part * static_cast<double>(latency_ms.size()));
+  const auto i = static_cast<std::size_t>(fraction * static_cast<double>(latency_ms.size()));
   return latency_ms[std::min(i, latency_ms.size() - 1)];
 }
 
 LoadResult run_load(int port, const LoadPlan& plan, const std::function<void()>& at_begin,
                     const std::function<void()>& at_end) {
-  return Run(port, plan).play(at_begin, at_end);
+  return Run(port, plan).run(at_begin, at_end);
 }
 
 }  // namespace cometfold::emulators
--- a/emulators/main.cpp
+++ b/emulators/main.cpp
@@ -15,7 +15,7 @@
 
 using namespace cometfold::emulators;
 
-void ready(const char* what, int port) { std::fprintf(stderr, "ready: %s 127.0.0.1:%d\n", what, port); }
+void print_ready(const char* what, int port) { std::fprintf(stderr, "ready: %s 127.0.0.1:%d\n", what, port); }
 
 int run(boost::asio::io_context& io) {
   boost::asio::signal_set signals(io, SIGTERM, SIGINT);
@@ -25,14 +25,14 @@
 }
 
 void host_options(CLI::App& app, Behaviour& b) {
-  const auto part = CLI::Range(0.0, 1.0);
+  const auto fraction = CLI::Range(0.0, 1.0);
   app.add_option("--mean-ms", b.mean_ms, "mean time to an answer")->check(CLI::NonNegativeNumber);
-  app.add_option("--error", b.error, "part answered with an error")->check(part);
-  app.add_option("--busy", b.busy, "part turned away")->check(part);
-  app.add_option("--spoilt", b.spoilt, "part with an answer that can't be read")->check(part);
-  app.add_option("--broken", b.broken, "part whose connection ends instead")->check(part);
-  app.add_option("--silent", b.silent, "part never answered")->check(part);
-  app.add_option("--twin", b.twin, "part answered twice")->check(part);
+  app.add_option("--error", b.error, "part answered with an error")->check(fraction);
+  app.add_option("--busy", b.busy, "part turned away")->check(fraction);
+  app.add_option("--spoilt", b.malformed, "part with an answer that can't be read")->check(fraction);
+  app.add_option("--broken", b.disconnect, "part whose connection ends instead")->check(fraction);
+  app.add_option("--silent", b.silent, "part never answered")->check(fraction);
+  app.add_option("--twin", b.duplicate_reply, "part answered twice")->check(fraction);
 }
 
 // Lines `UID PORT active|leaving|left` from standard input change the list.
@@ -68,7 +68,7 @@
       "%.2f p99.9 %.2f\n",
       static_cast<unsigned long long>(r.offered), static_cast<unsigned long long>(r.served),
       static_cast<unsigned long long>(r.refused), static_cast<unsigned long long>(r.failed),
-      static_cast<unsigned long long>(r.unanswered), static_cast<unsigned long long>(r.wrong),
+      static_cast<unsigned long long>(r.unanswered), static_cast<unsigned long long>(r.mismatched),
       r.percentile(0.5), r.percentile(0.99), r.percentile(0.999));
 }
 
@@ -102,18 +102,18 @@
     boost::asio::io_context io(1);
     if (*host) {
       HostEmulator server(io, behaviour, seed, port);
-      ready("host", server.port());
+      print_ready("host", server.port());
       return run(io);
     }
     if (*discovery) {
       DiscoveryEmulator server(io, port);
       follow_input(io, server);
-      ready("discovery", server.port());
+      print_ready("discovery", server.port());
       return run(io);
     }
     if (*relay) {
       Relay server(io, hosts, port);
-      ready("relay", server.port());
+      print_ready("relay", server.port());
       return run(io);
     }
     print(run_load(port, plan));
--- a/emulators/proxy/http_host.cpp
+++ b/emulators/proxy/http_host.cpp
@@ -11,7 +11,7 @@
 
 namespace {
 
-std::atomic<std::uint64_t> last_try{0};
+std::atomic<std::uint64_t> last_attempt{0};
 
 }  // namespace
 
@@ -24,12 +24,12 @@
       thread_([this] { accept(); }) {}
 
 HttpHost::~HttpHost() {
-  over_ = true;
+  stopping_ = true;
   boost::system::error_code ignored;
-  tcp::socket last(io_);  // wakes the accept
-  last.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
+  tcp::socket wakeup(io_);  // wakes the accept
+  wakeup.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
   thread_.join();
-  while (live_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  while (active_connections_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
 double HttpHost::draw() {
@@ -38,18 +38,18 @@
 }
 
 void HttpHost::accept() {
-  while (!over_) {
+  while (!stopping_) {
     boost::system::error_code error;
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (error || over_) continue;
-    ++live_;
+    if (error || stopping_) continue;
+    ++active_connections_;
     std::thread([this, s = std::move(socket)]() mutable {
       try {
         serve(std::move(s));
       } catch (const std::exception&) {  // the connection ended
       }
-      --live_;
+      --active_connections_;
     }).detach();
   }
 }
@@ -60,19 +60,19 @@
     http::request<http::string_body> request;
     http::read(socket, buffer, request);
     const std::string id(request["x-request-id"]);
-    const std::uint64_t number = ++last_try;
-    record_(Seen::kCame, id, number);
-    const double fate = draw();
+    const std::uint64_t number = ++last_attempt;
+    record_(RequestEvent::kReceived, id, number);
+    const double drawn_outcome = draw();
     http::response<http::string_body> response(http::status::ok, 11);
-    if (fate < faults_.full) {
-      record_(Seen::kNeverRan, id, number);
+    if (drawn_outcome < faults_.overloaded) {
+      record_(RequestEvent::kNotExecuted, id, number);
       response.result(http::status::too_many_requests);
     } else {
       std::this_thread::sleep_for(
           std::chrono::duration<double, std::milli>(faults_.mean_ms * (0.5 + draw())));
-      record_(Seen::kOver, id, number);
-      if (fate < faults_.full + faults_.broken) return;
-      if (fate < faults_.full + faults_.broken + faults_.error) {
+      record_(RequestEvent::kEnded, id, number);
+      if (drawn_outcome < faults_.overloaded + faults_.disconnect) return;
+      if (drawn_outcome < faults_.overloaded + faults_.disconnect + faults_.error) {
         response.result(http::status::internal_server_error);
       }
     }
--- a/emulators/proxy/http_host.h
+++ b/emulators/proxy/http_host.h
@@ -14,17 +14,18 @@
 
 // Parts of all requests, from 0 to 1; the rest is answered well.
 struct HttpFaults {
-  double error = 0;   // 500, after it ran
-  double full = 0;    // 429, before it ran
-  double broken = 0;  // ran, and the connection ends instead of an answer
+  double error = 0;       // 500, after it ran
+  double overloaded = 0;  // 429, before it ran
+  double disconnect = 0;  // ran, and the connection ends instead of an answer
   double mean_ms = 1;
 };
 
 class HttpHost {
  public:
   // What happens to a request here, in the host's own words. `try_number` tells its attempts apart.
-  enum class Seen : std::uint8_t { kCame, kNeverRan, kOver };
-  using Record = std::function<void(Seen seen, const std::string& request_id, std::uint64_t try_number)>;
+  enum class RequestEvent : std::uint8_t { kReceived, kNotExecuted, kEnded };
+  using Record =
+      std::function<void(RequestEvent event, const std::string& request_id, std::uint64_t attempt_number)>;
 
   HttpHost(const HttpFaults& faults, std::uint64_t seed, Record record);
   ~HttpHost();
@@ -42,8 +43,8 @@
   boost::asio::io_context io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   int port_ = 0;
-  std::atomic<bool> over_{false};
-  std::atomic<int> live_{0};
+  std::atomic<bool> stopping_{false};
+  std::atomic<int> active_connections_{0};
   std::jthread thread_;
 };
 
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -39,38 +39,39 @@
 }
 
 // What the hosts saw, judged as it comes.
-class Judge {
+class RuleChecker {
  public:
-  void taken(std::uint64_t request, std::uint32_t class_index) {
-    see({.kind = rules::Event::kRequestReceived, .request = request, .class_index = class_index});
+  void record_request(std::uint64_t request, std::uint32_t class_index) {
+    observe({.kind = rules::Event::kRequestReceived, .request = request, .class_index = class_index});
   }
   HttpHost::Record record_of(HostId host) {
-    return [this, host](HttpHost::Seen seen, const std::string& id, std::uint64_t number) {
-      rules::Event event;
-      event.kind = seen == HttpHost::Seen::kCame       ? rules::Event::kAttemptWritten
-                   : seen == HttpHost::Seen::kNeverRan ? rules::Event::kNotExecuted
-                                                       : rules::Event::kAttemptEnded;
-      event.request = std::stoull(id);
-      event.connection = number;
-      event.host = host;
-      if (seen == HttpHost::Seen::kCame) ++came_;
-      see(event);
+    return [this, host](HttpHost::RequestEvent event, const std::string& id, std::uint64_t number) {
+      rules::Event rule_event;
+      rule_event.kind = event == HttpHost::RequestEvent::kReceived      ? rules::Event::kAttemptWritten
+                        : event == HttpHost::RequestEvent::kNotExecuted ? rules::Event::kNotExecuted
+                                                                        : rules::Event::kAttemptEnded;
+      rule_event.request = std::stoull(id);
+      rule_event.connection = number;
+      rule_event.host = host;
+      if (event == HttpHost::RequestEvent::kReceived) ++requests_received_;
+      observe(rule_event);
     };
   }
-  std::vector<std::string> breaches() const { return breaches_; }
-  std::uint64_t came() const { return came_; }
+  std::vector<std::string> violations() const { return violations_; }
+  std::uint64_t requests_received() const { return requests_received_; }
 
  private:
-  void see(rules::Event event) {
+  void observe(rules::Event event) {
     const std::lock_guard lock(mutex_);
-    event.at = std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - begin_).count();
-    if (const auto breach = rule_.observe(event)) breaches_.push_back(breach->description);
+    event.at =
+        std::chrono::duration<double, std::milli>(std::chrono::steady_clock::now() - start_time_).count();
+    if (const auto violation = monitor_.observe(event)) violations_.push_back(violation->description);
   }
   std::mutex mutex_;
-  rules::AtMostOnceMonitor rule_{class_settings()};
-  std::vector<std::string> breaches_;
-  std::atomic<std::uint64_t> came_{0};
-  std::chrono::steady_clock::time_point begin_ = std::chrono::steady_clock::now();
+  rules::AtMostOnceMonitor monitor_{class_settings()};
+  std::vector<std::string> violations_;
+  std::atomic<std::uint64_t> requests_received_{0};
+  std::chrono::steady_clock::time_point start_time_ = std::chrono::steady_clock::now();
 };
 
 // An HTTP/1.1 client that goes on with a new connection when one ends.
@@ -78,22 +79,22 @@
  public:
   explicit HttpClient(int port) : port_(static_cast<std::uint16_t>(port)) {}
   // The status, 0 if the connection ended instead; `body` is what came.
-  int ask(const std::string& cls, std::uint64_t id, const std::string& misbehave, std::string& body) {
+  int request(const std::string& cls, std::uint64_t id, const std::string& misbehave, std::string& body) {
     try {
       if (!socket_) {
         socket_.emplace(io_);
         socket_->connect({boost::asio::ip::address_v4::loopback(), port_});
         socket_->set_option(tcp::no_delay(true));
       }
-      http::request<http::string_body> request(http::verb::get, "/items/" + std::to_string(id), 11);
-      request.set("x-request-id", std::to_string(id));
-      request.set("x-cometfold-class", cls);
-      request.set("x-cometfold-plan", "team");
-      request.set("x-cometfold-customer", "c" + std::to_string(id % 50));
-      request.set("idempotency-key", std::to_string(id));
-      if (!misbehave.empty()) request.set("x-misbehave", misbehave);
-      request.prepare_payload();
-      http::write(*socket_, request);
+      http::request<http::string_body> message(http::verb::get, "/items/" + std::to_string(id), 11);
+      message.set("x-request-id", std::to_string(id));
+      message.set("x-cometfold-class", cls);
+      message.set("x-cometfold-plan", "team");
+      message.set("x-cometfold-customer", "c" + std::to_string(id % 50));
+      message.set("idempotency-key", std::to_string(id));
+      if (!misbehave.empty()) message.set("x-misbehave", misbehave);
+      message.prepare_payload();
+      http::write(*socket_, message);
       boost::beast::flat_buffer buffer;
       http::response<http::string_body> response;
       http::read(*socket_, buffer, response);
@@ -126,7 +127,7 @@
   ~Processor() { std::filesystem::remove_all(folder_); }
   int port() const { return port_; }
   // Ends it without warning, and starts it anew at the same address.
-  void kill_and_start() {
+  void kill_and_restart() {
     child_->signal(SIGKILL);
     child_->exit_code();
     start();
@@ -161,11 +162,11 @@
   int port_ = 0;
 };
 
-struct Bench {
-  Bench(const std::string& program, const HttpFaults& faults) {
+struct Setup {
+  Setup(const std::string& program, const HttpFaults& faults) {
     std::vector<std::string> listed;
     for (HostId h = 1; h <= 4; ++h) {
-      hosts.push_back(std::make_unique<HttpHost>(faults, h, judge.record_of(h)));
+      hosts.push_back(std::make_unique<HttpHost>(faults, h, checker.record_of(h)));
       listed.push_back(target("s-" + std::to_string(h), hosts.back()->port()));
     }
     // One more that nobody serves: connections to it are refused.
@@ -174,19 +175,19 @@
       listed.push_back(target("s-5", dead.port()));
     }
     processor = std::make_unique<Processor>(program, listed);
-    other = std::make_unique<HttpHost>(HttpFaults{}, 9, judge.record_of(9));
-    proxy = std::make_unique<Proxy>(
-        ProxyOptions{.processor = processor->port(), .other = "127.0.0.1:" + std::to_string(other->port())});
+    other_host = std::make_unique<HttpHost>(HttpFaults{}, 9, checker.record_of(9));
+    proxy = std::make_unique<Proxy>(ProxyOptions{
+        .processor = processor->port(), .other_endpoint = "127.0.0.1:" + std::to_string(other_host->port())});
   }
-  Judge judge;
+  RuleChecker checker;
   std::vector<std::unique_ptr<HttpHost>> hosts;
-  std::unique_ptr<HttpHost> other;
+  std::unique_ptr<HttpHost> other_host;
   std::unique_ptr<Processor> processor;
   std::unique_ptr<Proxy> proxy;
 };
 
 int tour(const std::string& program) {
-  Bench b(program, {});
+  Setup b(program, {});
   std::printf("external processor on 127.0.0.1:%d, a proxy on 127.0.0.1:%d, four hosts and a dead one\n",
               b.processor->port(), b.proxy->port());
   HttpClient client(b.proxy->port());
@@ -194,16 +195,16 @@
   bool good = true;
   for (int round = 0; round < 4; ++round) {
     for (std::uint32_t c = 0; c < 3; ++c) {
-      b.judge.taken(++id, c);
+      b.checker.record_request(++id, c);
       std::string body;
-      const int status = client.ask(kClasses[c], id, "", body);
+      const int status = client.request(kClasses[c], id, "", body);
       std::printf("  GET /items/%-3llu class %-7s -> %d %s\n", static_cast<unsigned long long>(id),
                   kClasses[c], status, body.c_str());
       good = good && status != 0;
     }
   }
   std::string body;
-  const int status = client.ask("nope", ++id, "", body);
+  const int status = client.request("nope", ++id, "", body);
   std::printf("  a class that there is not       -> %d %s\n", status, body.c_str());
   good = good && status == 400;
   const auto totals = b.processor->stop();
@@ -212,17 +213,17 @@
     if (n > 0) std::printf(" %s %llu", name.c_str(), static_cast<unsigned long long>(n));
   }
   std::printf("\n");
-  return good && b.judge.breaches().empty() ? 0 : 1;
+  return good && b.checker.violations().empty() ? 0 : 1;
 }
 
 int storm(const std::string& program, std::uint64_t requests, int threads, double misbehaving, int kills) {
-  Bench b(program, {.error = 0.03, .full = 0.03, .broken = 0.02, .mean_ms = 0.5});
+  Setup b(program, {.error = 0.03, .overloaded = 0.03, .disconnect = 0.02, .mean_ms = 0.5});
   std::atomic<std::uint64_t> next{0};
   std::mutex mutex;
   std::map<int, std::uint64_t> statuses;
   std::uint64_t wrong = 0;
-  const char* ways[] = {"cancel-asked", "cancel-decided", "half-close", "silent",
-                        "twice",        "elsewhere",      "stubborn"};
+  const char* misbehaviours[] = {"cancel-asked", "cancel-decided", "half-close", "silent",
+                                 "twice",        "elsewhere",      "stubborn"};
   const auto begin = std::chrono::steady_clock::now();
   {
     std::vector<std::jthread> clients;
@@ -235,9 +236,9 @@
           if (id > requests) return;
           const auto c = static_cast<std::uint32_t>(random() % 3);
           const bool bad = static_cast<double>(random() % 10'000) < misbehaving * 10'000;
-          b.judge.taken(id, c);
+          b.checker.record_request(id, c);
           std::string body;
-          const int status = client.ask(kClasses[c], id, bad ? ways[random() % 7] : "", body);
+          const int status = client.request(kClasses[c], id, bad ? misbehaviours[random() % 7] : "", body);
           const std::lock_guard lock(mutex);
           ++statuses[status];
           if (status == 200 && body != "made for " + std::to_string(id)) ++wrong;
@@ -248,14 +249,14 @@
     for (int k = 1; k <= kills; ++k) {
       const auto at = requests * static_cast<std::uint64_t>(k) / static_cast<std::uint64_t>(kills + 1);
       while (next < at) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-      b.processor->kill_and_start();
+      b.processor->kill_and_restart();
     }
   }
   const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
   const auto& p = b.proxy->totals();
   auto t = b.processor->stop();
   std::printf("%llu requests in %.1f s; hosts saw %llu\n", static_cast<unsigned long long>(requests), seconds,
-              static_cast<unsigned long long>(b.judge.came()));
+              static_cast<unsigned long long>(b.checker.requests_received()));
   std::printf("statuses:");
   for (const auto& [status, n] : statuses)
     std::printf(" %d: %llu", status, static_cast<unsigned long long>(n));
@@ -268,7 +269,7 @@
               (unsigned long long)t["again"], (unsigned long long)t["named"],
               (unsigned long long)t["refused"], (unsigned long long)t["failed"],
               (unsigned long long)t["left"]);
-  std::vector<std::string> bad = b.judge.breaches();
+  std::vector<std::string> bad = b.checker.violations();
   const auto expect = [&](bool holds, const std::string& what) {
     if (!holds) bad.push_back(what);
   };
--- a/emulators/proxy/proxy_emulator.cpp
+++ b/emulators/proxy/proxy_emulator.cpp
@@ -26,7 +26,7 @@
   int status = 502;
   std::string body;
   std::map<std::string, std::string> headers;
-  bool none = false;  // the client gets nothing
+  bool drop_client = false;  // the client gets nothing
 };
 
 // One call of `Process`, blocking.
@@ -43,7 +43,7 @@
       stream_->Finish();
     }
   }
-  bool ask(const Request& request, int number) {
+  bool send_request_headers(const Request& request, int attempt_number) {
     pb::ProcessingRequest m;
     auto& headers = *m.mutable_request_headers()->mutable_headers();
     const auto add = [&](const std::string& name, const std::string& value) {
@@ -56,16 +56,17 @@
     add(":scheme", "http");
     add(":authority", "stand-in");
     for (const auto& [name, value] : request.headers) add(name, value);
-    add("x-envoy-attempt-count", std::to_string(number));
+    add("x-envoy-attempt-count", std::to_string(attempt_number));
     m.mutable_request_headers()->set_end_of_stream(request.body.empty());
     return stream_->Write(m);
   }
-  std::optional<pb::ProcessingResponse> next() {
+  std::optional<pb::ProcessingResponse> read() {
     pb::ProcessingResponse m;
     if (!stream_->Read(&m)) return {};
     return m;
   }
-  bool report(int status, const std::string& details, const std::map<std::string, std::string>& headers) {
+  bool send_response_headers(int status, const std::string& details,
+                             const std::map<std::string, std::string>& headers) {
     pb::ProcessingRequest m;
     auto& map = *m.mutable_response_headers()->mutable_headers();
     const auto add = [&](const std::string& name, const std::string& value) {
@@ -122,27 +123,27 @@
       thread_([this] { accept(); }) {}
 
 Proxy::~Proxy() {
-  over_ = true;
+  stopping_ = true;
   boost::system::error_code ignored;
-  tcp::socket last(io_);  // wakes the accept
-  last.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
+  tcp::socket wakeup(io_);  // wakes the accept
+  wakeup.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
   thread_.join();
-  while (live_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
+  while (active_connections_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
 }
 
 void Proxy::accept() {
-  while (!over_) {
+  while (!stopping_) {
     boost::system::error_code error;
     tcp::socket socket(io_);
     acceptor_.accept(socket, error);
-    if (error || over_) continue;
-    ++live_;
+    if (error || stopping_) continue;
+    ++active_connections_;
     std::thread([this, s = std::move(socket)]() mutable {
       try {
         serve(std::move(s));
       } catch (const std::exception&) {  // the client has gone
       }
-      --live_;
+      --active_connections_;
     }).detach();
   }
 }
@@ -168,7 +169,7 @@
     }
     request.id = request.headers["x-request-id"];
     const Answer answer = handle(request);
-    if (answer.none) return;
+    if (answer.drop_client) return;
     http::response<http::string_body> out(http::int_to_status(static_cast<unsigned>(answer.status)), 11);
     for (const auto& [name, value] : answer.headers) out.set(name, value);
     out.body() = answer.body;
@@ -179,8 +180,8 @@
 
 Proxy::Answer Proxy::handle(const Request& request) {
   Answer answer;
-  for (int number = 1; number <= options_.tries; ++number) {
-    if (!attempt(request, number, answer)) break;
+  for (int attempt_number = 1; attempt_number <= options_.max_attempts; ++attempt_number) {
+    if (!attempt(request, attempt_number, answer)) break;
   }
   return answer;
 }
@@ -235,58 +236,59 @@
 }  // namespace
 
 // True: the answer is bad, and the proxy may ask again.
-bool Proxy::attempt(const Request& request, int number, Answer& answer) {
+bool Proxy::attempt(const Request& request, int attempt_number, Answer& answer) {
   Call call(channel_);
-  ++(number == 1 ? totals_.asked : totals_.again);
-  if (!call.ask(request, number)) {
+  ++(attempt_number == 1 ? totals_.asked : totals_.again);
+  if (!call.send_request_headers(request, attempt_number)) {
     ++totals_.broken;
-    return options_.ask_again;
+    return options_.retry_broken_calls;
   }
   if (request.misbehave == "cancel-asked") {
     call.cancel();
     ++totals_.undecided;
-    answer.none = true;
+    answer.drop_client = true;
     return false;
   }
-  const auto decision = call.next();
+  const auto decision = call.read();
   if (!decision || (!decision->has_request_headers() && !decision->has_immediate_response())) {
     ++totals_.broken;
-    return options_.ask_again;
+    return options_.retry_broken_calls;
   }
   if (decision->has_immediate_response()) {
     const auto& immediate = decision->immediate_response();
     answer.status = immediate.status().code();
     answer.body = immediate.details();
     ++(answer.status == 429 ? totals_.refused : totals_.failed);
-    if (call.next()) ++totals_.extra;
+    if (call.read()) ++totals_.extra;
     call.finish();
     return false;
   }
   ++totals_.named;
   if (request.misbehave == "cancel-decided") {
     call.cancel();
-    answer.none = true;
+    answer.drop_client = true;
     return false;
   }
   const auto& mutation = decision->request_headers().response().header_mutation();
   std::string endpoint = header_of(mutation, "x-gateway-destination-endpoint");
   const bool may_repeat = header_of(mutation, "x-envoy-max-retries") != "0";
-  if (request.misbehave == "elsewhere") endpoint = options_.other;
+  if (request.misbehave == "elsewhere") endpoint = options_.other_endpoint;
   if (request.misbehave == "half-close") call.half_close();
-  auto came = forward(endpoint, request.method, request.path, request.id, request.body);
-  answer.status = came.status;
-  answer.body = came.body;
-  const bool bad = came.status >= 500 || came.status == 429;
+  auto response = forward(endpoint, request.method, request.path, request.id, request.body);
+  answer.status = response.status;
+  answer.body = response.body;
+  const bool is_error = response.status >= 500 || response.status == 429;
   if (request.misbehave != "silent" && request.misbehave != "half-close") {
     if (request.misbehave == "elsewhere") {
-      came.headers["x-gateway-destination-endpoint-served"] = endpoint;
+      response.headers["x-gateway-destination-endpoint-served"] = endpoint;
     }
-    call.report(came.status, came.details, came.headers);
-    if (request.misbehave == "twice") call.report(came.status, came.details, came.headers);
-    call.next();
+    call.send_response_headers(response.status, response.details, response.headers);
+    if (request.misbehave == "twice")
+      call.send_response_headers(response.status, response.details, response.headers);
+    call.read();
   }
   call.finish();
-  return bad && (may_repeat || request.misbehave == "stubborn");
+  return is_error && (may_repeat || request.misbehave == "stubborn");
 }
 
 }  // namespace cometfold::emulators
--- a/emulators/proxy/proxy_emulator.h
+++ b/emulators/proxy/proxy_emulator.h
@@ -25,10 +25,10 @@
 //   elsewhere       sends the request to `other`, and says so
 //   stubborn        repeats a request with a bad answer though it was told not to
 struct ProxyOptions {
-  int processor = 0;       // its port
-  int tries = 3;           // of one request, while the answers are bad and the processor does not forbid it
-  std::string other;       // for `elsewhere`
-  bool ask_again = false;  // a call that breaks without a decision is made again, as one more try
+  int processor = 0;     // its port
+  int max_attempts = 3;  // of one request, while the answers are bad and the processor does not forbid it
+  std::string other_endpoint;       // for `elsewhere`
+  bool retry_broken_calls = false;  // a call that breaks without a decision is made again, as one more try
 };
 
 // Counted here, apart from the processor.
@@ -63,8 +63,8 @@
   boost::asio::io_context io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   int port_ = 0;
-  std::atomic<bool> over_{false};
-  std::atomic<int> live_{0};
+  std::atomic<bool> stopping_{false};
+  std::atomic<int> active_connections_{0};
   std::jthread thread_;
 };
 
--- a/emulators/relay.cpp
+++ b/emulators/relay.cpp
@@ -11,28 +11,28 @@
 using asio::ip::tcp;
 using boost::system::error_code;
 
-class Relay::Pair : public std::enable_shared_from_this<Pair> {
+class Relay::Connection : public std::enable_shared_from_this<Connection> {
  public:
-  Pair(tcp::socket client, tcp::socket host) : client_(std::move(client)), host_(std::move(host)) {}
+  Connection(tcp::socket client, tcp::socket host) : client_(std::move(client)), host_(std::move(host)) {}
   void start() {
-    read(client_, commands_, &Pair::to_host);
-    read(host_, answers_, &Pair::to_client);
+    read(client_, commands_, &Connection::forward_commands);
+    read(host_, replies_, &Connection::forward_replies);
   }
 
  private:
-  void read(tcp::socket& from, resp::RespReader& reader, bool (Pair::*pass)()) {
+  void read(tcp::socket& from, resp::RespReader& reader, bool (Connection::*forward)()) {
     const auto space = reader.prepare();
     from.async_read_some(
         asio::buffer(space.data(), space.size()),
-        [this, self = shared_from_this(), &from, &reader, pass](error_code error, std::size_t n) {
+        [this, self = shared_from_this(), &from, &reader, forward](error_code error, std::size_t n) {
           if (error) return close();
           reader.commit(n);
-          if (!(this->*pass)()) return close();
-          read(from, reader, pass);
+          if (!(this->*forward)()) return close();
+          read(from, reader, forward);
         });
   }
 
-  bool to_host() {
+  bool forward_commands() {
     std::string out;
     while (commands_.next(frame_) == resp::ReadResult::kFrame) {
       resp::append_array(out, frame_.items.size());
@@ -41,9 +41,9 @@
     return send(host_, out);
   }
 
-  bool to_client() {
+  bool forward_replies() {
     std::string out;
-    while (answers_.next(frame_) == resp::ReadResult::kFrame) {
+    while (replies_.next(frame_) == resp::ReadResult::kFrame) {
       if (frame_.is_array) {
         resp::append_bulk(out, frame_.items.at(0).text);
       } else {
@@ -66,7 +66,7 @@
   }
 
   tcp::socket client_, host_;
-  resp::RespReader commands_{resp::RespLimits{}, true}, answers_{resp::RespLimits{}, false};
+  resp::RespReader commands_{resp::RespLimits{}, true}, replies_{resp::RespLimits{}, false};
   resp::Frame frame_;
 };
 
@@ -82,12 +82,12 @@
   acceptor_.async_accept([this](error_code error, tcp::socket client) {
     if (error == asio::error::operation_aborted) return;
     tcp::socket host(io_);
-    const auto port = static_cast<std::uint16_t>(hosts_[turn_++ % hosts_.size()]);
+    const auto port = static_cast<std::uint16_t>(hosts_[next_host_++ % hosts_.size()]);
     if (!error) host.connect(tcp::endpoint(asio::ip::address_v4::loopback(), port), error);
     if (!error) {
       client.set_option(tcp::no_delay(true), error);
       host.set_option(tcp::no_delay(true), error);
-      std::make_shared<Pair>(std::move(client), std::move(host))->start();
+      std::make_shared<Connection>(std::move(client), std::move(host))->start();
     }
     accept();
   });
--- a/emulators/relay.h
+++ b/emulators/relay.h
@@ -15,13 +15,13 @@
   int port() const { return acceptor_.local_endpoint().port(); }
 
  private:
-  class Pair;
+  class Connection;
   void accept();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::vector<int> hosts_;
-  std::size_t turn_ = 0;
+  std::size_t next_host_ = 0;
 };
 
 }  // namespace cometfold::emulators
