--- a/emulators/demo.cpp
+++ b/emulators/demo.cpp
@@ -1,4 +1,4 @@
-// One gateway between stand-in hosts and discovery on loopback, and some requests through it: `make run`.
+// Runs one gateway with emulated hosts and discovery on loopback and sends a few requests: `make run`.
 #include <CLI/CLI.hpp>
 #include <atomic>
 #include <chrono>
@@ -17,7 +17,7 @@
 
 std::atomic<bool> stop_requested{false};
 
-// Asks once and prints what came; true if the answer is a value or a refusal with a time.
+// Sends one request and prints the reply; true if it is a value or a BUSY refusal.
 bool send_and_print(Peer& client, const std::string& what, const std::string& text) {
   client.send(text);
   const auto reply = client.reply();
@@ -31,29 +31,31 @@
   auto client = gateway.client();
   bool succeeded = true;
   unsigned n = 1;
-  std::printf("requests of each kind of class:\n");
+  std::printf("requests of each class:\n");
   for (int i = 0; i < 3; ++i) {
     succeeded &= send_and_print(client, "  lookup, safe to repeat", query(n++));
     succeeded &= send_and_print(client, "  hold, keyed", submit("hold", n++));
     succeeded &= send_and_print(client, "  pay, unsafe", submit("pay", n++));
   }
-  std::printf("host s-1 drains; the gateway is told, and asks the others:\n");
+  std::printf("host s-1 drains; the gateway sends new requests to the other hosts:\n");
   boost::asio::post(io, [&discovery, first_host] { discovery.set("s-1", first_host, "leaving"); });
   for (int i = 0; i < 3; ++i) succeeded &= send_and_print(client, "  lookup", query(n++));
-  std::printf("what is no request is told why:\n");
+  std::printf("an invalid request is answered with the reason:\n");
   client.send(command({"SVC.QUERY", id(1), id(99), "c=lookup"}));
-  std::printf("%-44s -> %s\n", "  a list without the names needed", client.reply().c_str());
+  std::printf("%-44s -> %s\n", "  fields that are required are missing", client.reply().c_str());
   return succeeded;
 }
 
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Starts a gateway between stand-ins on loopback, sends some requests and shows the answers."};
+  CLI::App app{
+      "Starts a gateway with emulated hosts and discovery on loopback, sends requests and prints the "
+      "replies."};
   std::string program;
   bool once = false;
-  app.add_option("program", program, "the gateway, as built")->required()->check(CLI::ExistingFile);
-  app.add_flag("--once", once, "end after the requests instead of waiting for Ctrl-C");
+  app.add_option("program", program, "path of the gateway binary")->required()->check(CLI::ExistingFile);
+  app.add_flag("--once", once, "exit after the requests instead of waiting for Ctrl-C");
   CLI11_PARSE(app, argc, argv);
   std::signal(SIGINT, [](int) { stop_requested = true; });
   std::signal(SIGTERM, [](int) { stop_requested = true; });
@@ -72,21 +74,21 @@
     bool succeeded = false;
     try {
       Program gateway(program, conf);
-      std::printf("gateway on 127.0.0.1:%d, three stand-in hosts, discovery on 127.0.0.1:%d\n",
+      std::printf("gateway on 127.0.0.1:%d, three emulated hosts, discovery on 127.0.0.1:%d\n",
                   gateway.port(), discovery.port());
       succeeded = send_requests(gateway, discovery, io, first_host);
-      if (!once) std::printf("the gateway goes on until Ctrl-C\n");
+      if (!once) std::printf("the gateway runs until Ctrl-C\n");
       std::fflush(stdout);
       while (!once && !stop_requested) std::this_thread::sleep_for(std::chrono::milliseconds(100));
       gateway.terminate();
-      std::printf("gateway stopped with %d\n", gateway.exit_code());
+      std::printf("gateway exited with code %d\n", gateway.exit_code());
     } catch (const std::exception& error) {
-      std::fprintf(stderr, "playground: %s\n", error.what());
+      std::fprintf(stderr, "cometfold-demo: %s\n", error.what());
     }
     io.stop();
     return succeeded ? 0 : 1;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "playground: %s\n", error.what());
+    std::fprintf(stderr, "cometfold-demo: %s\n", error.what());
     return 1;
   }
 }
--- a/emulators/discovery_emulator.cpp
+++ b/emulators/discovery_emulator.cpp
@@ -113,7 +113,7 @@
     targets_[uid] = entry;
   }
   if (silent_) return;
-  const auto all = watches_;  // one that has broken goes
+  const auto all = watches_;  // a watch whose send fails is closed and removed
   for (const auto& watch : all) watch->send_chunk(list(revision_, false, {entry}) + "\n");
 }
 
--- a/emulators/discovery_emulator.h
+++ b/emulators/discovery_emulator.h
@@ -1,4 +1,4 @@
-// A stand-in discovery agent: the whole list and a watch over HTTP/1.1, as the protocol page has them.
+// Discovery emulator: serves the full host list and a watch of its changes over HTTP/1.1.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -17,11 +17,11 @@
   ~DiscoveryEmulator();
 
   int port() const { return acceptor_.local_endpoint().port(); }
-  // A host's state: active, leaving or left. Told to all watches at once.
+  // Sets a host's state: active, leaving or left, which removes it. Sends the change to all watches.
   void set(const std::string& uid, int port, const std::string& state);
-  // Silent: takes connections and says nothing, on open watches too.
+  // While silent it accepts connections but sends nothing, neither replies nor changes nor heartbeats.
   void set_silent(bool on) { silent_ = on; }
-  // The whole list as it stands.
+  // The current host list as JSON.
   std::string full_list() const;
 
  private:
--- a/emulators/host_emulator.cpp
+++ b/emulators/host_emulator.cpp
@@ -31,7 +31,7 @@
 
 }  // namespace
 
-// One connection: commands are answered in their order, each after its time.
+// One connection: commands are answered in order, each after its reply time.
 class HostEmulator::Session : public std::enable_shared_from_this<Session> {
  public:
   Session(HostEmulator& owner, tcp::socket socket)
@@ -121,7 +121,7 @@
     if (pending.closes) return close();
     error_code error;
     asio::write(socket_, asio::buffer(pending.text),
-                error);  // answers are small: this does not block for long
+                error);  // replies are small: this does not block for long
     if (error) return close();
     end_request(pending.id);
     schedule_reply();
@@ -148,7 +148,7 @@
   std::deque<PendingReply> pending_replies_;
   bool reply_scheduled_ = false;
   std::uint64_t number_;
-  std::vector<std::string> open_requests_;  // ids of what came and is not over
+  std::vector<std::string> open_requests_;  // ids of requests that have not ended
 };
 
 HostEmulator::HostEmulator(asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
--- a/emulators/host_emulator.h
+++ b/emulators/host_emulator.h
@@ -1,4 +1,4 @@
-// A stand-in host: speaks RESP2 as the protocol page has it, answers after a drawn time, and fails as told.
+// Host emulator: speaks RESP2 as a host does, replies after a random time and injects configured faults.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -13,38 +13,39 @@
 
 namespace cometfold::emulators {
 
-// How a host behaves. The parts are of all requests, from 0 to 1, and the rest is answered well.
+// The faults and reply times of a host. Faults are fractions of all requests, from 0 to 1, and exclude each
+// other; the remaining requests are answered correctly.
 struct Behaviour {
-  double mean_ms = 2;          // of the time to an answer; drawn evenly between half and one and a half of it
-  double error = 0;            // -ERR failed, after it ran
-  double busy = 0;             // -BUSY, before it ran
-  double malformed = 0;        // ran, and the answer can't be read
-  double disconnect = 0;       // ran, and the connection ends instead of an answer
-  double silent = 0;           // ran, and nothing comes
-  double duplicate_reply = 0;  // a good answer, and a second one right behind
+  double mean_ms = 2;          // mean reply time; uniform from 0.5 to 1.5 times the mean
+  double error = 0;            // executes and replies -ERR failed
+  double busy = 0;             // replies -BUSY without executing
+  double malformed = 0;        // executes and sends a malformed reply
+  double disconnect = 0;       // executes and closes the connection instead of replying
+  double silent = 0;           // executes and never replies
+  double duplicate_reply = 0;  // a correct reply, followed by one with the value of another id
   std::size_t value_bytes = 64;
 };
 
 class HostEmulator {
  public:
-  // What a host can say of a request, for those who judge by hosts' own record.
+  // Events of a request at this host, recorded for rule checkers.
   enum class RequestEvent { kReceived, kNotExecuted, kExecuted, kEnded };
-  // `connection`: the host's own number for it; `max_value_bytes` of kMade.
+  // `connection` is the host's number of the connection; `value` is set for kExecuted only.
   using Record = std::function<void(RequestEvent event, const std::string& id, std::uint64_t connection,
                                     std::string_view value)>;
 
-  // Listens on a port of its own on loopback; port 0: any.
+  // Listens on loopback; port 0: chosen by the system.
   HostEmulator(boost::asio::io_context& io, const Behaviour& behaviour, std::uint64_t seed,
                std::uint16_t port = 0);
   ~HostEmulator();
 
   int port() const { return acceptor_.local_endpoint().port(); }
-  // Called for all that is seen from now on.
+  // `record` is called for each event from now on.
   void set_record(Record record) { record_ = std::move(record); }
   void set_behaviour(const Behaviour& behaviour) { behaviour_ = behaviour; }
-  std::uint64_t received() const { return received_; }  // requests that came whole
-  std::uint64_t accepted() const { return accepted_; }  // connections
-  // How often the request with this id ran here; the ids of the last 100,000 requests are kept.
+  std::uint64_t received() const { return received_; }  // complete requests
+  std::uint64_t accepted() const { return accepted_; }  // accepted connections
+  // How often this host executed the request with this id; the last 100,000 ids are kept.
   std::size_t executions_of(const std::string& id) const;
 
  private:
--- a/emulators/load.cpp
+++ b/emulators/load.cpp
@@ -16,7 +16,7 @@
 
 class Run;
 
-// One connection, one request at a time.
+// One client connection with at most one open request.
 class Client : public std::enable_shared_from_this<Client> {
  public:
   Client(Run& run, asio::io_context& io) : run_(run), socket_(io) {}
@@ -71,7 +71,7 @@
     const auto end = start_time(total_);
     io_.run_until(end);
     if (at_end) at_end();
-    // The last ones may still be answered in their time.
+    // Waits for replies to the last requests, until their deadlines have passed.
     io_.restart();
     const auto last = Clock::now() + std::chrono::milliseconds(static_cast<int>(plan_.timeout_ms) + 200);
     while (Clock::now() < last &&
@@ -102,7 +102,7 @@
     }
   }
 
-  // A connection that ended: what was open on it has failed.
+  // A closed connection: its open request has failed.
   void on_disconnect(const std::shared_ptr<Client>& c) {
     if (c->open_ && c->counted_) ++result_.failed;
     c->open_ = false;
@@ -139,7 +139,7 @@
     const bool query = cls == "lookup";
     const auto text = query ? command({"SVC.QUERY", customer, key, fields})
                             : command({"SVC.SUBMIT", customer, key, fields, "BODY"});
-    // A connection may have been closed for being idle: then another is tried.
+    // An idle connection may have been closed by the gateway; tries the next one.
     while (const auto c = connection()) {
       if (c->send(number + 1, start_time(number), counted, text)) return;
       on_disconnect(c);
--- a/emulators/load.h
+++ b/emulators/load.h
@@ -1,6 +1,6 @@
-// Clients in an open loop: each request has an intended start, whatever has become of those before it, and
-// its latency counts from there; so a gateway that stalls is charged for all that should have begun
-// meanwhile.
+// Open-loop load generator: requests start at fixed times, independent of earlier replies, and latency is
+// measured from the intended start. A stall of the gateway thus counts in the latency of every request that
+// was due meanwhile.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -14,24 +14,25 @@
 namespace cometfold::emulators {
 
 struct LoadPlan {
-  double rate = 500;  // requests a second, evenly spaced
+  double rate = 500;  // requests per second, evenly spaced
   double seconds = 5;
-  double warm_up = 1;             // seconds at the start that are played and not counted
-  std::size_t connections = 200;  // at most; one request at a time on each
+  double warm_up = 1;             // seconds of load before the measurement
+  std::size_t connections = 200;  // maximum; one request at a time on each
   std::size_t customers = 50;
-  double timeout_ms = 1000;                    // told as `d`; a request without an answer by then has failed
-  std::vector<std::string> classes{"lookup"};  // by turns; lookup is a query, others are submitted
+  double timeout_ms = 1000;                    // sent as `d`, the deadline
+  std::vector<std::string> classes{"lookup"};  // in rotation; lookup is a query, the others are submits
 };
 
 struct LoadResult {
   std::uint64_t offered = 0, served = 0, refused = 0, failed = 0, unanswered = 0, mismatched = 0;
-  std::uint64_t not_sent = 0;      // no connection was free: counted among the failed
-  std::vector<double> latency_ms;  // of those served, sorted
+  std::uint64_t not_sent = 0;      // no connection available; also counted in `failed`
+  std::vector<double> latency_ms;  // of served requests, sorted
   double seconds = 0;
-  double percentile(double fraction) const;  // of the latency, in ms; 0 if nothing was served
+  double percentile(double fraction) const;  // of the latency in ms; 0 if nothing was served
 };
 
-// Runs to its end on an event loop of its own. `at_begin` and `at_end` are called round the part that counts.
+// Blocks until the load has ended; runs an event loop of its own. `at_begin` and `at_end` are called at the
+// start and at the end of the measured part.
 LoadResult run_load(int port, const LoadPlan& plan, const std::function<void()>& at_begin = {},
                     const std::function<void()>& at_end = {});
 
--- a/emulators/main.cpp
+++ b/emulators/main.cpp
@@ -1,5 +1,5 @@
-// stand-in: hosts, discovery, clients and a plain relay on loopback, for trying the gateway by hand and for
-// the benchmark.
+// emulator: a host, a discovery agent, a client or a relay on loopback, for manual tests of the gateway and
+// for the benchmark.
 #include <CLI/CLI.hpp>
 #include <csignal>
 #include <cstdio>
@@ -26,16 +26,16 @@
 
 void host_options(CLI::App& app, Behaviour& b) {
   const auto fraction = CLI::Range(0.0, 1.0);
-  app.add_option("--mean-ms", b.mean_ms, "mean time to an answer")->check(CLI::NonNegativeNumber);
-  app.add_option("--error", b.error, "part answered with an error")->check(fraction);
-  app.add_option("--busy", b.busy, "part turned away")->check(fraction);
-  app.add_option("--spoilt", b.malformed, "part with an answer that can't be read")->check(fraction);
-  app.add_option("--broken", b.disconnect, "part whose connection ends instead")->check(fraction);
-  app.add_option("--silent", b.silent, "part never answered")->check(fraction);
-  app.add_option("--twin", b.duplicate_reply, "part answered twice")->check(fraction);
+  app.add_option("--mean-ms", b.mean_ms, "mean reply time")->check(CLI::NonNegativeNumber);
+  app.add_option("--error", b.error, "fraction answered with an error")->check(fraction);
+  app.add_option("--busy", b.busy, "fraction refused with BUSY")->check(fraction);
+  app.add_option("--spoilt", b.malformed, "fraction with a malformed reply")->check(fraction);
+  app.add_option("--broken", b.disconnect, "fraction whose connection is closed instead")->check(fraction);
+  app.add_option("--silent", b.silent, "fraction never answered")->check(fraction);
+  app.add_option("--twin", b.duplicate_reply, "fraction answered twice")->check(fraction);
 }
 
-// Lines `UID PORT active|leaving|left` from standard input change the list.
+// Reads lines `UID PORT active|leaving|left` from standard input and updates the host list.
 void follow_input(boost::asio::io_context& io, DiscoveryEmulator& discovery) {
   auto input = std::make_shared<boost::asio::posix::stream_descriptor>(io, ::dup(0));
   auto text = std::make_shared<std::string>();
@@ -54,7 +54,7 @@
           if (known) {
             discovery.set(uid, port, state);
           } else {
-            std::fprintf(stderr, "stand-in discovery: a line is UID PORT active|leaving|left\n");
+            std::fprintf(stderr, "emulator: expected a line UID PORT active|leaving|left\n");
           }
           (*read)();
         });
@@ -75,28 +75,28 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Stand-ins for what a gateway meets, on loopback."};
+  CLI::App app{"Emulated hosts, discovery and clients on loopback."};
   app.require_subcommand(1);
   std::uint16_t port = 0;
   std::uint64_t seed = 1;
   Behaviour behaviour;
-  auto* host = app.add_subcommand("host", "a host that answers, late and wrong as told");
-  host->add_option("--port", port, "where to listen; 0: any");
-  host->add_option("--seed", seed, "of its drawn times and faults");
+  auto* host = app.add_subcommand("host", "a host with configurable delays and faults");
+  host->add_option("--port", port, "port to listen on; 0: chosen by the system");
+  host->add_option("--seed", seed, "of random reply times and faults");
   host_options(*host, behaviour);
-  auto* discovery =
-      app.add_subcommand("discovery", "a discovery agent; lines UID PORT STATE on its input change it");
-  discovery->add_option("--port", port, "where to listen; 0: any");
-  auto* relay = app.add_subcommand("relay", "a plain relay with no decisions");
+  auto* discovery = app.add_subcommand(
+      "discovery", "a discovery agent; lines UID PORT STATE on standard input update its list");
+  discovery->add_option("--port", port, "port to listen on; 0: chosen by the system");
+  auto* relay = app.add_subcommand("relay", "a relay without admission or routing");
   std::vector<int> hosts;
-  relay->add_option("--port", port, "where to listen; 0: any");
-  relay->add_option("--hosts", hosts, "ports of hosts")->required()->delimiter(',');
-  auto* client = app.add_subcommand("client", "clients in an open loop");
+  relay->add_option("--port", port, "port to listen on; 0: chosen by the system");
+  relay->add_option("--hosts", hosts, "the hosts' ports")->required()->delimiter(',');
+  auto* client = app.add_subcommand("client", "an open-loop load generator");
   LoadPlan plan;
-  client->add_option("--port", port, "of the gateway")->required();
-  client->add_option("--rate", plan.rate, "requests a second")->check(CLI::PositiveNumber);
-  client->add_option("--seconds", plan.seconds, "how long")->check(CLI::PositiveNumber);
-  client->add_option("--classes", plan.classes, "by turns")->delimiter(',');
+  client->add_option("--port", port, "the gateway's port")->required();
+  client->add_option("--rate", plan.rate, "requests per second")->check(CLI::PositiveNumber);
+  client->add_option("--seconds", plan.seconds, "duration of the measured load")->check(CLI::PositiveNumber);
+  client->add_option("--classes", plan.classes, "request classes, in rotation")->delimiter(',');
   CLI11_PARSE(app, argc, argv);
   try {
     boost::asio::io_context io(1);
@@ -119,7 +119,7 @@
     print(run_load(port, plan));
     return 0;
   } catch (const std::exception& error) {
-    std::fprintf(stderr, "stand-in: %s\n", error.what());
+    std::fprintf(stderr, "emulator: %s\n", error.what());
     return 1;
   }
 }
--- a/emulators/proxy/http_host.cpp
+++ b/emulators/proxy/http_host.cpp
@@ -26,7 +26,7 @@
 HttpHost::~HttpHost() {
   stopping_ = true;
   boost::system::error_code ignored;
-  tcp::socket wakeup(io_);  // wakes the accept
+  tcp::socket wakeup(io_);  // unblocks accept()
   wakeup.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
   thread_.join();
   while (active_connections_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -47,7 +47,7 @@
     std::thread([this, s = std::move(socket)]() mutable {
       try {
         serve(std::move(s));
-      } catch (const std::exception&) {  // the connection ended
+      } catch (const std::exception&) {  // the connection was closed
       }
       --active_connections_;
     }).detach();
--- a/emulators/proxy/http_host.h
+++ b/emulators/proxy/http_host.h
@@ -1,4 +1,4 @@
-// A stand-in host that speaks HTTP/1.1, with faults by a draw. What it has run is kept for whoever judges.
+// HTTP/1.1 host emulator with random faults. It reports each request's events for rule checkers.
 #pragma once
 
 #include <atomic>
@@ -12,17 +12,17 @@
 
 namespace cometfold::emulators {
 
-// Parts of all requests, from 0 to 1; the rest is answered well.
+// Fractions of all requests, from 0 to 1; the remaining requests are answered correctly.
 struct HttpFaults {
-  double error = 0;       // 500, after it ran
-  double overloaded = 0;  // 429, before it ran
-  double disconnect = 0;  // ran, and the connection ends instead of an answer
+  double error = 0;       // executes and replies 500
+  double overloaded = 0;  // replies 429 without executing
+  double disconnect = 0;  // executes and closes the connection instead of replying
   double mean_ms = 1;
 };
 
 class HttpHost {
  public:
-  // What happens to a request here, in the host's own words. `try_number` tells its attempts apart.
+  // Events of a request at this host. `attempt_number` is unique over all hosts and tells attempts apart.
   enum class RequestEvent : std::uint8_t { kReceived, kNotExecuted, kEnded };
   using Record =
       std::function<void(RequestEvent event, const std::string& request_id, std::uint64_t attempt_number)>;
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -1,7 +1,7 @@
-// The external processor between a stand-in proxy and stand-in hosts, all on loopback. `tour` shows what it
-// does
-// (`make run-extproc`); `storm` sends many requests with faults and proxies that misbehave, and judges by the
-// hosts' own record and two counts of the decisions that know nothing of each other.
+// Runs the external processor with an emulated proxy and emulated hosts on loopback. `tour` sends a few
+// requests and prints the responses (`make run-extproc`). `storm` sends many requests under faults and proxy
+// misbehaviour, checks the events at the hosts against the at-most-once rule, and compares the decisions that
+// the proxy and the processor counted independently.
 #include <CLI/CLI.hpp>
 #include <boost/beast/core.hpp>
 #include <boost/beast/http.hpp>
@@ -38,7 +38,7 @@
   return s;
 }
 
-// What the hosts saw, judged as it comes.
+// Checks the hosts' events as they happen.
 class RuleChecker {
  public:
   void record_request(std::uint64_t request, std::uint32_t class_index) {
@@ -74,11 +74,11 @@
   std::chrono::steady_clock::time_point start_time_ = std::chrono::steady_clock::now();
 };
 
-// An HTTP/1.1 client that goes on with a new connection when one ends.
+// An HTTP/1.1 client that reconnects after its connection has ended.
 class HttpClient {
  public:
   explicit HttpClient(int port) : port_(static_cast<std::uint16_t>(port)) {}
-  // The status, 0 if the connection ended instead; `body` is what came.
+  // Returns the status and sets `body`; 0 if the connection ended instead.
   int request(const std::string& cls, std::uint64_t id, const std::string& misbehave, std::string& body) {
     try {
       if (!socket_) {
@@ -113,7 +113,7 @@
   std::optional<tcp::socket> socket_;
 };
 
-// The program with its two files, until it goes.
+// Runs the gateway program as an external processor, with its configuration files in a temporary directory.
 class Processor {
  public:
   Processor(const std::string& program, const std::vector<std::string>& hosts) {
@@ -126,13 +126,13 @@
   }
   ~Processor() { std::filesystem::remove_all(folder_); }
   int port() const { return port_; }
-  // Ends it without warning, and starts it anew at the same address.
+  // Kills the processor and restarts it at the same address.
   void kill_and_restart() {
     child_->signal(SIGKILL);
     child_->exit_code();
     start();
   }
-  // Its own count, by name.
+  // Terminates the processor and returns its totals by name.
   std::map<std::string, std::uint64_t> stop() {
     child_->signal(SIGTERM);
     const auto line = child_->log_until("external processor totals: asked");
@@ -169,7 +169,7 @@
       hosts.push_back(std::make_unique<HttpHost>(faults, h, checker.record_of(h)));
       listed.push_back(target("s-" + std::to_string(h), hosts.back()->port()));
     }
-    // One more that nobody serves: connections to it are refused.
+    // One listed host without a server: connections to it are refused.
     {
       Listener dead;
       listed.push_back(target("s-5", dead.port()));
@@ -188,8 +188,9 @@
 
 int tour(const std::string& program) {
   Setup b(program, {});
-  std::printf("external processor on 127.0.0.1:%d, a proxy on 127.0.0.1:%d, four hosts and a dead one\n",
-              b.processor->port(), b.proxy->port());
+  std::printf(
+      "external processor on 127.0.0.1:%d, a proxy on 127.0.0.1:%d, four hosts and an unreachable one\n",
+      b.processor->port(), b.proxy->port());
   HttpClient client(b.proxy->port());
   std::uint64_t id = 0;
   bool good = true;
@@ -205,10 +206,10 @@
   }
   std::string body;
   const int status = client.request("nope", ++id, "", body);
-  std::printf("  a class that there is not       -> %d %s\n", status, body.c_str());
+  std::printf("  an unknown class                -> %d %s\n", status, body.c_str());
   good = good && status == 400;
   const auto totals = b.processor->stop();
-  std::printf("the processor counted:");
+  std::printf("the processor's totals:");
   for (const auto& [name, n] : totals) {
     if (n > 0) std::printf(" %s %llu", name.c_str(), static_cast<unsigned long long>(n));
   }
@@ -245,7 +246,7 @@
         }
       });
     }
-    // Spread evenly over the requests.
+    // Kills are spread evenly over the requests.
     for (int k = 1; k <= kills; ++k) {
       const auto at = requests * static_cast<std::uint64_t>(k) / static_cast<std::uint64_t>(kills + 1);
       while (next < at) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -255,8 +256,8 @@
   const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
   const auto& p = b.proxy->totals();
   auto t = b.processor->stop();
-  std::printf("%llu requests in %.1f s; hosts saw %llu\n", static_cast<unsigned long long>(requests), seconds,
-              static_cast<unsigned long long>(b.checker.requests_received()));
+  std::printf("%llu requests in %.1f s; hosts received %llu\n", static_cast<unsigned long long>(requests),
+              seconds, static_cast<unsigned long long>(b.checker.requests_received()));
   std::printf("statuses:");
   for (const auto& [status, n] : statuses)
     std::printf(" %d: %llu", status, static_cast<unsigned long long>(n));
@@ -273,25 +274,26 @@
   const auto expect = [&](bool holds, const std::string& what) {
     if (!holds) bad.push_back(what);
   };
-  expect(wrong == 0, "answers that belong to other requests");
+  expect(wrong == 0, "responses that belong to other requests");
   expect(p.extra == 0, "a second decision for one call");
-  if (kills > 0) {  // its counts went with it: the hosts' record judges
+  if (kills > 0) {  // a killed processor loses its totals; the hosts' events are still checked
     std::printf("%d kills; %llu calls broke\n", kills, static_cast<unsigned long long>(p.broken));
   } else {
-    expect(p.broken == 0, "calls that got no decision");
-    expect(p.asked + p.again == p.named + p.refused + p.failed + p.undecided, "the proxy's own sum");
+    expect(p.broken == 0, "calls without a decision");
+    expect(p.asked + p.again == p.named + p.refused + p.failed + p.undecided,
+           "the sum of the proxy's totals");
     expect(t["asked"] + t["again"] == t["named"] + t["refused"] + t["failed"] + t["left"],
-           "the processor's own sum");
-    // A call that is cancelled behind its question may or may not have been read.
+           "the sum of the processor's totals");
+    // The processor may or may not have read the headers of a call that was cancelled right after them.
     const auto unread = p.asked + p.again - t["asked"] - t["again"];
-    expect(unread <= p.undecided, "questions that the processor did not count");
+    expect(unread <= p.undecided, "request headers that the processor did not count");
     expect(t["named"] >= p.named && t["named"] - p.named <= p.undecided, "hosts named");
     expect(t["refused"] >= p.refused && t["refused"] - p.refused <= p.undecided, "refusals");
     expect(t["failed"] >= p.failed && t["failed"] - p.failed <= p.undecided, "failures");
   }
   for (std::size_t i = 0; i < bad.size() && i < 20; ++i) std::printf("WRONG: %s\n", bad[i].c_str());
   if (bad.empty()) {
-    std::printf("%sno rule broken in the hosts' own record\n", kills > 0 ? "" : "one decision for each; ");
+    std::printf("%sno violation in the hosts' events\n", kills > 0 ? "" : "one decision per request; ");
   }
   return bad.empty() ? 0 : 1;
 }
@@ -299,21 +301,21 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"The external processor between a stand-in proxy and stand-in hosts"};
+  CLI::App app{"Runs the external processor with an emulated proxy and emulated hosts"};
   app.require_subcommand(1);
   std::string program;
   std::uint64_t requests = 100'000;
   int threads = 16;
   double misbehaving = 0.06;
   int kills = 0;
-  auto* shown = app.add_subcommand("tour", "a few requests, shown");
+  auto* shown = app.add_subcommand("tour", "sends a few requests and prints the responses");
   shown->add_option("program", program)->required()->check(CLI::ExistingFile);
-  auto* stormed = app.add_subcommand("storm", "many requests with faults, judged");
+  auto* stormed = app.add_subcommand("storm", "sends many requests under faults and checks the results");
   stormed->add_option("program", program)->required()->check(CLI::ExistingFile);
   stormed->add_option("--requests", requests);
   stormed->add_option("--threads", threads);
-  stormed->add_option("--misbehaving", misbehaving, "part of the requests on which the proxy misbehaves");
-  stormed->add_option("--kills", kills, "so often the processor is killed and started anew meanwhile");
+  stormed->add_option("--misbehaving", misbehaving, "fraction of requests on which the proxy misbehaves");
+  stormed->add_option("--kills", kills, "how often the processor is killed and restarted");
   CLI11_PARSE(app, argc, argv);
   try {
     return shown->parsed() ? tour(program) : storm(program, requests, threads, misbehaving, kills);
--- a/emulators/proxy/proxy_emulator.cpp
+++ b/emulators/proxy/proxy_emulator.cpp
@@ -26,7 +26,7 @@
   int status = 502;
   std::string body;
   std::map<std::string, std::string> headers;
-  bool drop_client = false;  // the client gets nothing
+  bool drop_client = false;  // closes the client's connection without a response
 };
 
 // One call of `Process`, blocking.
@@ -34,7 +34,7 @@
  public:
   explicit Call(const std::shared_ptr<grpc::Channel>& channel)
       : stub_(pb::ExternalProcessor::NewStub(channel)) {
-    context_.set_wait_for_ready(true);  // a processor that starts anew is waited for
+    context_.set_wait_for_ready(true);  // waits for a processor that restarts
     stream_ = stub_->Process(&context_);
   }
   ~Call() {
@@ -103,7 +103,7 @@
 
 namespace {
 
-// A processor that starts anew is found again at once.
+// Reconnects quickly to a processor that restarts.
 std::shared_ptr<grpc::Channel> channel_to(int port) {
   grpc::ChannelArguments arguments;
   arguments.SetInt(GRPC_ARG_INITIAL_RECONNECT_BACKOFF_MS, 10);
@@ -125,7 +125,7 @@
 Proxy::~Proxy() {
   stopping_ = true;
   boost::system::error_code ignored;
-  tcp::socket wakeup(io_);  // wakes the accept
+  tcp::socket wakeup(io_);  // unblocks accept()
   wakeup.connect(tcp::endpoint(asio::ip::address_v4::loopback(), static_cast<std::uint16_t>(port_)), ignored);
   thread_.join();
   while (active_connections_ > 0) std::this_thread::sleep_for(std::chrono::milliseconds(1));
@@ -141,7 +141,7 @@
     std::thread([this, s = std::move(socket)]() mutable {
       try {
         serve(std::move(s));
-      } catch (const std::exception&) {  // the client has gone
+      } catch (const std::exception&) {  // the client closed its connection
       }
       --active_connections_;
     }).detach();
@@ -188,7 +188,8 @@
 
 namespace {
 
-// Forwards over a connection of its own: the status and body, or why there is none in Envoy's words.
+// Forwards over a new connection. The result has the status and body, or Envoy's response code details of the
+// failure.
 struct Forwarded {
   int status = 503;
   std::string details = "via_upstream", body;
@@ -235,7 +236,7 @@
 
 }  // namespace
 
-// True: the answer is bad, and the proxy may ask again.
+// Returns true if the attempt failed and the proxy may retry.
 bool Proxy::attempt(const Request& request, int attempt_number, Answer& answer) {
   Call call(channel_);
   ++(attempt_number == 1 ? totals_.asked : totals_.again);
--- a/emulators/proxy/proxy_emulator.h
+++ b/emulators/proxy/proxy_emulator.h
@@ -1,6 +1,6 @@
-// A stand-in proxy: takes HTTP/1.1 clients, asks the external processor about each request, forwards it where
-// that says, and can be told to misbehave. It speaks the protocol through grpc++ and a description of its
-// own, so that it shares no code with the processor. Blocking, a thread for each client.
+// Proxy emulator: accepts HTTP/1.1 clients, asks the external processor about each request, forwards it to
+// the host in the decision, and misbehaves on request. It uses grpc++ and its own .proto file, so it shares
+// no code with the processor. Blocking, with one thread per client.
 #pragma once
 
 #include <atomic>
@@ -16,28 +16,28 @@
 
 namespace cometfold::emulators {
 
-// What a client asks the proxy to do wrong, by the header x-misbehave.
-//   cancel-asked    cancels the call right behind its question
-//   cancel-decided  cancels the call when the decision has come, and drops the request
-//   half-close      ends its side behind the decision, and forwards
-//   silent          forwards, and never tells how that ended
-//   twice           tells it twice
-//   elsewhere       sends the request to `other`, and says so
-//   stubborn        repeats a request with a bad answer though it was told not to
+// The header x-misbehave of a client's request selects a misbehaviour:
+//   cancel-asked    cancels the call right after sending the request headers
+//   cancel-decided  cancels the call after the decision and drops the request
+//   half-close      half-closes the call after the decision and forwards the request
+//   silent          forwards the request and never reports the response
+//   twice           reports the response twice
+//   elsewhere       sends the request to `other_endpoint` and reports that endpoint
+//   stubborn        retries an error response although the decision forbids retries
 struct ProxyOptions {
-  int processor = 0;     // its port
-  int max_attempts = 3;  // of one request, while the answers are bad and the processor does not forbid it
+  int processor = 0;                // port of the external processor
+  int max_attempts = 3;             // of one request with error responses, if the processor allows retries
   std::string other_endpoint;       // for `elsewhere`
-  bool retry_broken_calls = false;  // a call that breaks without a decision is made again, as one more try
+  bool retry_broken_calls = false;  // a call that ends without a decision is repeated as the next attempt
 };
 
-// Counted here, apart from the processor.
+// Counted independently of the processor.
 struct ProxyTotals {
-  std::atomic<std::uint64_t> asked{0}, again{0};               // questions sent
-  std::atomic<std::uint64_t> named{0}, refused{0}, failed{0};  // decisions that came
-  std::atomic<std::uint64_t> undecided{0};                     // calls that it cancelled before
-  std::atomic<std::uint64_t> broken{0};  // calls that ended without a decision, through no doing of its own
-  std::atomic<std::uint64_t> extra{0};   // second decisions for one call
+  std::atomic<std::uint64_t> asked{0}, again{0};  // request headers sent: first attempts, retries
+  std::atomic<std::uint64_t> named{0}, refused{0}, failed{0};  // decisions received: host, refusal, error
+  std::atomic<std::uint64_t> undecided{0};  // calls that the proxy cancelled before the decision
+  std::atomic<std::uint64_t> broken{0};     // other calls that ended without a decision
+  std::atomic<std::uint64_t> extra{0};      // unexpected messages after an immediate response
 };
 
 class Proxy {
--- a/emulators/relay.h
+++ b/emulators/relay.h
@@ -1,5 +1,6 @@
-// A plain RESP2 relay with no decisions: what any gateway on sockets costs at least. Each client connection
-// has one connection to a host, by turns; commands go through whole, of answers the value.
+// A RESP2 relay without admission or routing, the baseline for the cost of a gateway. Each client connection
+// gets a connection to one host, in rotation; commands are forwarded whole, of replies only the value or the
+// error.
 #pragma once
 
 #include <boost/asio.hpp>
--- a/tests/emulators_test.cpp
+++ b/tests/emulators_test.cpp
@@ -1,4 +1,4 @@
-// The stand-ins do what they say, and the gateway keeps the rules among hosts that fail at random.
+// The emulators behave as configured, and the gateway keeps the rules with hosts that fail at random.
 #include <future>
 #include <thread>
 
@@ -29,7 +29,7 @@
     io.stop();
     if (thread.joinable()) thread.join();
   }
-  // On the servers' thread, when done there.
+  // Runs `call` on the emulators' thread and waits for it.
   template <class Call>
   void run_on_loop(Call&& call) {
     std::promise<void> done;
@@ -71,7 +71,7 @@
     }
   }
   EXPECT_GT(served, 50u);
-  EXPECT_GT(failed, 5u);  // the hosts did fail, and a lost one is not asked again
+  EXPECT_GT(failed, 5u);  // the hosts did fail, and requests that may have run are not retried
 }
 
 TEST(EmulatorsTest, ADrainToldByDiscoveryEndsNewWork) {
@@ -84,8 +84,8 @@
   };
   EXPECT_TRUE(ask(1).starts_with("value of"));
   site.run_on_loop([&] { site.discovery.set("s-1", site.hosts[0]->port(), "leaving"); });
-  // The word takes its way: the first request after it may still go there. When none of fifty does, it is
-  // kept.
+  // The change takes effect asynchronously, so the first requests may still reach the draining host. It has
+  // taken effect when none of fifty does.
   std::uint64_t before = 0, after = 1;
   unsigned n = 2;
   for (int round = 0; round < 200 && after != before; ++round) {
