--- a/emulators/h2_peer.h
+++ b/emulators/h2_peer.h
@@ -1,4 +1,4 @@
-// A gRPC client connection on a socket of its own, driven by whoever holds it: non-blocking, with `poll`.
+// A non-blocking gRPC client connection, driven by its owner, who polls fd().
 #pragma once
 
 #include <netinet/tcp.h>
@@ -18,13 +18,13 @@
         session_(http2::Role::kClient, limits, *this, 0) {
     const auto at = loopback(port);
     if (::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
-      throw Hung("connect failed");
+      throw Hung("connect to loopback failed");
     }
     const int one = 1;
     ::setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   }
 
-  // A client that takes whatever frames its server sends.
+  // Limits without a bound on cheap frames, so that the client accepts any number from its server.
   static http2::SessionLimits patient() {
     http2::SessionLimits limits;
     limits.cheap_frames_per_second = limits.cheap_frame_burst = 1e9;
@@ -33,16 +33,16 @@
   int fd() const { return fd_.get(); }
   http2::Session& session() { return session_; }
   bool open() const { return open_; }
-  // Something waits to be written that the socket did not take.
+  // Whether output is pending that the socket did not accept.
   bool blocked() const { return blocked_; }
 
-  // Null if no stream is to be had.
+  // Null if no stream can be opened.
   http2::grpc::ClientCall* call(std::string_view path, std::unique_ptr<http2::grpc::ClientCallEvents> events,
                                 const http2::Headers& metadata = {}) {
     return http2::grpc::start_call(session_, "127.0.0.1", path, metadata, std::move(events));
   }
 
-  // Writes what there is, as far as the socket takes it.
+  // Writes pending output until the socket would block.
   void flush() {
     blocked_ = false;
     for (auto bytes = session_.output(); open_ && !bytes.empty(); bytes = session_.output()) {
@@ -55,7 +55,7 @@
       session_.consumed(static_cast<std::size_t>(n));
     }
   }
-  // Takes what has come. False at the end of the connection.
+  // Processes received data without blocking. False at the end of the connection.
   bool take() {
     char part[65536];
     const auto n = ::recv(fd_.get(), part, sizeof part, MSG_DONTWAIT);
@@ -63,11 +63,11 @@
     if (n <= 0 || !session_.feed(0, {part, static_cast<std::size_t>(n)})) open_ = false;
     return open_;
   }
-  // Flushes, waits for something to come and takes it. Throws if nothing does.
+  // Flushes, waits for data, processes it and flushes again. Throws after a timeout.
   bool turn() {
     flush();
     if (!open_) return false;
-    if (!readable(fd_.get(), kHangMs)) throw Hung("nothing came");
+    if (!readable(fd_.get(), kHangMs)) throw Hung("no data received before the timeout");
     const bool more = take();
     flush();
     return more;
--- a/emulators/membership_checker.h
+++ b/emulators/membership_checker.h
@@ -1,4 +1,4 @@
-// What has to hold for all members of a cluster, at any time and once all faults have ended.
+// Checks properties that hold for all members of a cluster, at any time and after all faults have ended.
 #pragma once
 
 #include <cstddef>
--- a/emulators/membership_model.h
+++ b/emulators/membership_model.h
@@ -63,7 +63,7 @@
   membership::Membership membership_;
 };
 
-// Probabilities of one datagram, and its delay in ms: `delay` and up to `jitter` more.
+// Fault probabilities per datagram, and its delay in ms: `delay` plus a random part of up to `jitter`.
 struct ModelLinks {
   double loss = 0, duplicate = 0, replay = 0;
   Ms delay = 0.2, jitter = 0.3;
--- a/emulators/peer.h
+++ b/emulators/peer.h
@@ -1,5 +1,5 @@
-// Scripted peers on loopback: blocking, one connection at a time. All waits are for events, and end a script
-// that hangs.
+// Blocking clients and servers on loopback for tests. Every wait is for an event and throws after a timeout,
+// so that a test fails instead of hanging.
 #pragma once
 
 #include <arpa/inet.h>
@@ -18,7 +18,7 @@
 
 namespace cometfold::emulators {
 
-constexpr int kHangMs = 30'000;  // a peer that stays silent for so long hangs
+constexpr int kHangMs = 30'000;  // timeout of each wait for a peer or a log
 
 struct Hung : std::runtime_error {
   using std::runtime_error::runtime_error;
@@ -55,7 +55,7 @@
   return at;
 }
 
-// One connection, blocking.
+// One blocking connection.
 class Peer {
  public:
   explicit Peer(Fd fd) : fd_(std::move(fd)) {}
@@ -63,20 +63,20 @@
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const auto at = loopback(port);
     if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-      throw Hung("connect failed");
+      throw Hung("connect to loopback failed");
     return Peer(std::move(fd));
   }
 
   void send(std::string_view text) {
     while (!text.empty()) {
       const auto n = ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
-      if (n <= 0) throw Hung("the other side does not take it");
+      if (n <= 0) throw Hung("send failed");
       text.remove_prefix(static_cast<std::size_t>(n));
     }
   }
-  // False at the end of the connection.
+  // Waits for data and appends it to the buffer. False at the end of the connection.
   bool more() {
-    if (!readable(fd_.get(), kHangMs)) throw Hung("nothing came");
+    if (!readable(fd_.get(), kHangMs)) throw Hung("no data received before the timeout");
     char part[65536];
     const auto n = ::recv(fd_.get(), part, sizeof part, 0);
     if (n <= 0) return false;
@@ -85,20 +85,20 @@
   }
   std::string exactly(std::size_t size) {
     while (held_.size() < size) {
-      if (!more()) throw Hung("the connection ended");
+      if (!more()) throw Hung("the connection was closed");
     }
     return take(size);
   }
-  // Up to and without CR LF.
+  // The next line, without its CR LF.
   std::string line() {
     std::size_t end;
     while ((end = held_.find("\r\n")) == std::string::npos) {
-      if (!more()) throw Hung("the connection ended");
+      if (!more()) throw Hung("the connection was closed");
     }
     const auto text = take(end + 2);
     return text.substr(0, end);
   }
-  // A reply: an error or status as its line, a bulk string as its value.
+  // The next RESP reply: the value of a bulk string, the whole line of any other type.
   std::string reply() {
     const auto head = line();
     if (head.at(0) != '$') return head;
@@ -110,12 +110,13 @@
     for (auto& w : words) w = reply();
     return words;
   }
-  bool ends() {  // waits for the end and drops what comes before
+  // Waits for the end of the connection and discards data before it; throws if it doesn't end.
+  bool ends() {
     while (more()) {
     }
     return true;
   }
-  // Waits until the other side has answered with a reset.
+  // Waits until the other side has reset the connection.
   bool is_reset() {
     pollfd p{fd_.get(), 0, 0};
     return ::poll(&p, 1, kHangMs) > 0 && (p.revents & POLLERR) != 0;
@@ -127,7 +128,7 @@
     fd_.reset();
   }
   void close() { fd_.reset(); }
-  // Ends this side's sending; the other side's answers still come.
+  // Half-closes the connection; replies can still be received.
   void shut_send() { ::shutdown(fd_.get(), SHUT_WR); }
 
  private:
@@ -154,14 +155,14 @@
   int fd() const { return fd_.get(); }
   bool waiting(int ms) const { return readable(fd_.get(), ms); }
   Peer accept() {
-    if (!waiting(kHangMs)) throw Hung("nobody connected");
+    if (!waiting(kHangMs)) throw Hung("no connection before the timeout");
     return Peer(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
   void close() { fd_.reset(); }
-  // Waits until one of the two has a connection; true if it is the first.
+  // Waits until one of the two has a pending connection; true if `a` has one.
   static bool first_of(const Listener& a, const Listener& b) {
     pollfd both[] = {{a.fd_.get(), POLLIN, 0}, {b.fd_.get(), POLLIN, 0}};
-    if (::poll(both, 2, kHangMs) <= 0) throw Hung("nobody connected");
+    if (::poll(both, 2, kHangMs) <= 0) throw Hung("no connection before the timeout");
     return (both[0].revents & POLLIN) != 0;
   }
 
--- a/emulators/program.h
+++ b/emulators/program.h
@@ -1,4 +1,4 @@
-// Programs as processes of their own, the gateway among them.
+// Starts programs, such as the gateway, as child processes.
 #pragma once
 
 #include <sys/prctl.h>
@@ -17,14 +17,14 @@
 
 namespace cometfold::emulators {
 
-// A program in a process of its own. Its log is its standard error.
+// A child process. Its log is its standard error. Killed when this object or its parent process ends.
 class Child {
  public:
-  // Its log goes to the file `log`, if that names one, and can't be waited for then.
+  // If `log` isn't empty the log is appended to that file, and log_until() and port_after() can't be used.
   Child(const std::vector<std::string>& command, const std::vector<std::string>& environment,
         const std::string& log = {}) {
     int out[2];
-    if (::pipe2(out, O_CLOEXEC) != 0) throw Hung("no pipe");
+    if (::pipe2(out, O_CLOEXEC) != 0) throw Hung("can't create the pipe of the log");
     const auto words = [](const std::vector<std::string>& texts) {
       std::vector<char*> all;
       for (const auto& t : texts) all.push_back(const_cast<char*>(t.c_str()));
@@ -34,12 +34,12 @@
     const auto argv = words(command), env = words(environment);
     pid_ = ::fork();
     if (pid_ == 0) {
-      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it must not outlive whoever scripts it
+      ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // it must not outlive its parent
       const int file =
           log.empty() ? -1 : ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND | O_CLOEXEC, 0644);
       ::dup2(file >= 0 ? file : out[1], 2);
-      ::close_range(3, ~0U,
-                    0);  // sockets of this process: their ends would not be seen while the child lives
+      // Inherited sockets would stay open while the child lives, and their peers would not see them close.
+      ::close_range(3, ~0U, 0);
       ::execve(argv[0], argv.data(), env.data());
       ::_exit(127);
     }
@@ -58,7 +58,7 @@
   void signal(int which) const {
     if (pid_ > 0) ::kill(pid_, which);
   }
-  // The log's next line that holds `text`.
+  // Returns the next line of the log that contains `text`. Throws after 30 s without output.
   std::string log_until(const std::string& text) {
     for (;;) {
       for (std::size_t end; (end = held_.find('\n')) != std::string::npos;) {
@@ -67,18 +67,18 @@
         if (line.find(text) != std::string::npos) return line;
       }
       char part[4096];
-      if (!readable(log_.get(), kHangMs)) throw Hung("the log does not say: " + text);
+      if (!readable(log_.get(), kHangMs)) throw Hung("no line in the log contains: " + text);
       const auto n = ::read(log_.get(), part, sizeof part);
-      if (n <= 0) throw Hung("the log ended: " + held_);
+      if (n <= 0) throw Hung("the log ended after: " + held_);
       held_.append(part, static_cast<std::size_t>(n));
     }
   }
-  // The number behind the last colon of the log's next line that holds `text`.
+  // Returns the number after the last colon in the next line of the log that contains `text`.
   int port_after(const std::string& text) {
     const auto line = log_until(text);
     return std::stoi(line.substr(line.rfind(':') + 1));
   }
-  // Whether it has ended; does not wait.
+  // Whether the process has ended; doesn't block.
   bool ended() {
     int status = 0;
     if (pid_ > 0 && ::waitpid(pid_, &status, WNOHANG) == pid_) pid_ = -1;
@@ -99,7 +99,7 @@
   std::string held_;
 };
 
-// The gateway, with its configuration in a file that goes with it.
+// A gateway process with its configuration in a temporary file.
 class Program {
  public:
   Program(const std::string& program, const boost::json::object& conf,
@@ -111,7 +111,7 @@
         port_(child_.port_after(ready_)) {}
   ~Program() { std::filesystem::remove(path_); }
   int port() const { return port_; }
-  int admin_port() const { return admin_port_; }  // 0: there is none
+  int admin_port() const { return admin_port_; }  // 0: no admin server
   pid_t pid() const { return child_.pid(); }
   Peer client() const { return Peer::connect(port_); }
   void terminate() { child_.signal(SIGTERM); }
@@ -127,7 +127,7 @@
     arguments.insert(arguments.begin(), program);
     return arguments;
   }
-  // What `more` says comes first, and so holds.
+  // `more` comes first: of variables with the same name the first one takes effect.
   std::vector<std::string> environment_of(const boost::json::object& conf,
                                           std::vector<std::string> more) const {
     for (auto text : {std::string("EDGE_NAME=n0"), std::string("EDGE_LISTEN=127.0.0.1:0"),
--- a/emulators/words.h
+++ b/emulators/words.h
@@ -1,4 +1,5 @@
-// Words of the gateway's protocols, for scripts: configurations, lists, commands and answers.
+// Builders of the gateway's inputs for tests: configurations, host lists, commands, and discovery's and
+// hosts' replies.
 #pragma once
 
 #include <boost/json.hpp>
@@ -25,10 +26,10 @@
          text + "]}";
 }
 
-// A host's connection is used again only after a rest; longer than that here, however fast the machine is.
+// The gateway reuses a host's connection only after a rest; this waits for longer than that.
 inline void let_rest() { std::this_thread::sleep_for(std::chrono::milliseconds(80)); }
 
-// A configuration with a safe, a keyed and an unsafe class; times long enough for any machine.
+// A configuration with a safe, a keyed and an unsafe class. Its timeouts are long enough for slow machines.
 inline boost::json::object config(const std::string& known, int discovery_port) {
   auto json = boost::json::parse(R"({"name":"n0","listen":"127.0.0.1:0","seed":"8c1f30d27a5be964",
     "limits":{"cores":1.0,"memory_mb":192,"sockets":512},
@@ -50,7 +51,7 @@
   return json;
 }
 
-// An agent's side of a watch: its head is answered, the first line comes back.
+// Discovery's side of a watch: reads the request, sends the response header and returns the request line.
 inline std::string watch_head(Peer& peer) {
   const auto first = peer.line();
   while (!peer.line().empty()) {
@@ -63,9 +64,10 @@
   std::snprintf(size, sizeof size, "%zx\r\n", text.size());
   peer.send(size + text + "\r\n");
 }
-// The whole list, asked for once.
+// Discovery's side of a request for the full host list: reads the request and replies with `text`.
 inline void whole_list(Peer& peer, const std::string& text) {
-  if (peer.line().substr(0, 22) != "GET /api/targets HTTP/") throw Hung("not asked for the list");
+  if (peer.line().substr(0, 22) != "GET /api/targets HTTP/")
+    throw Hung("the request is not GET /api/targets");
   while (!peer.line().empty()) {
   }
   peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
