--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -175,7 +175,7 @@
     Call* call = events.get();
     H2Peer& peer = *peers_[next_++ % peers_.size()];
     call->call = peer.call(kPath, std::move(events));
-    if (!call->call) throw Hung("no stream to be had");
+    if (!call->call) throw PeerError("no stream to be had");
     call->call->send(request_);
     ++live_;
   }
@@ -187,7 +187,7 @@
     }
     if (::poll(fds.data(), fds.size(), wait_ms) > 0) {
       for (std::size_t i = 0; i < fds.size(); ++i) {
-        if ((fds[i].revents & POLLIN) && !peers_[i]->take()) throw Hung("a connection ended");
+        if ((fds[i].revents & POLLIN) && !peers_[i]->take()) throw PeerError("a connection ended");
       }
     }
     for (; owed_ > 0; --owed_) start(Steady::now());
@@ -214,7 +214,7 @@
     pin(0, 0);
     child_ = std::make_unique<Child>(command, environment);
     pin(1, static_cast<int>(std::thread::hardware_concurrency()) - 1);
-    port_ = child_->port_after(ready);
+    port_ = child_->logged_port(ready);
   }
   int port() const { return port_; }
   double cpu_seconds() const {
@@ -353,7 +353,7 @@
         auto peer = Peer::connect(port_);
         ++connections_;
         peer.send(*all[n % 5]);
-      } catch (const Hung&) {  // it was ended
+      } catch (const PeerError&) {  // it was ended
       }
     }
   }
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -111,7 +111,7 @@
   std::string ports;
   for (const auto& h : s.hosts) ports += (ports.empty() ? "" : ",") + std::to_string(h->port());
   Child relay({s.relay, "relay", "--hosts", ports}, {});
-  return measure(s, relay.port_after("ready: relay"), relay.pid());
+  return measure(s, relay.logged_port("ready: relay"), relay.pid());
 }
 
 double median(std::vector<double> all) {
--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -127,7 +127,8 @@
     char folder[] = "cometfold-cluster-XXXXXX";
     const auto pattern = std::filesystem::temp_directory_path() / folder;
     std::string path = pattern.string();
-    if (!::mkdtemp(path.data())) throw Hung("can't create a directory for the gateways' settings in " + path);
+    if (!::mkdtemp(path.data()))
+      throw PeerError("can't create a directory for the gateways' settings in " + path);
     folder_ = path;
   }
   ~Run() {
--- a/emulators/h2_peer.h
+++ b/emulators/h2_peer.h
@@ -13,19 +13,19 @@
 
 class H2Peer : private http2::SessionEvents {
  public:
-  explicit H2Peer(int port, const http2::SessionLimits& limits = patient())
+  explicit H2Peer(int port, const http2::SessionLimits& limits = lenient_limits())
       : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)),
         session_(http2::Role::kClient, limits, *this, 0) {
     const auto at = loopback(port);
     if (::connect(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0) {
-      throw Hung("connect to loopback failed");
+      throw PeerError("connect to loopback failed");
     }
     const int one = 1;
     ::setsockopt(fd_.get(), IPPROTO_TCP, TCP_NODELAY, &one, sizeof one);
   }
 
   // Limits without a bound on cheap frames, so that the client accepts any number from its server.
-  static http2::SessionLimits patient() {
+  static http2::SessionLimits lenient_limits() {
     http2::SessionLimits limits;
     limits.cheap_frames_per_second = limits.cheap_frame_burst = 1e9;
     return limits;
@@ -67,7 +67,7 @@
   bool turn() {
     flush();
     if (!open_) return false;
-    if (!readable(fd_.get(), kHangMs)) throw Hung("no data received before the timeout");
+    if (!readable(fd_.get(), kWaitTimeoutMs)) throw PeerError("no data received before the timeout");
     const bool more = take();
     flush();
     return more;
--- a/emulators/peer.h
+++ b/emulators/peer.h
@@ -18,9 +18,9 @@
 
 namespace cometfold::emulators {
 
-constexpr int kHangMs = 30'000;  // timeout of each wait for a peer or a log
+constexpr int kWaitTimeoutMs = 30'000;  // timeout of each wait for a peer or a log
 
-struct Hung : std::runtime_error {
+struct PeerError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
@@ -63,37 +63,37 @@
     Fd fd(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
     const auto at = loopback(port);
     if (::connect(fd.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0)
-      throw Hung("connect to loopback failed");
+      throw PeerError("connect to loopback failed");
     return Peer(std::move(fd));
   }
 
   void send(std::string_view text) {
     while (!text.empty()) {
       const auto n = ::send(fd_.get(), text.data(), text.size(), MSG_NOSIGNAL);
-      if (n <= 0) throw Hung("send failed");
+      if (n <= 0) throw PeerError("send failed");
       text.remove_prefix(static_cast<std::size_t>(n));
     }
   }
   // Waits for data and appends it to the buffer. False at the end of the connection.
-  bool more() {
-    if (!readable(fd_.get(), kHangMs)) throw Hung("no data received before the timeout");
+  bool receive() {
+    if (!readable(fd_.get(), kWaitTimeoutMs)) throw PeerError("no data received before the timeout");
     char part[65536];
     const auto n = ::recv(fd_.get(), part, sizeof part, 0);
     if (n <= 0) return false;
-    held_.append(part, static_cast<std::size_t>(n));
+    buffer_.append(part, static_cast<std::size_t>(n));
     return true;
   }
   std::string exactly(std::size_t size) {
-    while (held_.size() < size) {
-      if (!more()) throw Hung("the connection was closed");
+    while (buffer_.size() < size) {
+      if (!receive()) throw PeerError("the connection was closed");
     }
     return take(size);
   }
   // The next line, without its CR LF.
   std::string line() {
     std::size_t end;
-    while ((end = held_.find("\r\n")) == std::string::npos) {
-      if (!more()) throw Hung("the connection was closed");
+    while ((end = buffer_.find("\r\n")) == std::string::npos) {
+      if (!receive()) throw PeerError("the connection was closed");
     }
     const auto text = take(end + 2);
     return text.substr(0, end);
@@ -111,17 +111,17 @@
     return words;
   }
   // Waits for the end of the connection and discards data before it; throws if it doesn't end.
-  bool ends() {
-    while (more()) {
+  bool wait_for_close() {
+    while (receive()) {
     }
     return true;
   }
   // Waits until the other side has reset the connection.
   bool is_reset() {
     pollfd p{fd_.get(), 0, 0};
-    return ::poll(&p, 1, kHangMs) > 0 && (p.revents & POLLERR) != 0;
+    return ::poll(&p, 1, kWaitTimeoutMs) > 0 && (p.revents & POLLERR) != 0;
   }
-  bool quiet(int ms) { return held_.empty() && !readable(fd_.get(), ms); }
+  bool receives_nothing(int ms) { return buffer_.empty() && !readable(fd_.get(), ms); }
   void reset() {
     const linger now{1, 0};
     ::setsockopt(fd_.get(), SOL_SOCKET, SO_LINGER, &now, sizeof now);
@@ -129,16 +129,16 @@
   }
   void close() { fd_.reset(); }
   // Half-closes the connection; replies can still be received.
-  void shut_send() { ::shutdown(fd_.get(), SHUT_WR); }
+  void shutdown_send() { ::shutdown(fd_.get(), SHUT_WR); }
 
  private:
   std::string take(std::size_t size) {
-    const auto text = held_.substr(0, size);
-    held_.erase(0, size);
+    const auto text = buffer_.substr(0, size);
+    buffer_.erase(0, size);
     return text;
   }
   Fd fd_;
-  std::string held_;
+  std::string buffer_;
 };
 
 class Listener {
@@ -155,14 +155,14 @@
   int fd() const { return fd_.get(); }
   bool waiting(int ms) const { return readable(fd_.get(), ms); }
   Peer accept() {
-    if (!waiting(kHangMs)) throw Hung("no connection before the timeout");
+    if (!waiting(kWaitTimeoutMs)) throw PeerError("no connection before the timeout");
     return Peer(Fd(::accept4(fd_.get(), nullptr, nullptr, SOCK_CLOEXEC)));
   }
   void close() { fd_.reset(); }
   // Waits until one of the two has a pending connection; true if `a` has one.
   static bool first_of(const Listener& a, const Listener& b) {
     pollfd both[] = {{a.fd_.get(), POLLIN, 0}, {b.fd_.get(), POLLIN, 0}};
-    if (::poll(both, 2, kHangMs) <= 0) throw Hung("no connection before the timeout");
+    if (::poll(both, 2, kWaitTimeoutMs) <= 0) throw PeerError("no connection before the timeout");
     return (both[0].revents & POLLIN) != 0;
   }
 
--- a/emulators/program.h
+++ b/emulators/program.h
@@ -20,11 +20,11 @@
 // A child process. Its log is its standard error. Killed when this object or its parent process ends.
 class Child {
  public:
-  // If `log` isn't empty the log is appended to that file, and log_until() and port_after() can't be used.
+  // If `log` isn't empty the log is appended to that file, and log_until() and logged_port() can't be used.
   Child(const std::vector<std::string>& command, const std::vector<std::string>& environment,
         const std::string& log = {}) {
     int out[2];
-    if (::pipe2(out, O_CLOEXEC) != 0) throw Hung("can't create the pipe of the log");
+    if (::pipe2(out, O_CLOEXEC) != 0) throw PeerError("can't create the pipe of the log");
     const auto words = [](const std::vector<std::string>& texts) {
       std::vector<char*> all;
       for (const auto& t : texts) all.push_back(const_cast<char*>(t.c_str()));
@@ -61,20 +61,20 @@
   // Returns the next line of the log that contains `text`. Throws after 30 s without output.
   std::string log_until(const std::string& text) {
     for (;;) {
-      for (std::size_t end; (end = held_.find('\n')) != std::string::npos;) {
-        const auto line = held_.substr(0, end);
-        held_.erase(0, end + 1);
+      for (std::size_t end; (end = buffer_.find('\n')) != std::string::npos;) {
+        const auto line = buffer_.substr(0, end);
+        buffer_.erase(0, end + 1);
         if (line.find(text) != std::string::npos) return line;
       }
       char part[4096];
-      if (!readable(log_.get(), kHangMs)) throw Hung("no line in the log contains: " + text);
+      if (!readable(log_.get(), kWaitTimeoutMs)) throw PeerError("no line in the log contains: " + text);
       const auto n = ::read(log_.get(), part, sizeof part);
-      if (n <= 0) throw Hung("the log ended after: " + held_);
-      held_.append(part, static_cast<std::size_t>(n));
+      if (n <= 0) throw PeerError("the log ended after: " + buffer_);
+      buffer_.append(part, static_cast<std::size_t>(n));
     }
   }
   // Returns the number after the last colon in the next line of the log that contains `text`.
-  int port_after(const std::string& text) {
+  int logged_port(const std::string& text) {
     const auto line = log_until(text);
     return std::stoi(line.substr(line.rfind(':') + 1));
   }
@@ -87,7 +87,7 @@
   int exit_code() {
     int status = 0;
     char part[4096];
-    while (readable(log_.get(), kHangMs) && ::read(log_.get(), part, sizeof part) > 0) {
+    while (readable(log_.get(), kWaitTimeoutMs) && ::read(log_.get(), part, sizeof part) > 0) {
     }
     ::waitpid(std::exchange(pid_, -1), &status, 0);
     return WIFEXITED(status) ? WEXITSTATUS(status) : -WTERMSIG(status);
@@ -96,7 +96,7 @@
  private:
   pid_t pid_ = -1;
   Fd log_;
-  std::string held_;
+  std::string buffer_;
 };
 
 // A gateway process with its configuration in a temporary file.
@@ -107,8 +107,8 @@
       : path_(file_for(conf)),
         ready_("ready: " + name_in(environment)),
         child_(command_of(program, std::move(arguments)), environment_of(conf, std::move(environment))),
-        admin_port_(conf.contains("admin") ? child_.port_after("admin server is listening") : 0),
-        port_(child_.port_after(ready_)) {}
+        admin_port_(conf.contains("admin") ? child_.logged_port("admin server is listening") : 0),
+        port_(child_.logged_port(ready_)) {}
   ~Program() { std::filesystem::remove(path_); }
   int port() const { return port_; }
   int admin_port() const { return admin_port_; }  // 0: no admin server
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -154,7 +154,7 @@
         std::vector<std::string>{program_, "--settings", (folder_ / "own.toml").string()},
         std::vector<std::string>{"EDGE_NAME=n0", "EDGE_LISTEN=127.0.0.1:0", "EDGE_DISCOVERY=127.0.0.1:9",
                                  "EDGE_CONFIG=" + (folder_ / "config.json").string()});
-    port_ = child_->port_after("external processor is listening");
+    port_ = child_->logged_port("external processor is listening");
   }
   std::filesystem::path folder_;
   std::string program_;
--- a/emulators/words.h
+++ b/emulators/words.h
@@ -27,7 +27,7 @@
 }
 
 // The gateway reuses a host's connection only after a rest; this waits for longer than that.
-inline void let_rest() { std::this_thread::sleep_for(std::chrono::milliseconds(80)); }
+inline void wait_for_connection_rest() { std::this_thread::sleep_for(std::chrono::milliseconds(80)); }
 
 // A configuration with a safe, a keyed and an unsafe class. Its timeouts are long enough for slow machines.
 inline boost::json::object config(const std::string& known, int discovery_port) {
@@ -52,7 +52,7 @@
 }
 
 // Discovery's side of a watch: reads the request, sends the response header and returns the request line.
-inline std::string watch_head(Peer& peer) {
+inline std::string answer_watch_request(Peer& peer) {
   const auto first = peer.line();
   while (!peer.line().empty()) {
   }
@@ -65,9 +65,9 @@
   peer.send(size + text + "\r\n");
 }
 // Discovery's side of a request for the full host list: reads the request and replies with `text`.
-inline void whole_list(Peer& peer, const std::string& text) {
+inline void answer_list_request(Peer& peer, const std::string& text) {
   if (peer.line().substr(0, 22) != "GET /api/targets HTTP/")
-    throw Hung("the request is not GET /api/targets");
+    throw PeerError("the request is not GET /api/targets");
   while (!peer.line().empty()) {
   }
   peer.send("HTTP/1.1 200 OK\r\nContent-Length: " + std::to_string(text.size()) + "\r\n\r\n" + text);
--- a/tests/delayed_connections_test.cpp
+++ b/tests/delayed_connections_test.cpp
@@ -34,7 +34,7 @@
   bool receives_request(int ms) {
     if (!listener_.waiting(ms)) return false;
     connection_ = std::make_unique<Peer>(listener_.accept());
-    return !connection_->quiet(500) && connection_->more();
+    return !connection_->receives_nothing(500) && connection_->receive();
   }
   Peer& connection() { return *connection_; }
 
@@ -78,7 +78,7 @@
   keyed_class["key_ttl_ms"] = 600.0;
   Program program(conf);
   auto watch = discovery.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
   auto upstream = host.accept();
--- a/tests/duplicate_reply_test.cpp
+++ b/tests/duplicate_reply_test.cpp
@@ -21,9 +21,10 @@
   Peer& wait_for_command() {
     for (;;) {
       if (listener_.waiting(0)) connections_.push_back(std::make_unique<Peer>(listener_.accept()));
-      std::erase_if(connections_, [](const auto& peer) { return !peer->quiet(0) && !peer->more(); });
+      std::erase_if(connections_,
+                    [](const auto& peer) { return !peer->receives_nothing(0) && !peer->receive(); });
       for (const auto& peer : connections_) {
-        if (!peer->quiet(0)) return *peer;
+        if (!peer->receives_nothing(0)) return *peer;
       }
       std::this_thread::sleep_for(100us);
     }
--- a/tests/emulators_test.cpp
+++ b/tests/emulators_test.cpp
@@ -119,7 +119,7 @@
     EmulatedSite site(1, behaviour);
     auto peer = Peer::connect(site.hosts[0]->port());
     peer.send(query(7));
-    const auto line = peer.more() ? peer.line() : "end";
+    const auto line = peer.receive() ? peer.line() : "end";
     return std::pair{line, site.executions_of(id(7))};
   };
   using ReplyAndExecutions = std::pair<std::string, std::size_t>;
--- a/tests/fault_shim.h
+++ b/tests/fault_shim.h
@@ -21,9 +21,9 @@
  public:
   FaultPlan() : path_(std::filesystem::temp_directory_path() / ("fault-plan-" + std::to_string(::getpid()))) {
     const Fd file(::open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
-    if (file.get() < 0 || ::ftruncate(file.get(), sizeof(Plan)) != 0) throw Hung("no plan for the shim");
+    if (file.get() < 0 || ::ftruncate(file.get(), sizeof(Plan)) != 0) throw PeerError("no plan for the shim");
     void* at = ::mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED, file.get(), 0);
-    if (at == MAP_FAILED) throw Hung("no plan for the shim");
+    if (at == MAP_FAILED) throw PeerError("no plan for the shim");
     plan_ = static_cast<Plan*>(at);
   }
   ~FaultPlan() {
--- a/tests/gateway_test.cpp
+++ b/tests/gateway_test.cpp
@@ -48,7 +48,7 @@
   second.command();
   first.send(served("one"));
   EXPECT_EQ(a.reply(), "one");
-  let_rest();
+  wait_for_connection_rest();
   a.send(query(3));
   EXPECT_EQ(first.command().at(2), id(3));
   first.send(served("three"));
@@ -66,10 +66,10 @@
   upstream.command();
   b.send(query(9));
   EXPECT_EQ(b.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(upstream.quiet(20));
+  EXPECT_TRUE(upstream.receives_nothing(20));
   upstream.send(served("a"));
   EXPECT_EQ(a.reply(), "a");
-  let_rest();
+  wait_for_connection_rest();
   b.send(query(9));  // the id is free again once the first request is answered
   EXPECT_EQ(upstream.command().at(2), id(9));
   upstream.send(served("b"));
@@ -87,7 +87,7 @@
   auto& upstream_of_one = accepted_in_order ? first : second;
   auto& upstream_of_two = accepted_in_order ? second : first;
   upstream_of_two.send(served("two"));
-  EXPECT_TRUE(client.quiet(50));  // replies keep the order of commands
+  EXPECT_TRUE(client.receives_nothing(50));  // replies keep the order of commands
   upstream_of_one.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "+PONG");
@@ -107,13 +107,13 @@
   auto& upstream_of_one = accepted_in_order ? first : second;
   auto& upstream_of_two = accepted_in_order ? second : first;
   upstream_of_two.send(served("two"));
-  EXPECT_TRUE(client.quiet(50));
+  EXPECT_TRUE(client.receives_nothing(50));
   other.send(query(2));
   EXPECT_EQ(other.reply().substr(0, 4), "-ERR");
   upstream_of_one.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   EXPECT_EQ(client.reply(), "two");
-  let_rest();
+  wait_for_connection_rest();
   other.send(query(2));  // the id is free now; the most recently used host connection is reused
   EXPECT_EQ(upstream_of_one.command().at(2), id(2));
   upstream_of_one.send(served("again"));
@@ -178,7 +178,7 @@
     auto client = program.client();
     client.send(bad);
     EXPECT_EQ(client.reply().substr(0, 4), "-ERR") << bad;
-    EXPECT_TRUE(client.ends());
+    EXPECT_TRUE(client.wait_for_close());
   }
   good.send(command({"PING"}));
   EXPECT_EQ(good.reply(), "+PONG");
@@ -217,7 +217,7 @@
     again.command();
     again.send(served("good"));
     EXPECT_EQ(client.reply(), "good") << bad;
-    EXPECT_TRUE(upstream.ends());
+    EXPECT_TRUE(upstream.wait_for_close());
   }
 }
 
@@ -234,7 +234,7 @@
     EXPECT_EQ(upstream->command().at(2), id(n));
     upstream->send(served("ok"));
     EXPECT_EQ(client.reply(), "ok");
-    let_rest();
+    wait_for_connection_rest();
   }
 }
 
@@ -265,7 +265,7 @@
   auto upstream = host.accept();
   upstream.command();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(upstream.ends());  // the attempt is cancelled by closing its connection
+  EXPECT_TRUE(upstream.wait_for_close());  // the attempt is cancelled by closing its connection
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");  // no second reply was sent for the request
 }
@@ -292,15 +292,15 @@
       }
       std::erase_if(links, [&](auto& link) {
         auto& [host_index, peer] = link;
-        if (peer.quiet(0)) return false;
-        if (!peer.more()) return true;
+        if (peer.receives_nothing(0)) return false;
+        if (!peer.receive()) return true;
         const bool first = peer.command().at(2) == id(1);
         elsewhere = elsewhere || (first && host_index != silent);
         in_use = in_use || (elsewhere && !first && host_index == silent);
         peer.send(served("v"));
         return false;
       });
-      if (client.quiet(1)) continue;
+      if (client.receives_nothing(1)) continue;
       client.reply();
       ++answers;
     }
@@ -319,7 +319,7 @@
   auto upstream = host.accept();
   upstream.command();
   client.close();
-  EXPECT_TRUE(upstream.ends());
+  EXPECT_TRUE(upstream.wait_for_close());
 }
 
 TEST(Clients, ASlowReaderIsLimitedAndDelaysNoOther) {
@@ -385,7 +385,7 @@
     ASSERT_EQ(clients.back().reply(), "+PONG") << i;
     ASSERT_LE(open() - before, 240 / 5 + 2) << i;
   }
-  clients.front().ends();
+  clients.front().wait_for_close();
   clients.back().send(command({"PING"}));
   EXPECT_EQ(clients.back().reply(), "+PONG");
 }
@@ -398,7 +398,7 @@
   for (int i = 0; i < 500; ++i) many += command({"NONE"});
   client.send(many);
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
 }
 
 TEST(Clients, OnlyConnectionsWithoutARequestInFlightTimeOut) {
@@ -412,9 +412,9 @@
   waiting.send(query(2));
   auto upstream = host.accept();
   upstream.command();
-  EXPECT_TRUE(silent.ends());
-  EXPECT_TRUE(partial.ends());
-  EXPECT_TRUE(idle.ends());
+  EXPECT_TRUE(silent.wait_for_close());
+  EXPECT_TRUE(partial.wait_for_close());
+  EXPECT_TRUE(idle.wait_for_close());
   upstream.send(served("two"));
   EXPECT_EQ(waiting.reply(), "two");
 }
@@ -465,7 +465,7 @@
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply().substr(0, 8), "-LOADING");
   auto agent = discovery.accept();
-  watch_head(agent);
+  answer_watch_request(agent);
   chunk(agent, list(8, true, {target("s-1", host.port())}) + "\n");
   std::string reply;
   while (reply != "+PONG") {
@@ -478,12 +478,12 @@
   Listener host, next, discovery;
   Program program(config(cached_list({target("s-1", host.port(), "leaving")}), discovery.port()));
   auto agent = discovery.accept();
-  watch_head(agent);
+  answer_watch_request(agent);
   const auto text = list(8, false, {target("s-2", next.port())}) + "\n\n" + list(9, false, {}) + "\n";
   for (const char c : text) chunk(agent, std::string(1, c));
   agent.close();
   auto again = discovery.accept();
-  EXPECT_NE(watch_head(again).find("since=9 "), std::string::npos);
+  EXPECT_NE(answer_watch_request(again).find("since=9 "), std::string::npos);
   auto client = program.client();
   client.send(query(1));
   auto upstream = next.accept();  // the host s-1 is draining
@@ -499,7 +499,7 @@
   for (const std::string bad :
        {"{", "[]", "{\"rev\":9}", "{\"rev\":9,\"all\":false,\"targets\":[{\"uid\":\"s-2\"}]}"}) {
     auto agent = discovery.accept();
-    EXPECT_NE(watch_head(agent).find("since=" + std::to_string(since) + " "), std::string::npos);
+    EXPECT_NE(answer_watch_request(agent).find("since=" + std::to_string(since) + " "), std::string::npos);
     chunk(agent, bad + "\n\n");
     program.log_until("malformed line");
   }
@@ -518,13 +518,13 @@
   }
   Program program(config(cached_list({target("s-1", full.port())}), discovery.port()));
   auto agent = discovery.accept();
-  watch_head(agent);
+  answer_watch_request(agent);
   auto client = program.client();
   client.send(submit("pay", 1) + command({"PING"}));
   auto other = program.client();
   other.send(command({"PING"}));
   EXPECT_EQ(other.reply(), "+PONG");
-  EXPECT_TRUE(client.quiet(50));
+  EXPECT_TRUE(client.receives_nothing(50));
   chunk(agent, list(8, false, {target("s-1", full.port(), "leaving")}) + "\n");
   EXPECT_EQ(client.reply().substr(0, 5), "-BUSY");  // not executed, and there is no other host
   EXPECT_EQ(client.reply(), "+PONG");
@@ -546,10 +546,10 @@
   next.command();
   next.send(served("two"));
   EXPECT_EQ(late.reply(), "two");
-  EXPECT_TRUE(late.ends());  // closed as it is idle
+  EXPECT_TRUE(late.wait_for_close());  // closed as it is idle
   upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -566,15 +566,15 @@
   program.terminate();
   for (bool open = true; open;) {  // until the listener is closed
     try {
-      program.client().ends();
-    } catch (const Hung&) {
+      program.client().wait_for_close();
+    } catch (const PeerError&) {
       open = false;
     }
   }
   upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
   for (int i = 0; i < kBehind; ++i) EXPECT_EQ(client.reply(), std::to_string(i));
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -587,7 +587,7 @@
   upstream.command();
   program.terminate();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
--- a/tests/host_pool_test.cpp
+++ b/tests/host_pool_test.cpp
@@ -108,9 +108,9 @@
   std::thread peer([&] {
     for (;;) {
       auto upstream = host.accept();
-      if (!upstream.more()) continue;  // the connection of the abandoned attempt
+      if (!upstream.receive()) continue;  // the connection of the abandoned attempt
       upstream.send(served("x"));
-      upstream.ends();
+      upstream.wait_for_close();
       return;
     }
   });
@@ -135,7 +135,7 @@
     second.command();
     first.send(served("one"));
     second.send(served("two"));
-    EXPECT_TRUE(first.ends());
+    EXPECT_TRUE(first.wait_for_close());
   });
   ASSERT_EQ(fixture.start(1, 1, query(1)), StartResult::kStarted);
   EXPECT_EQ(fixture.wait_for(1), Outcome::kOk);
@@ -166,7 +166,7 @@
     auto second = host.accept();
     second.command();
     second.send(served("two"));
-    second.ends();
+    second.wait_for_close();
   });
   ASSERT_EQ(fixture.start(2, 1, query(2)), StartResult::kStarted);
   EXPECT_EQ(fixture.wait_for(2), Outcome::kOk);
@@ -203,7 +203,7 @@
         auto upstream = host.accept();
         upstream.command();
         upstream.send(served("one"));
-        upstream.ends();
+        upstream.wait_for_close();
       });
       EXPECT_EQ(fixture.wait_for(1), Outcome::kOk);
       fixture.pool().retire_host(fixture.clock.now(), id);
--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -39,7 +39,7 @@
 void expect_no_retry_after(const std::string& next_list, const std::string& zone, Listener& first,
                            Listener& second, Listener& discovery, Program& program) {
   auto watch = discovery.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
   auto at = first.accept();
@@ -115,7 +115,7 @@
     if (before_start) plan.step_wall_clock(GetParam());
     Program program(conf, plan.environment());
     auto watch = discovery.accept();
-    watch_head(watch);
+    answer_watch_request(watch);
     // A step of seconds can be told from a late list only after discovery has confirmed that there is nothing
     // new.
     if (std::abs(GetParam()) < 30) chunk(watch, "\n");
@@ -144,7 +144,7 @@
   Program program{conf};
   Peer watch = discovery.accept();
 
-  AddressChange() { watch_head(watch); }
+  AddressChange() { answer_watch_request(watch); }
   // The first call at the new address.
   Peer reload_with_new_address() {
     conf["discovery"] = "127.0.0.1:" + std::to_string(moved.port());
@@ -163,9 +163,9 @@
     change.hosts.send_requests(change.program, 20);
   } while (change.hosts.first().received() != before);
   auto fetch = change.reload_with_new_address();
-  whole_list(fetch, list(9, true, {change.one, change.two}));
+  answer_list_request(fetch, list(9, true, {change.one, change.two}));
   auto follow = change.moved.accept();
-  watch_head(follow);
+  answer_watch_request(follow);
   change.hosts.send_requests(change.program, 20);
   EXPECT_EQ(change.hosts.first().received(), before);
 }
@@ -185,7 +185,7 @@
     chunk(change.watch, list(10, false, {target("s-1", change.hosts.first().port(), "leaving")}) + "\n");
   }
   auto follow = change.moved.accept();  // both have been handled
-  watch_head(follow);
+  answer_watch_request(follow);
   std::this_thread::sleep_for(300ms);
   const auto before = change.hosts.first().received();
   change.hosts.send_requests(change.program, 20);
--- a/tests/network_test.cpp
+++ b/tests/network_test.cpp
@@ -23,7 +23,7 @@
       : socket_(io, udp::endpoint(at, port)) {}
   void send(const udp::endpoint& to, const std::string& text) { socket_.send_to(asio::buffer(text), to); }
   // The next datagram, or nothing if none is received in time.
-  std::optional<std::string> take(int ms = kHangMs) {
+  std::optional<std::string> take(int ms = kWaitTimeoutMs) {
     if (!readable(socket_.native_handle(), ms)) return {};
     char part[2000];
     const auto n = socket_.receive_from(asio::buffer(part), from_);
--- a/tests/operators_test.cpp
+++ b/tests/operators_test.cpp
@@ -24,7 +24,7 @@
     if (line.substr(0, 16) == "Content-Length: ") length = std::stoul(line.substr(16));
   }
   response.body = peer.exactly(length);
-  EXPECT_TRUE(peer.ends());
+  EXPECT_TRUE(peer.wait_for_close());
   return response;
 }
 
@@ -82,7 +82,7 @@
     silent.back().send("GET /_re");
   }
   EXPECT_EQ(call(gateway.program, "GET", "/_ready").status, 200);
-  EXPECT_TRUE(silent.front().ends());  // the oldest connection was evicted
+  EXPECT_TRUE(silent.front().wait_for_close());  // the oldest connection was evicted
   silent.back().send("ady HTTP/1.1\r\nHost: gateway\r\n\r\n");
   EXPECT_EQ(silent.back().line().substr(9, 3), "200");  // the newest was not
 }
@@ -130,9 +130,9 @@
 TEST(Metrics, CountADrainingHostAsKnownAndExcluded) {
   ServingGateway gateway;
   auto watch = gateway.discovery.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   chunk(watch, list(8, false, {target("s-1", gateway.host.port(), "leaving")}) + "\n");
-  while (metric_value(gateway.program, "skipped_hosts") != 1) let_rest();
+  while (metric_value(gateway.program, "skipped_hosts") != 1) wait_for_connection_rest();
   EXPECT_EQ(metric_value(gateway.program, "known_hosts"), 1);
 }
 
@@ -163,14 +163,14 @@
   EXPECT_EQ(call(gateway.program, "GET", "/_ready").status, 503);
   used.send(command({"PING"}));
   EXPECT_EQ(used.reply().substr(0, 9), "-DRAINING");
-  EXPECT_TRUE(used.ends());
+  EXPECT_TRUE(used.wait_for_close());
   auto newcomer = gateway.program.client();  // its connection may have been under way: served once
   EXPECT_EQ(gateway.serve(newcomer, 4), "v");
-  EXPECT_TRUE(newcomer.ends());
-  EXPECT_TRUE(idle.ends());
+  EXPECT_TRUE(newcomer.wait_for_close());
+  EXPECT_TRUE(idle.wait_for_close());
   attempt.send(served("late"));  // accepted before draining: still answered
   EXPECT_EQ(late.reply(), "late");
-  EXPECT_TRUE(late.ends());
+  EXPECT_TRUE(late.wait_for_close());
   EXPECT_EQ(call(gateway.program, "POST", "/_lameduck/off").status, 200);
   EXPECT_EQ(call(gateway.program, "GET", "/_ready").status, 200);
   auto again = gateway.program.client();
--- a/tests/process_pause_test.cpp
+++ b/tests/process_pause_test.cpp
@@ -32,10 +32,10 @@
 
 // Whether a command arrives on this connection, or on a new one.
 bool receives_command(Listener& host, Peer* connection) {
-  if (connection && !connection->quiet(500)) return connection->more();
+  if (connection && !connection->receives_nothing(500)) return connection->receive();
   if (!host.waiting(connection ? 0 : 500)) return false;
   Peer accepted = host.accept();
-  return !accepted.quiet(500) && accepted.more();
+  return !accepted.receives_nothing(500) && accepted.receive();
 }
 
 TEST(ProcessPause, StartsNoAttemptForAClientThatDisconnectedMeanwhile) {
@@ -48,7 +48,7 @@
   connection.command();
   connection.send(served("v"));
   EXPECT_EQ(first.reply(), "v");
-  let_rest();
+  wait_for_connection_rest();
   {
     const ProcessPause pause(program);
     first.send(query(2) + query(3));
@@ -74,11 +74,11 @@
   }
   client.reply();
   client.reply();
-  let_rest();
+  wait_for_connection_rest();
   client.send(query(3));
-  while (at_one.quiet(1) && at_two.quiet(1)) {
+  while (at_one.receives_nothing(1) && at_two.receives_nothing(1)) {
   }
-  const bool to_one = !at_one.quiet(0);
+  const bool to_one = !at_one.receives_nothing(0);
   (to_one ? at_one : at_two).command();
   {
     const ProcessPause pause(program);
@@ -111,7 +111,7 @@
   std::this_thread::sleep_for(20ms);
   client.close();
   pause.reset();
-  EXPECT_TRUE(connection.quiet(500) || !connection.more())
+  EXPECT_TRUE(connection.receives_nothing(500) || !connection.receive())
       << "an attempt began 0.15 s after its client disconnected";
 }
 
@@ -130,14 +130,14 @@
   std::vector<Peer> connections;
   while (host.waiting(500)) connections.push_back(host.accept());
   sender.join();
-  client.shut_send();  // no reset, though rejections lie unread here
+  client.shutdown_send();  // no reset, though rejections lie unread here
   std::this_thread::sleep_for(kPause);
   for (auto& connection : connections) {
-    if (connection.quiet(0)) continue;
+    if (connection.receives_nothing(0)) continue;
     try {
       connection.command();
       connection.send(served("v"));
-    } catch (const Hung&) {  // the attempt was cancelled
+    } catch (const PeerError&) {  // the attempt was cancelled
     }
   }
   EXPECT_FALSE(host.waiting(500)) << "attempts continue for a client that has disconnected";
--- a/tests/processor_program_test.cpp
+++ b/tests/processor_program_test.cpp
@@ -49,7 +49,7 @@
   explicit Processor(const OwnFile& file, boost::json::object conf = two_hosts())
       : child(std::make_unique<Child>(std::vector<std::string>{COMETFOLD_PROGRAM, "--settings", file.path()},
                                       environment(conf))),
-        port(child->port_after("external processor is listening")) {
+        port(child->logged_port("external processor is listening")) {
     child->log_until("ready: n0");
   }
   ~Processor() { std::filesystem::remove(path_); }
@@ -143,7 +143,7 @@
   template <class Done>
   void wait(Done&& done) {
     while (!done()) {
-      if (!peer.turn() && !done()) throw Hung("the connection ended");
+      if (!peer.turn() && !done()) throw PeerError("the connection ended");
     }
   }
   static bool named(const Open& o) {
@@ -295,7 +295,7 @@
   conf["discovery"] = "127.0.0.1:" + std::to_string(discovery.port());
   Processor program(file, conf);
   auto agent = discovery.accept();
-  watch_head(agent);
+  answer_watch_request(agent);
   chunk(agent, list(8, false, {target("s-1", 9101, "leaving")}) + "\n");
   Proxy proxy(program.port);
   int others = 0;
@@ -323,8 +323,8 @@
   {  // no HTTP/2 at all, and nothing at all
     auto noise = Peer::connect(program.port), silence = Peer::connect(program.port);
     noise.send("GET / HTTP/1.1\r\nHost: x\r\n\r\n");
-    EXPECT_TRUE(noise.ends());
-    EXPECT_TRUE(silence.ends());
+    EXPECT_TRUE(noise.wait_for_close());
+    EXPECT_TRUE(silence.wait_for_close());
   }
   serve("after noise");
   {  // frames that cost nothing
@@ -333,16 +333,16 @@
     for (int i = 0; i < 50'000; ++i) pings += std::string("\0\0\10\6\0\0\0\0\0", 9) + "12345678";
     try {
       flood.send(pings);
-    } catch (const Hung&) {  // it was ended meanwhile
+    } catch (const PeerError&) {  // it was ended meanwhile
     }
     try {
-      EXPECT_TRUE(flood.ends());
-    } catch (const Hung&) {
+      EXPECT_TRUE(flood.wait_for_close());
+    } catch (const PeerError&) {
     }
   }
   serve("after a flood");
   {  // calls that say nothing
-    http2::SessionLimits limits = H2Peer::patient();
+    http2::SessionLimits limits = H2Peer::lenient_limits();
     H2Peer half(program.port, limits);
     std::vector<std::shared_ptr<Heard>> heard;
     for (int i = 0; i < 9000; ++i) {
--- a/tests/rare_moments_test.cpp
+++ b/tests/rare_moments_test.cpp
@@ -75,13 +75,13 @@
   Listener host, next, agent;
   Program program(config_with_local_agent(snapshot({target("s-1", host.port())}), agent));
   auto watch = agent.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   chunk(watch, list(8, false, {target("s-2", next.port())}) + "\n");
   const auto last_line_at = Steady::now();
   auto unanswered = agent.accept();
   unanswered.line();
   auto again = agent.accept();
-  EXPECT_NE(watch_head(again).find("since=8 "), std::string::npos);
+  EXPECT_NE(answer_watch_request(again).find("since=8 "), std::string::npos);
   chunk(again, list(9, false, {target("s-1", host.port(), "leaving")}) + "\n\n");
   EXPECT_LT(Steady::now() - last_line_at, 6s);
   chunk(again, "{\n\n");  // malformed: ends the watch once everything before it has been read
@@ -96,7 +96,7 @@
   const auto conf = config_with_local_agent(snapshot({target("s-1", host.port())}), old_agent);
   Program program(conf);
   auto before = old_agent.accept();
-  watch_head(before);
+  answer_watch_request(before);
   auto moved = conf;
   moved["discovery"] = "127.0.0.1:" + std::to_string(new_agent.port());
   const auto reloaded_at = Steady::now();
@@ -105,9 +105,9 @@
   unanswered.line();
   auto fetch = new_agent.accept();
   EXPECT_LT(Steady::now() - reloaded_at, 4s);
-  whole_list(fetch, snapshot({target("s-1", host.port())}));
+  answer_list_request(fetch, snapshot({target("s-1", host.port())}));
   auto after = new_agent.accept();
-  watch_head(after);
+  answer_watch_request(after);
 }
 
 // No other process calls an agent on this machine, so retries need no long backoff.
@@ -121,7 +121,7 @@
     call.reset();
   }
   auto watch = agent.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   EXPECT_LT(Steady::now() - first, 6s);
   Backoff backoff = Backoff::for_local_agent();
   for (const auto result :
@@ -138,16 +138,16 @@
   const auto conf = config_with_local_agent(snapshot({target("s-1", host.port()), target("s-2", 1)}), first);
   Program program(conf);
   auto one = first.accept();
-  watch_head(one);
+  answer_watch_request(one);
   chunk(one, list(8, false, {target("s-2", 1, "leaving")}) + "\n");
   auto moved = conf;
   moved["discovery"] = "127.0.0.1:" + std::to_string(second.port());
   program.reload(boost::json::serialize(moved));
   auto fetch = second.accept();
   chunk(one, "\n");
-  whole_list(fetch, list(3, true, {target("s-1", host.port()), target("s-2", 1)}));  // lags behind
+  answer_list_request(fetch, list(3, true, {target("s-1", host.port()), target("s-2", 1)}));  // lags behind
   auto two = second.accept();
-  watch_head(two);
+  answer_watch_request(two);
   const auto watch_started_at = Steady::now();
   moved["discovery"] = "127.0.0.1:" + std::to_string(third.port());
   program.reload(boost::json::serialize(moved));
@@ -157,7 +157,7 @@
     chunk(two, "\n");
     if (third.waiting(500)) silent.push_back(third.accept());
   }
-  EXPECT_TRUE(two.quiet(0));  // still open and still read
+  EXPECT_TRUE(two.receives_nothing(0));  // still open and still read
 }
 
 TEST(DiscoveryWatch, ListsMayBeSpreadOverSeveralLines) {
@@ -165,7 +165,7 @@
   const auto conf = config_with_local_agent(snapshot({target("s-1", host.port())}), old_agent);
   Program program(conf);
   auto watch = old_agent.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   const auto break_lines = [](std::string text, const std::string& indent) {
     std::string out;
     for (const char c : text) {
@@ -185,12 +185,12 @@
   moved["discovery"] = "127.0.0.1:" + std::to_string(new_agent.port());
   program.reload(boost::json::serialize(moved));
   auto fetch = new_agent.accept();
-  whole_list(
+  answer_list_request(
       fetch,
       break_lines(list(9, true, {target("s-1", host.port(), "leaving"), target("s-2", next.port())}), "  "));
   auto after = new_agent.accept();
-  EXPECT_NE(watch_head(after).find("since=9 "), std::string::npos);
-  EXPECT_TRUE(watch.ends());
+  EXPECT_NE(answer_watch_request(after).find("since=9 "), std::string::npos);
+  EXPECT_TRUE(watch.wait_for_close());
   expect_served_by(program, next, 1);
 }
 
@@ -199,7 +199,7 @@
   Program program(config_with_local_agent(snapshot({target("s-1", host.port())}), agent));
   for (const std::string behind : {"\n", "  \n", "{\"rev\":9,\"all\":false,\"targets\":[]}\n"}) {
     auto watch = agent.accept();
-    EXPECT_NE(watch_head(watch).find("since=7 "), std::string::npos);
+    EXPECT_NE(answer_watch_request(watch).find("since=7 "), std::string::npos);
     chunk(watch, "{\"rev\":8,\"all\":false,\"targets\":[\n");
     chunk(watch, behind);
     program.log_until("malformed line: a list is truncated");
@@ -224,7 +224,7 @@
     auto upstream = host.accept();
     EXPECT_EQ(upstream.command().at(2), id(1));
     by_reset ? client.reset() : client.close();
-    EXPECT_TRUE(upstream.ends());
+    EXPECT_TRUE(upstream.wait_for_close());
     expect_served_by(program, host, 5);  // and none of the later commands is forwarded
   }
 }
@@ -244,15 +244,15 @@
   ready.command();
   ready.send(served("nine"));
   EXPECT_EQ(other.reply(), "nine");
-  let_rest();
+  wait_for_connection_rest();
   client.close();
   upstream.send(served("one"));  // the later commands can be read now
-  let_rest();
+  wait_for_connection_rest();
   other.send(query(5));
   EXPECT_EQ(upstream.command().at(2), id(5));
   upstream.send(served("five"));
   EXPECT_EQ(other.reply(), "five");
-  EXPECT_TRUE(ready.quiet(0));
+  EXPECT_TRUE(ready.receives_nothing(0));
   EXPECT_FALSE(host.waiting(0));
 }
 
@@ -275,7 +275,7 @@
     std::vector<std::string> words;
     try {
       words = upstream.command();
-    } catch (const Hung&) {
+    } catch (const PeerError&) {
       continue;
     }
     EXPECT_EQ(words.at(2), id(2));
@@ -337,7 +337,7 @@
   upstream.command();
   upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
-  EXPECT_FALSE(client.more());  // closed
+  EXPECT_FALSE(client.receive());  // closed
   client.send(query(2));
   EXPECT_TRUE(client.is_reset());
   EXPECT_FALSE(host.waiting(0));
@@ -403,7 +403,7 @@
   upstream.command();
   upstream.send(served("one"));
   EXPECT_EQ(clients[0].reply(), "one");
-  EXPECT_TRUE(clients[0].ends());
+  EXPECT_TRUE(clients[0].wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -424,7 +424,7 @@
   upstream.command();
   upstream.send(served("one"));
   EXPECT_EQ(kept.reply(), "one");
-  EXPECT_TRUE(kept.ends());
+  EXPECT_TRUE(kept.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -451,7 +451,7 @@
   admin_status_line(program, "GET /_ready");  // answered in an event loop iteration after the overdue timer
   attempts[0].send(served("one"));
   EXPECT_EQ(clients[0].reply(), "one");
-  EXPECT_TRUE(clients[0].ends());
+  EXPECT_TRUE(clients[0].wait_for_close());
   EXPECT_EQ(clients[4].reply(), "+PONG");
   for (unsigned n = 2; n <= 4; ++n) attempts[n - 1].send(served("more"));
   EXPECT_EQ(program.exit_code(), 0);
@@ -477,7 +477,7 @@
   const auto terminated_at = Steady::now();
   program.terminate();
   EXPECT_EQ(client.reply().substr(0, 4), "-ERR");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
   EXPECT_LT(Steady::now() - terminated_at, 3s);  // would be 3.45 s with the withdrawn class
 }
@@ -498,7 +498,7 @@
   program.terminate();
   upstream.send(served("one"));
   EXPECT_EQ(client.reply(), "one");
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_EQ(program.exit_code(), 0);
 }
 
@@ -511,7 +511,7 @@
   const auto filled = fill_accept_queue(slow);
   Program program(config(snapshot({target("s-1", slow.port())}), discovery.port()));
   auto agent = discovery.accept();
-  watch_head(agent);
+  answer_watch_request(agent);
   auto client = program.client();
   client.send(submit("pay", 1));
   auto other = program.client();
--- a/tests/reload_test.cpp
+++ b/tests/reload_test.cpp
@@ -39,7 +39,7 @@
   const auto conf = config(list(7, true, {target("s-1", first.port())}), old_agent.port());
   Program program(conf);
   auto before = old_agent.accept();
-  watch_head(before);
+  answer_watch_request(before);
   program.reload(with_discovery(conf, new_agent));
   auto fetch = new_agent.accept();  // not answered yet, so the old address stays in use
   chunk(before,
@@ -51,7 +51,7 @@
       auto upstream = first.accept();
       upstream.command();
       upstream.send("-BUSY\r\n");
-      upstream.ends();
+      upstream.wait_for_close();
       client.reply();
       continue;
     }
@@ -62,17 +62,17 @@
     served_by_second = true;
   }
   // The versions of the two addresses differ, and the new one still lists the draining host as ready.
-  whole_list(fetch, list(3, true, {target("s-1", first.port()), target("s-3", third.port())}));
+  answer_list_request(fetch, list(3, true, {target("s-1", first.port()), target("s-3", third.port())}));
   auto after = new_agent.accept();
-  EXPECT_NE(watch_head(after).find("since=3 "), std::string::npos);
-  EXPECT_TRUE(before.ends());
+  EXPECT_NE(answer_watch_request(after).find("since=3 "), std::string::npos);
+  EXPECT_TRUE(before.wait_for_close());
   client.send(query(2));
   auto upstream = third.accept();
   for (unsigned n = 2; n < 12; ++n) {
     EXPECT_EQ(upstream.command().at(2), id(n));
     upstream.send(served("three"));
     EXPECT_EQ(client.reply(), "three");
-    let_rest();
+    wait_for_connection_rest();
     client.send(query(n + 1));
   }
   EXPECT_FALSE(first.waiting(0));
@@ -162,7 +162,7 @@
   settings["discovery"] = "automatic";
   Program program(conf);
   auto watch = agent.accept();
-  EXPECT_NE(watch_head(watch).find("since=7 "), std::string::npos);
+  EXPECT_NE(answer_watch_request(watch).find("since=7 "), std::string::npos);
 }
 
 TEST(Backoff, AFailedConnectionIsRetriedWithinTwoSeconds) {
--- a/tests/streamed_values_test.cpp
+++ b/tests/streamed_values_test.cpp
@@ -221,7 +221,7 @@
   EXPECT_EQ(received, value + "\r\n");
   client.send(command({"PING"}));
   EXPECT_EQ(client.reply(), "+PONG");
-  let_rest();
+  wait_for_connection_rest();
   client.send(query(2));  // the connection to the host is reused
   EXPECT_EQ(upstream.command().at(2), id(2));
   upstream.send(served("short"));
@@ -251,7 +251,7 @@
   upstream.send(served(random_bytes(200'000)).substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
   upstream.reset();
-  EXPECT_TRUE(client.ends());
+  EXPECT_TRUE(client.wait_for_close());
   EXPECT_FALSE(fixture.host.waiting(20));  // no retry, as part of the value is written
   other.send(command({"PING"}));
   EXPECT_EQ(other.reply(), "+PONG");
@@ -265,8 +265,8 @@
   upstream.command();
   upstream.send("*3\r\n$70000\r\n" + random_bytes(70'000) + "XX$-1\r\n$-1\r\n");
   EXPECT_EQ(client.line(), "$70000");
-  EXPECT_TRUE(client.ends());
-  EXPECT_TRUE(upstream.ends());
+  EXPECT_TRUE(client.wait_for_close());
+  EXPECT_TRUE(upstream.wait_for_close());
 }
 
 TEST(StreamedValues, AClientThatDisconnectsEndsItsAttempt) {
@@ -278,13 +278,13 @@
   upstream.send(served(random_bytes(200'000)).substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
   client.reset();
-  EXPECT_TRUE(upstream.ends());
+  EXPECT_TRUE(upstream.wait_for_close());
 }
 
 TEST(StreamedValues, AHostThatIsRemovedMeanwhileSendsTheRest) {
   ProgramFixture fixture;
   auto watch = fixture.discovery.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   auto client = fixture.program.client();
   client.send(query(1));
   auto upstream = fixture.host.accept();
@@ -293,7 +293,7 @@
   upstream.send(reply.substr(0, 100'000));
   EXPECT_EQ(client.line(), "$200000");
   chunk(watch, list(8, false, {target("s-1", fixture.host.port(), "left")}) + "\n");
-  let_rest();
+  wait_for_connection_rest();
   upstream.send(reply.substr(100'000));
   EXPECT_EQ(client.exactly(200'002), random_bytes(200'000) + "\r\n");
 }
@@ -317,7 +317,7 @@
   first.send(served(a).substr(0, 60'000));
   EXPECT_EQ(client.line(), "$100000");
   second.send(served(b));
-  let_rest();
+  wait_for_connection_rest();
   first.send(served(a).substr(60'000));
   EXPECT_EQ(client.exactly(100'002), a + "\r\n");
   client.send(command({"PING"}));
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -35,7 +35,8 @@
     auto aborted = program.client();
     while (plan.hits(Call::kAccept) == 0) std::this_thread::sleep_for(1ms);
     client.send(command({"PING"}));
-    EXPECT_FALSE(client.quiet(5000)) << "the gateway stands still after accept failed with " << error;
+    EXPECT_FALSE(client.receives_nothing(5000))
+        << "the gateway stands still after accept failed with " << error;
     program.terminate();
     auto unblocks = program.client();  // else the program would not end
   }
@@ -116,7 +117,7 @@
   // Each line is of some 60 bytes, and a pipe holds 64 KiB.
   for (unsigned n = 2; n < 1900; ++n) {
     client.send(command({"SVC.QUERY", id(n), id(n), "c=lookup,t=team,d=1,units=1,spread=2,first=0"}));
-    ASSERT_FALSE(client.quiet(10'000)) << "no answer to request " << n;
+    ASSERT_FALSE(client.receives_nothing(10'000)) << "no answer to request " << n;
     client.reply();
   }
   std::filesystem::remove(settings);
@@ -134,12 +135,12 @@
     ::unlink(path_.c_str());
     if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&at), sizeof at) != 0 ||
         ::listen(fd_.get(), 4) != 0) {
-      throw Hung("no place for a predecessor");
+      throw PeerError("no place for a predecessor");
     }
   }
   ~HangingPredecessor() { ::unlink(path_.c_str()); }
   void await_caller() {
-    if (!readable(fd_.get(), kHangMs)) throw Hung("the program does not look for a predecessor");
+    if (!readable(fd_.get(), kWaitTimeoutMs)) throw PeerError("the program does not look for a predecessor");
   }
 
  private:
--- a/tests/upgrade_test.cpp
+++ b/tests/upgrade_test.cpp
@@ -18,7 +18,7 @@
   std::filesystem::path path;
   TemporaryDirectory() {
     std::string name = (std::filesystem::temp_directory_path() / "cometfold-XXXXXX").string();
-    if (!::mkdtemp(name.data())) throw Hung("can't create a temporary directory");
+    if (!::mkdtemp(name.data())) throw PeerError("can't create a temporary directory");
     path = name;
   }
   ~TemporaryDirectory() { std::filesystem::remove_all(path); }
@@ -111,7 +111,7 @@
   }
   second->log_until("taken over: 2 customers");
   setup.serve(connected, 3);  // an open connection gets one more reply and is closed then
-  EXPECT_TRUE(connected.ends());
+  EXPECT_TRUE(connected.wait_for_close());
   queued.clear();
   EXPECT_EQ(first->exit_code(), 0);
   EXPECT_EQ(ping(*second), "+PONG");
@@ -237,7 +237,7 @@
     for (auto& client : clients) {
       try {
         EXPECT_EQ(client.reply(), "+PONG");
-      } catch (const Hung&) {
+      } catch (const PeerError&) {
         ++dropped;
       }
     }
@@ -258,7 +258,7 @@
         config(list(7, true, {target("s-1", one.port()), target("s-2", two.port())}), setup.discovery.port());
     auto first = setup.start();
     auto watch = setup.discovery.accept();
-    watch_head(watch);
+    answer_watch_request(watch);
     chunk(watch, list(8, false, {target("s-1", one.port(), state)}) + "\n");
     std::this_thread::sleep_for(std::chrono::milliseconds(300));
     auto second = setup.start();
@@ -297,7 +297,7 @@
   EXPECT_EQ(ping(*first), "+PONG");
   const int port = first->port();
   conf["listen"] = "127.0.0.1:" + std::to_string(port);
-  EXPECT_THROW(Program(conf, {"EDGE_LISTEN=127.0.0.1:" + std::to_string(port)}), Hung);
+  EXPECT_THROW(Program(conf, {"EDGE_LISTEN=127.0.0.1:" + std::to_string(port)}), PeerError);
   EXPECT_EQ(ping(*first), "+PONG");
 }
 
