--- a/emulators/membership_checker.h
+++ b/emulators/membership_checker.h
@@ -15,16 +15,16 @@
 // Collects violations as text.
 class MembershipChecker {
  public:
-  // To be called for each event at each process; `observer` is any number that no other process has.
+  // Must be called for each event at each process; `observer` is a number unique to the process.
   void observe(std::uint64_t observer, const std::string& observer_name,
                const membership::MembershipEvent& event);
-  // Once all faults have ended: what one process shows, against the incarnations of those that run.
+  // Compares one process's view with the incarnations of the running members, after all faults have ended.
   void check_final_view(const std::string& observer, const std::vector<membership::MemberView>& shown,
                         const std::map<std::string, std::uint64_t>& running);
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  using Incarnation = std::pair<std::string, std::uint64_t>;  // of a member's name
+  using Incarnation = std::pair<std::string, std::uint64_t>;  // a member's name and incarnation
 
   static constexpr std::size_t kMaxViolations = 20;
 
@@ -32,7 +32,8 @@
     if (violations_.size() < kMaxViolations) violations_.push_back(std::move(violation));
   }
 
-  std::map<std::uint64_t, std::map<Incarnation, membership::MemberState>> over_;  // by observer
+  std::map<std::uint64_t, std::map<Incarnation, membership::MemberState>>
+      over_;  // members that were failed or left, by observer
   std::vector<std::string> violations_;
 };
 
@@ -65,14 +66,14 @@
   for (const auto& [name, incarnation] : running) {
     const auto entry = alive.find(name);
     if (entry == alive.end()) {
-      add(observer + " does not show " + name + " alive, which runs");
+      add(observer + " does not show " + name + " alive, although it runs");
     } else if (entry->second != incarnation) {
       add(observer + " shows " + name + " in incarnation " + std::to_string(entry->second) + ", it has " +
           std::to_string(incarnation));
     }
   }
   for (const auto& [name, incarnation] : alive) {
-    if (!running.contains(name)) add(observer + " shows " + name + " alive, which does not run");
+    if (!running.contains(name)) add(observer + " shows " + name + " alive, although it does not run");
   }
 }
 
--- a/emulators/membership_model.h
+++ b/emulators/membership_model.h
@@ -26,7 +26,7 @@
 using membership::Message;
 using membership::OutgoingMessage;
 
-// What the model needs of a member; as in membership/membership.h.
+// The interface of a member in the model; the functions are as in membership/membership.h.
 class MembershipProtocol {
  public:
   virtual ~MembershipProtocol() = default;
@@ -77,8 +77,8 @@
     std::string name, address;
     std::unique_ptr<MembershipProtocol> protocol;
     bool running = false, paused = false;
-    int group = 0;                           // members of other groups are out of reach
-    Ms mean_lateness = 0;                    // of each message and tick that it handles
+    int group = 0;                           // members of different groups can't reach each other
+    Ms mean_lateness = 0;                    // mean of the exponential delay of each message and tick
     std::uint64_t round = 0;                 // counts the processes that ran under this member
     std::uint64_t datagrams = 0, bytes = 0;  // sent
     std::deque<Message> pending;             // while paused
@@ -94,13 +94,13 @@
   // The size of a sent message, as counted for its sender, in bytes.
   std::function<std::size_t(const Message&)> message_size = [](const Message&) { return std::size_t{0}; };
   ModelLinks links;
-  // Whether messages on this way are lost.
+  // Whether messages from `from` to `to` are lost.
   std::function<bool(std::size_t from, std::size_t to)> is_blocked = [](std::size_t, std::size_t) {
     return false;
   };
 
   Ms now() const { return now_; }
-  // From 0 to below 1.
+  // Uniform in [0, 1).
   double draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   std::size_t draw(std::size_t below) {
     return static_cast<std::size_t>(draw() * static_cast<double>(below));
@@ -131,7 +131,7 @@
  private:
   struct Event {
     Ms at;
-    std::uint64_t order;  // of events at the same time
+    std::uint64_t order;  // breaks ties of events at the same time
     std::function<void()> action;
     bool operator<(const Event& other) const { return at != other.at ? at > other.at : order > other.order; }
   };
@@ -156,7 +156,7 @@
   std::uint64_t event_count_ = 0;
   std::vector<std::unique_ptr<Member>> members_;
   std::map<std::string, std::size_t> index_by_address_;
-  std::map<std::size_t, std::pair<std::uint64_t, Ms>> scheduled_ticks_;  // by member: its round, and when
+  std::map<std::size_t, std::pair<std::uint64_t, Ms>> scheduled_ticks_;  // round and time, by member
   std::priority_queue<Event> events_;
 };
 
