--- a/emulators/membership_checker.h
+++ b/emulators/membership_checker.h
@@ -33,7 +33,7 @@
   }
 
   std::map<std::uint64_t, std::map<Incarnation, membership::MemberState>>
-      over_;  // members that were failed or left, by observer
+      departed_;  // members that were failed or left, by observer
   std::vector<std::string> violations_;
 };
 
@@ -41,13 +41,13 @@
                                        const membership::MembershipEvent& event) {
   using membership::MemberState;
   if (event.kind != membership::MembershipEvent::kMemberChanged) return;
-  auto& over = over_[observer];
+  auto& departed = departed_[observer];
   const Incarnation incarnation{event.name, event.incarnation};
   if (event.state == MemberState::kFailed || event.state == MemberState::kLeft) {
-    over.insert({incarnation, event.state});
-  } else if (over.contains(incarnation)) {
+    departed.insert({incarnation, event.state});
+  } else if (departed.contains(incarnation)) {
     add(observer_name + ": " + event.name + " in incarnation " + std::to_string(event.incarnation) +
-        " went from " + std::string(name_of(over.at(incarnation))) + " back to " +
+        " went from " + std::string(name_of(departed.at(incarnation))) + " back to " +
         std::string(name_of(event.state)));
   }
 }
--- a/tests/cluster_test.cpp
+++ b/tests/cluster_test.cpp
@@ -19,15 +19,15 @@
           {"start", start}, {"standing", standing}, {"members", members}};
 }
 
-json::array shows(std::vector<std::tuple<const char*, int, const char*>> members) {
+json::array member_list(std::vector<std::tuple<const char*, int, const char*>> members) {
   json::array all;
   for (const auto& [name, start, state] : members) all.push_back(json::array{name, start, state});
   return all;
 }
 
 // Two gateways and one request, without a violation.
-std::vector<Line> good_history() {
-  const auto both = shows({{"g0", 10, "alive"}, {"g1", 11, "alive"}});
+std::vector<Line> valid_history() {
+  const auto both = member_list({{"g0", 10, "alive"}, {"g1", 11, "alive"}});
   std::vector<Line> h;
   h.push_back(
       {{"t", 0}, {"what", "schedule"}, {"name", "n"}, {"seed", 1}, {"text", "gateways = 2\nsettle = 5\n"}});
@@ -37,10 +37,10 @@
   h.push_back(view(100, "g0", 1, 10, both));
   h.push_back(view(101, "g1", 2, 11, both));
   const std::string id = "0000000000000001";
-  const auto about = [&id](double t, const char* what) {
+  const auto event_line = [&id](double t, const char* what) {
     return Line{{"t", t}, {"what", what}, {"gateway", "g0"}, {"process", 1}, {"request", id}};
   };
-  auto taken = about(200, "taken");
+  auto taken = event_line(200, "taken");
   taken["class"] = "pay", taken["plan"] = "team", taken["customer"] = 1, taken["expires"] = 3200;
   h.push_back(taken);
   for (const char* what : {"came", "made", "over"}) {
@@ -48,7 +48,7 @@
     if (std::string(what) == "made") line["value"] = "v";
     h.push_back(line);
   }
-  auto served = about(220, "served");
+  auto served = event_line(220, "served");
   served["value"] = "v";
   h.push_back(served);
   h.push_back(view(2000, "g0", 1, 10, both));
@@ -70,70 +70,70 @@
                       [&](Line& l) { return l.at("what").as_string() == what && which-- == 0; });
 }
 
-TEST(ClusterCheck, AGoodHistoryHasNoBreach) {
-  EXPECT_EQ(violations(good_history()), "");
-  const auto verdict = check(good_history());
+TEST(ClusterCheck, AValidHistoryHasNoViolation) {
+  EXPECT_EQ(violations(valid_history()), "");
+  const auto verdict = check(valid_history());
   EXPECT_EQ(verdict.served, 1U);
   EXPECT_EQ(verdict.converged_after, 101);
 }
 
-TEST(ClusterCheck, OneThatIsOverAndReturns) {
-  auto h = good_history();
+TEST(ClusterCheck, ReportsAFailedMemberThatReturns) {
+  auto h = valid_history();
   auto end = h.end() - 3;
-  end = h.insert(end, view(3000, "g0", 1, 10, shows({{"g0", 10, "alive"}, {"g1", 11, "failed"}})));
+  end = h.insert(end, view(3000, "g0", 1, 10, member_list({{"g0", 10, "alive"}, {"g1", 11, "failed"}})));
   EXPECT_NE(violations(h).find("after it had failed or left"), std::string::npos);
   const auto verdict = check(h);
   EXPECT_EQ(verdict.false_failures, 1U);
 }
 
-TEST(ClusterCheck, ViewsThatDifferAtTheEnd) {
+TEST(ClusterCheck, ReportsViewsThatDifferAtTheEnd) {
   for (const auto& members :
-       {shows({{"g0", 10, "alive"}}), shows({{"g0", 10, "alive"}, {"g1", 11, "suspect"}}),
-        shows({{"g0", 10, "alive"}, {"g1", 12, "alive"}}),
-        shows({{"g0", 10, "alive"}, {"g1", 11, "alive"}, {"g2", 1, "alive"}})}) {
-    auto h = good_history();
+       {member_list({{"g0", 10, "alive"}}), member_list({{"g0", 10, "alive"}, {"g1", 11, "suspect"}}),
+        member_list({{"g0", 10, "alive"}, {"g1", 12, "alive"}}),
+        member_list({{"g0", 10, "alive"}, {"g1", 11, "alive"}, {"g2", 1, "alive"}})}) {
+    auto h = valid_history();
     (h.end() - 3)->at("members") = members;
     EXPECT_NE(violations(h).find("views do not agree at the end"), std::string::npos)
         << json::serialize(members);
   }
-  auto h = good_history();
+  auto h = valid_history();
   (h.end() - 3)->at("standing") = "doubtful";
   EXPECT_NE(violations(h).find("reports standing doubtful"), std::string::npos);
-  h = good_history();
+  h = valid_history();
   h.erase(h.end() - 2);
   (h.end() - 2)->at("t") = 9000;
   EXPECT_NE(violations(h).find("sent no view for more than 3 s"), std::string::npos);
 }
 
-TEST(ClusterCheck, AgreementThatComesTooLate) {
-  auto h = good_history();
+TEST(ClusterCheck, ReportsLateAgreement) {
+  auto h = valid_history();
   h.front()["text"] = "gateways = 2\nsettle = 5\nagree_within = 0.05\n";
   EXPECT_NE(violations(h).find("ms after the last fault"), std::string::npos);
 }
 
-TEST(ClusterCheck, TwoOfOneNameThatNobodyReports) {
-  auto h = good_history();
+TEST(ClusterCheck, ReportsAMissedNameConflict) {
+  auto h = valid_history();
   h.insert(h.begin() + 4, Line{{"t", 3}, {"what", "start"}, {"gateway", "g1"}, {"process", 3}});
   h.back()["t"] = 9000;
   EXPECT_NE(violations(h).find("never reported a name conflict"), std::string::npos);
 }
 
-TEST(ClusterCheck, TheRulesAreJudgedByHostsAndClients) {
-  auto h = good_history();
+TEST(ClusterCheck, ChecksTheRulesByTheEventsOfHostsAndClients) {
+  auto h = valid_history();
   h.erase(line_of(h, "served"));
   EXPECT_NE(violations(h).find("no request lost"), std::string::npos);
 
-  h = good_history();
+  h = valid_history();
   auto again = *line_of(h, "came");
   again["t"] = 214, again["connection"] = 2;
   h.insert(line_of(h, "served"), again);
   EXPECT_NE(violations(h).find("no effect twice"), std::string::npos);
 
-  h = good_history();
+  h = valid_history();
   line_of(h, "served")->at("value") = "another";
   EXPECT_NE(violations(h).find("which no host produced"), std::string::npos);
 
-  h = good_history();
+  h = valid_history();
   h.insert(h.begin() + 4, Line{{"t", 5}, {"what", "told"}, {"host", "h0"}, {"state", "leaving"}});
   for (const char* what : {"taken", "came", "made", "over", "served"}) {
     auto line = line_of(h, what);
@@ -141,7 +141,7 @@
   }
   EXPECT_NE(violations(h).find("drains kept"), std::string::npos) << violations(h);
 
-  h = good_history();
+  h = valid_history();
   line_of(h, "came")->at("request") = "0000000000000009";
   EXPECT_NE(violations(h).find("which no client sent"), std::string::npos);
 }
@@ -150,7 +150,7 @@
 // answer of a killed gateway after the kill was recorded.
 TEST(ClusterCheck, AnAnswerWrittenBeforeAKillMayBeReadAfterIt) {
   const auto history = [] {
-    auto h = good_history();
+    auto h = valid_history();
     h.insert(line_of(h, "served"),
              Line{{"t", 215}, {"what", "end"}, {"gateway", "g0"}, {"process", 1}, {"killed", true}});
     return h;
@@ -164,14 +164,14 @@
   EXPECT_NE(violations(wrong).find("which no host produced for it"), std::string::npos);
 }
 
-TEST(ClusterCheck, ARunThatBrokeOffIsNoSuccess) {
-  auto h = good_history();
+TEST(ClusterCheck, ReportsAnUnfinishedRun) {
+  auto h = valid_history();
   h.pop_back();
   EXPECT_NE(violations(h).find("not finished"), std::string::npos);
   EXPECT_THROW(check({}), std::runtime_error);
 }
 
-TEST(ClusterSchedule, SaysWhereItIsWrongAndWhatWouldBeRight) {
+TEST(ClusterSchedule, ErrorsNameThePositionAndWhatIsExpected) {
   const auto why = [](const std::string& text) -> std::string {
     try {
       parse_schedule(text, "s.toml");
--- a/tests/emulators_test.cpp
+++ b/tests/emulators_test.cpp
@@ -74,15 +74,15 @@
   EXPECT_GT(failed, 5u);  // the hosts did fail, and requests that may have run are not retried
 }
 
-TEST(EmulatorsTest, ADrainToldByDiscoveryEndsNewWork) {
+TEST(EmulatorsTest, ADrainingHostGetsNoNewRequests) {
   EmulatedSite site(2, {.mean_ms = 0});
   Program gateway(config(site.discovery.full_list(), site.discovery.port()));
   auto client = gateway.client();
-  const auto ask = [&](unsigned n) {
+  const auto reply_to = [&](unsigned n) {
     client.send(query(n));
     return client.reply();
   };
-  EXPECT_TRUE(ask(1).starts_with("value of"));
+  EXPECT_TRUE(reply_to(1).starts_with("value of"));
   site.run_on_loop([&] { site.discovery.set("s-1", site.hosts[0]->port(), "leaving"); });
   // The change takes effect asynchronously, so the first requests may still reach the draining host. It has
   // taken effect when none of fifty does.
@@ -90,19 +90,19 @@
   unsigned n = 2;
   for (int round = 0; round < 200 && after != before; ++round) {
     site.run_on_loop([&] { before = site.hosts[0]->received(); });
-    for (int i = 0; i < 50; ++i) EXPECT_TRUE(ask(n++).starts_with("value of"));
+    for (int i = 0; i < 50; ++i) EXPECT_TRUE(reply_to(n++).starts_with("value of"));
     site.run_on_loop([&] { after = site.hosts[0]->received(); });
   }
   EXPECT_EQ(before, after);
   site.run_on_loop([&] { site.discovery.set("s-1", site.hosts[0]->port(), "active"); });
   for (int i = 0; i < 20'000 && after == before; ++i) {
-    EXPECT_TRUE(ask(n++).starts_with("value of"));
+    EXPECT_TRUE(reply_to(n++).starts_with("value of"));
     site.run_on_loop([&] { after = site.hosts[0]->received(); });
   }
   EXPECT_GT(after, before);
 }
 
-TEST(EmulatorsTest, AnOpenLoopOffersItsRateAndChecksEachValue) {
+TEST(EmulatorsTest, TheLoadOffersItsRateAndChecksEachValue) {
   EmulatedSite site(2, {.mean_ms = 1});
   Program gateway(config(site.discovery.full_list(), site.discovery.port()));
   const LoadPlan plan{.rate = 50, .seconds = 1, .warm_up = 0.2, .timeout_ms = 30'000};
@@ -114,7 +114,7 @@
   EXPECT_EQ(r.latency_ms.size(), r.served);
 }
 
-TEST(EmulatorsTest, AHostFailsAsItIsTold) {
+TEST(EmulatorsTest, AHostInjectsTheConfiguredFaults) {
   const auto first_reply = [](const Behaviour& behaviour) {
     EmulatedSite site(1, behaviour);
     auto peer = Peer::connect(site.hosts[0]->port());
