--- a/emulators/host_emulator.cpp
+++ b/emulators/host_emulator.cpp
@@ -81,8 +81,8 @@
         false, id};
     open_requests_.push_back(id);
     owner_.record_(RequestEvent::kReceived, id, number_, {});
-    double luck = owner_.draw();
-    const auto is_selected = [&luck](double part) { return (luck -= part) < 0; };
+    double remaining_draw = owner_.draw();
+    const auto is_selected = [&remaining_draw](double part) { return (remaining_draw -= part) < 0; };
     if (is_selected(b.busy)) {
       pending.text = "-BUSY\r\n";
       owner_.record_(RequestEvent::kNotExecuted, id, number_, {});
--- a/emulators/proxy/main.cpp
+++ b/emulators/proxy/main.cpp
@@ -137,10 +137,10 @@
     child_->signal(SIGTERM);
     const auto line = child_->log_until("external processor totals: asked");
     std::map<std::string, std::uint64_t> totals;
-    std::istringstream words(line.substr(line.find("asked")));
-    for (std::string word; words >> word;) {
-      const auto eq = word.find('=');
-      totals[word.substr(0, eq)] = std::stoull(word.substr(eq + 1));
+    std::istringstream fields(line.substr(line.find("asked")));
+    for (std::string field; fields >> field;) {
+      const auto eq = field.find('=');
+      totals[field.substr(0, eq)] = std::stoull(field.substr(eq + 1));
     }
     child_->exit_code();
     return totals;
@@ -164,17 +164,17 @@
 
 struct Setup {
   Setup(const std::string& program, const HttpFaults& faults) {
-    std::vector<std::string> listed;
+    std::vector<std::string> targets;
     for (HostId h = 1; h <= 4; ++h) {
       hosts.push_back(std::make_unique<HttpHost>(faults, h, checker.record_of(h)));
-      listed.push_back(target("s-" + std::to_string(h), hosts.back()->port()));
+      targets.push_back(target("s-" + std::to_string(h), hosts.back()->port()));
     }
     // One listed host without a server: connections to it are refused.
     {
-      Listener dead;
-      listed.push_back(target("s-5", dead.port()));
+      Listener unreachable;
+      targets.push_back(target("s-5", unreachable.port()));
     }
-    processor = std::make_unique<Processor>(program, listed);
+    processor = std::make_unique<Processor>(program, targets);
     other_host = std::make_unique<HttpHost>(HttpFaults{}, 9, checker.record_of(9));
     proxy = std::make_unique<Proxy>(ProxyOptions{
         .processor = processor->port(), .other_endpoint = "127.0.0.1:" + std::to_string(other_host->port())});
@@ -187,42 +187,42 @@
 };
 
 int tour(const std::string& program) {
-  Setup b(program, {});
+  Setup setup(program, {});
   std::printf(
       "external processor on 127.0.0.1:%d, a proxy on 127.0.0.1:%d, four hosts and an unreachable one\n",
-      b.processor->port(), b.proxy->port());
-  HttpClient client(b.proxy->port());
+      setup.processor->port(), setup.proxy->port());
+  HttpClient client(setup.proxy->port());
   std::uint64_t id = 0;
-  bool good = true;
+  bool passed = true;
   for (int round = 0; round < 4; ++round) {
     for (std::uint32_t c = 0; c < 3; ++c) {
-      b.checker.record_request(++id, c);
+      setup.checker.record_request(++id, c);
       std::string body;
       const int status = client.request(kClasses[c], id, "", body);
       std::printf("  GET /items/%-3llu class %-7s -> %d %s\n", static_cast<unsigned long long>(id),
                   kClasses[c], status, body.c_str());
-      good = good && status != 0;
+      passed = passed && status != 0;
     }
   }
   std::string body;
   const int status = client.request("nope", ++id, "", body);
   std::printf("  an unknown class                -> %d %s\n", status, body.c_str());
-  good = good && status == 400;
-  const auto totals = b.processor->stop();
+  passed = passed && status == 400;
+  const auto totals = setup.processor->stop();
   std::printf("the processor's totals:");
   for (const auto& [name, n] : totals) {
     if (n > 0) std::printf(" %s %llu", name.c_str(), static_cast<unsigned long long>(n));
   }
   std::printf("\n");
-  return good && b.checker.violations().empty() ? 0 : 1;
+  return passed && setup.checker.violations().empty() ? 0 : 1;
 }
 
 int storm(const std::string& program, std::uint64_t requests, int threads, double misbehaving, int kills) {
-  Setup b(program, {.error = 0.03, .overloaded = 0.03, .disconnect = 0.02, .mean_ms = 0.5});
+  Setup setup(program, {.error = 0.03, .overloaded = 0.03, .disconnect = 0.02, .mean_ms = 0.5});
   std::atomic<std::uint64_t> next{0};
   std::mutex mutex;
   std::map<int, std::uint64_t> statuses;
-  std::uint64_t wrong = 0;
+  std::uint64_t mismatched = 0;
   const char* misbehaviours[] = {"cancel-asked", "cancel-decided", "half-close", "silent",
                                  "twice",        "elsewhere",      "stubborn"};
   const auto begin = std::chrono::steady_clock::now();
@@ -231,18 +231,19 @@
     for (int t = 0; t < threads; ++t) {
       clients.emplace_back([&, t] {
         std::mt19937_64 random(static_cast<std::uint64_t>(t) + 1);
-        HttpClient client(b.proxy->port());
+        HttpClient client(setup.proxy->port());
         for (;;) {
           const auto id = ++next;
           if (id > requests) return;
           const auto c = static_cast<std::uint32_t>(random() % 3);
-          const bool bad = static_cast<double>(random() % 10'000) < misbehaving * 10'000;
-          b.checker.record_request(id, c);
+          const bool misbehaves = static_cast<double>(random() % 10'000) < misbehaving * 10'000;
+          setup.checker.record_request(id, c);
           std::string body;
-          const int status = client.request(kClasses[c], id, bad ? misbehaviours[random() % 7] : "", body);
+          const int status =
+              client.request(kClasses[c], id, misbehaves ? misbehaviours[random() % 7] : "", body);
           const std::lock_guard lock(mutex);
           ++statuses[status];
-          if (status == 200 && body != "made for " + std::to_string(id)) ++wrong;
+          if (status == 200 && body != "made for " + std::to_string(id)) ++mismatched;
         }
       });
     }
@@ -250,14 +251,14 @@
     for (int k = 1; k <= kills; ++k) {
       const auto at = requests * static_cast<std::uint64_t>(k) / static_cast<std::uint64_t>(kills + 1);
       while (next < at) std::this_thread::sleep_for(std::chrono::milliseconds(1));
-      b.processor->kill_and_restart();
+      setup.processor->kill_and_restart();
     }
   }
   const double seconds = std::chrono::duration<double>(std::chrono::steady_clock::now() - begin).count();
-  const auto& p = b.proxy->totals();
-  auto t = b.processor->stop();
+  const auto& p = setup.proxy->totals();
+  auto t = setup.processor->stop();
   std::printf("%llu requests in %.1f s; hosts received %llu\n", static_cast<unsigned long long>(requests),
-              seconds, static_cast<unsigned long long>(b.checker.requests_received()));
+              seconds, static_cast<unsigned long long>(setup.checker.requests_received()));
   std::printf("statuses:");
   for (const auto& [status, n] : statuses)
     std::printf(" %d: %llu", status, static_cast<unsigned long long>(n));
@@ -270,11 +271,11 @@
               (unsigned long long)t["again"], (unsigned long long)t["named"],
               (unsigned long long)t["refused"], (unsigned long long)t["failed"],
               (unsigned long long)t["left"]);
-  std::vector<std::string> bad = b.checker.violations();
+  std::vector<std::string> failures = setup.checker.violations();
   const auto expect = [&](bool holds, const std::string& what) {
-    if (!holds) bad.push_back(what);
+    if (!holds) failures.push_back(what);
   };
-  expect(wrong == 0, "responses that belong to other requests");
+  expect(mismatched == 0, "responses that belong to other requests");
   expect(p.extra == 0, "a second decision for one call");
   if (kills > 0) {  // a killed processor loses its totals; the hosts' events are still checked
     std::printf("%d kills; %llu calls broke\n", kills, static_cast<unsigned long long>(p.broken));
@@ -291,11 +292,11 @@
     expect(t["refused"] >= p.refused && t["refused"] - p.refused <= p.undecided, "refusals");
     expect(t["failed"] >= p.failed && t["failed"] - p.failed <= p.undecided, "failures");
   }
-  for (std::size_t i = 0; i < bad.size() && i < 20; ++i) std::printf("WRONG: %s\n", bad[i].c_str());
-  if (bad.empty()) {
+  for (std::size_t i = 0; i < failures.size() && i < 20; ++i) std::printf("WRONG: %s\n", failures[i].c_str());
+  if (failures.empty()) {
     std::printf("%sno violation in the hosts' events\n", kills > 0 ? "" : "one decision per request; ");
   }
-  return bad.empty() ? 0 : 1;
+  return failures.empty() ? 0 : 1;
 }
 
 }  // namespace
@@ -308,17 +309,19 @@
   int threads = 16;
   double misbehaving = 0.06;
   int kills = 0;
-  auto* shown = app.add_subcommand("tour", "sends a few requests and prints the responses");
-  shown->add_option("program", program)->required()->check(CLI::ExistingFile);
-  auto* stormed = app.add_subcommand("storm", "sends many requests under faults and checks the results");
-  stormed->add_option("program", program)->required()->check(CLI::ExistingFile);
-  stormed->add_option("--requests", requests);
-  stormed->add_option("--threads", threads);
-  stormed->add_option("--misbehaving", misbehaving, "fraction of requests on which the proxy misbehaves");
-  stormed->add_option("--kills", kills, "how often the processor is killed and restarted");
+  auto* tour_command = app.add_subcommand("tour", "sends a few requests and prints the responses");
+  tour_command->add_option("program", program)->required()->check(CLI::ExistingFile);
+  auto* storm_command =
+      app.add_subcommand("storm", "sends many requests under faults and checks the results");
+  storm_command->add_option("program", program)->required()->check(CLI::ExistingFile);
+  storm_command->add_option("--requests", requests);
+  storm_command->add_option("--threads", threads);
+  storm_command->add_option("--misbehaving", misbehaving,
+                            "fraction of requests on which the proxy misbehaves");
+  storm_command->add_option("--kills", kills, "how often the processor is killed and restarted");
   CLI11_PARSE(app, argc, argv);
   try {
-    return shown->parsed() ? tour(program) : storm(program, requests, threads, misbehaving, kills);
+    return tour_command->parsed() ? tour(program) : storm(program, requests, threads, misbehaving, kills);
   } catch (const std::exception& error) {
     std::fprintf(stderr, "proxy-emulator: %s\n", error.what());
     return 1;
