--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -176,7 +176,7 @@
     Call* call = events.get();
     H2Peer& peer = *peers_[next_++ % peers_.size()];
     call->call = peer.call(kPath, std::move(events));
-    if (!call->call) throw Hung("no stream could be opened");
+    if (!call->call) throw PeerError("no stream could be opened");
     call->call->send(request_);
     ++open_calls_;
   }
@@ -189,7 +189,7 @@
     if (::poll(fds.data(), fds.size(), wait_ms) > 0) {
       for (std::size_t i = 0; i < fds.size(); ++i) {
         if ((fds[i].revents & POLLIN) && !peers_[i]->take())
-          throw Hung("a connection was closed by the server");
+          throw PeerError("a connection was closed by the server");
       }
     }
     for (; calls_to_start_ > 0; --calls_to_start_) start_call(Steady::now());
@@ -216,7 +216,7 @@
     pin(0, 0);
     child_ = std::make_unique<Child>(command, environment);
     pin(1, static_cast<int>(std::thread::hardware_concurrency()) - 1);
-    port_ = child_->port_after(ready);
+    port_ = child_->logged_port(ready);
   }
   int port() const { return port_; }
   double cpu_seconds() const {
@@ -355,7 +355,7 @@
         auto peer = Peer::connect(port_);
         ++connections_;
         peer.send(*payloads[n % 5]);
-      } catch (const Hung&) {  // the server closed the connection
+      } catch (const PeerError&) {  // the server closed the connection
       }
     }
   }
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -111,7 +111,7 @@
   std::string ports;
   for (const auto& h : s.hosts) ports += (ports.empty() ? "" : ",") + std::to_string(h->port());
   Child relay({s.relay, "relay", "--hosts", ports}, {});
-  return measure(s, relay.port_after("ready: relay"), relay.pid());
+  return measure(s, relay.logged_port("ready: relay"), relay.pid());
 }
 
 double median(std::vector<double> all) {
@@ -130,7 +130,7 @@
               median_of([](auto& r) { return static_cast<double>(r.load.offered) / r.load.seconds; }),
               median_of([](auto& r) { return static_cast<double>(r.load.served) / r.load.seconds; }),
               median_of([](auto& r) { return static_cast<double>(r.load.refused); }), median_of([](auto& r) {
-                return static_cast<double>(r.load.failed + r.load.unanswered + r.load.wrong);
+                return static_cast<double>(r.load.failed + r.load.unanswered + r.load.mismatched);
               }),
               median_of([](auto& r) { return r.load.percentile(0.5); }),
               median_of([](auto& r) { return r.load.percentile(0.99); }),
@@ -178,7 +178,7 @@
       discovery.set("s-" + std::to_string(i), hosts.back()->port(), "active");
     }
     std::jthread servers([&io] { io.run(); });
-    Setup setup{hosts, plan, config(discovery.whole(), discovery.port()), relay, settings, peers};
+    Setup setup{hosts, plan, config(discovery.full_list(), discovery.port()), relay, settings, peers};
     setup.conf["limits"].as_object()["sockets"] = sockets;
     std::printf("%d hosts of %.1f ms, %d rounds of %.0f s, medians; latency in ms from the intended start\n",
                 host_count, behaviour.mean_ms, rounds, plan.seconds);
--- a/emulators/membership_checker.h
+++ b/emulators/membership_checker.h
@@ -1,4 +1,4 @@
-// What has to hold for all members of a cluster, at any time and once all faults have ended.
+// Checks properties that hold for all members of a cluster, at any time and after all faults have ended.
 #pragma once
 
 #include <cstddef>
@@ -15,16 +15,16 @@
 // Collects violations as text.
 class MembershipChecker {
  public:
-  // To be called for each event at each process; `observer` is any number that no other process has.
+  // Must be called for each event at each process; `observer` is a number unique to the process.
   void observe(std::uint64_t observer, const std::string& observer_name,
                const membership::MembershipEvent& event);
-  // Once all faults have ended: what one process shows, against the incarnations of those that run.
+  // Compares one process's view with the incarnations of the running members, after all faults have ended.
   void check_final_view(const std::string& observer, const std::vector<membership::MemberView>& shown,
                         const std::map<std::string, std::uint64_t>& running);
   const std::vector<std::string>& violations() const { return violations_; }
 
  private:
-  using Incarnation = std::pair<std::string, std::uint64_t>;  // of a member's name
+  using Incarnation = std::pair<std::string, std::uint64_t>;  // a member's name and incarnation
 
   static constexpr std::size_t kMaxViolations = 20;
 
@@ -32,7 +32,8 @@
     if (violations_.size() < kMaxViolations) violations_.push_back(std::move(violation));
   }
 
-  std::map<std::uint64_t, std::map<Incarnation, membership::MemberState>> over_;  // by observer
+  std::map<std::uint64_t, std::map<Incarnation, membership::MemberState>>
+      departed_;  // members that were failed or left, by observer
   std::vector<std::string> violations_;
 };
 
@@ -40,13 +41,13 @@
                                        const membership::MembershipEvent& event) {
   using membership::MemberState;
   if (event.kind != membership::MembershipEvent::kMemberChanged) return;
-  auto& over = over_[observer];
+  auto& departed = departed_[observer];
   const Incarnation incarnation{event.name, event.incarnation};
   if (event.state == MemberState::kFailed || event.state == MemberState::kLeft) {
-    over.insert({incarnation, event.state});
-  } else if (over.contains(incarnation)) {
+    departed.insert({incarnation, event.state});
+  } else if (departed.contains(incarnation)) {
     add(observer_name + ": " + event.name + " in incarnation " + std::to_string(event.incarnation) +
-        " went from " + std::string(name_of(over.at(incarnation))) + " back to " +
+        " went from " + std::string(name_of(departed.at(incarnation))) + " back to " +
         std::string(name_of(event.state)));
   }
 }
@@ -65,14 +66,14 @@
   for (const auto& [name, incarnation] : running) {
     const auto entry = alive.find(name);
     if (entry == alive.end()) {
-      add(observer + " does not show " + name + " alive, which runs");
+      add(observer + " does not show " + name + " alive, although it runs");
     } else if (entry->second != incarnation) {
       add(observer + " shows " + name + " in incarnation " + std::to_string(entry->second) + ", it has " +
           std::to_string(incarnation));
     }
   }
   for (const auto& [name, incarnation] : alive) {
-    if (!running.contains(name)) add(observer + " shows " + name + " alive, which does not run");
+    if (!running.contains(name)) add(observer + " shows " + name + " alive, although it does not run");
   }
 }
 
--- a/emulators/relay.h
+++ b/emulators/relay.h
@@ -1,5 +1,6 @@
-// A plain RESP2 relay with no decisions: what any gateway on sockets costs at least. Each client connection
-// has one connection to a host, by turns; commands go through whole, of answers the value.
+// A RESP2 relay without admission or routing, the baseline for the cost of a gateway. Each client connection
+// gets a connection to one host, in rotation; commands are forwarded whole, of replies only the value or the
+// error.
 #pragma once
 
 #include <boost/asio.hpp>
@@ -15,13 +16,13 @@
   int port() const { return acceptor_.local_endpoint().port(); }
 
  private:
-  class Pair;
+  class Connection;
   void accept();
 
   boost::asio::io_context& io_;
   boost::asio::ip::tcp::acceptor acceptor_;
   std::vector<int> hosts_;
-  std::size_t turn_ = 0;
+  std::size_t next_host_ = 0;
 };
 
 }  // namespace cometfold::emulators
--- a/tests/fault_shim.h
+++ b/tests/fault_shim.h
@@ -23,9 +23,9 @@
   FaultPlan() : path_(std::filesystem::temp_directory_path() / ("fault-plan-" + std::to_string(::getpid()))) {
     const Fd file(::open(path_.c_str(), O_RDWR | O_CREAT | O_TRUNC | O_CLOEXEC, 0600));
     if (file.get() < 0 || ::ftruncate(file.get(), sizeof(Plan)) != 0)
-      throw Hung("can't create the fault plan file");
+      throw PeerError("can't create the fault plan file");
     void* at = ::mmap(nullptr, sizeof(Plan), PROT_READ | PROT_WRITE, MAP_SHARED, file.get(), 0);
-    if (at == MAP_FAILED) throw Hung("can't map the fault plan file");
+    if (at == MAP_FAILED) throw PeerError("can't map the fault plan file");
     plan_ = static_cast<Plan*>(at);
   }
   ~FaultPlan() {
--- a/tests/list_terms_test.cpp
+++ b/tests/list_terms_test.cpp
@@ -40,7 +40,7 @@
 void expect_no_retry_after(const std::string& next_list, const std::string& zone, Listener& first,
                            Listener& second, Listener& discovery, Program& program) {
   auto watch = discovery.accept();
-  watch_head(watch);
+  answer_watch_request(watch);
   auto client = program.client();
   client.send(submit("hold", 1));
   auto connection = first.accept();
@@ -119,7 +119,7 @@
     if (before_start) plan.step_wall_clock(GetParam());
     Program program(conf, plan.environment());
     auto watch = discovery.accept();
-    watch_head(watch);
+    answer_watch_request(watch);
     // A step of a few seconds can be distinguished from a late list only after discovery has confirmed that
     // nothing has changed.
     if (std::abs(GetParam()) < 30) chunk(watch, "\n");
@@ -151,7 +151,7 @@
   Program program{conf};
   Peer watch = discovery.accept();
 
-  AddressChange() { watch_head(watch); }
+  AddressChange() { answer_watch_request(watch); }
   // Reloads the configuration with the new address. Returns the gateway's first connection to it.
   Peer reload_with_new_address() {
     conf["discovery"] = "127.0.0.1:" + std::to_string(new_discovery.port());
@@ -170,9 +170,9 @@
     change.hosts.send_requests(change.program, 20);
   } while (change.hosts.first().received() != before);
   auto fetch = change.reload_with_new_address();
-  whole_list(fetch, list(9, true, {change.first_target, change.second_target}));
+  answer_list_request(fetch, list(9, true, {change.first_target, change.second_target}));
   auto follow = change.new_discovery.accept();
-  watch_head(follow);
+  answer_watch_request(follow);
   change.hosts.send_requests(change.program, 20);
   EXPECT_EQ(change.hosts.first().received(), before);
 }
@@ -194,7 +194,7 @@
     chunk(change.watch, list(10, false, {target("s-1", change.hosts.first().port(), "leaving")}) + "\n");
   }
   auto follow = change.new_discovery.accept();  // by now both have been handled
-  watch_head(follow);
+  answer_watch_request(follow);
   std::this_thread::sleep_for(300ms);
   const auto before = change.hosts.first().received();
   change.hosts.send_requests(change.program, 20);
--- a/tests/system_faults_test.cpp
+++ b/tests/system_faults_test.cpp
@@ -36,8 +36,8 @@
     auto aborted = program.client();
     while (plan.hits(Call::kAccept) == 0) std::this_thread::sleep_for(1ms);
     client.send(command({"PING"}));
-    EXPECT_FALSE(client.quiet(5000)) << "the gateway does not respond after accept failed with errno "
-                                     << error;
+    EXPECT_FALSE(client.receives_nothing(5000))
+        << "the gateway does not respond after accept failed with errno " << error;
     program.terminate();
     auto last_client = program.client();  // lets a gateway that blocks in accept continue, so that it ends
   }
@@ -121,7 +121,7 @@
   // A line has about 60 bytes and a pipe holds 64 KiB, so the pipe is full before the last request.
   for (unsigned n = 2; n < 1900; ++n) {
     client.send(command({"SVC.QUERY", id(n), id(n), "c=lookup,t=team,d=1,units=1,spread=2,first=0"}));
-    ASSERT_FALSE(client.quiet(10'000)) << "no answer to request " << n;
+    ASSERT_FALSE(client.receives_nothing(10'000)) << "no answer to request " << n;
     client.reply();
   }
   std::filesystem::remove(settings);
@@ -139,12 +139,13 @@
     ::unlink(path_.c_str());
     if (::bind(fd_.get(), reinterpret_cast<const sockaddr*>(&address), sizeof address) != 0 ||
         ::listen(fd_.get(), 4) != 0) {
-      throw Hung("can't listen at the hand-over path");
+      throw PeerError("can't listen at the hand-over path");
     }
   }
   ~HangingPredecessor() { ::unlink(path_.c_str()); }
   void await_connection() {
-    if (!readable(fd_.get(), kHangMs)) throw Hung("the program does not connect to the hand-over path");
+    if (!readable(fd_.get(), kWaitTimeoutMs))
+      throw PeerError("the program does not connect to the hand-over path");
   }
 
  private:
