--- a/src/explore/world.cpp
+++ b/src/explore/world.cpp
@@ -92,7 +92,7 @@
 void World::report_violation(const std::string& rule, const std::string& description) {
   if (violation_) return;
   violation_ = rules::Violation{rule, description};
-  log("rule violated: " + rule + ": " + description);
+  log("BROKEN: " + rule + ": " + description);
 }
 
 void World::log(const std::string& text) {
