--- a/emulators/cluster/play.cpp
+++ b/emulators/cluster/play.cpp
@@ -128,7 +128,7 @@
     const auto pattern = std::filesystem::temp_directory_path() / folder;
     std::string path = pattern.string();
     if (!::mkdtemp(path.data()))
-      throw PeerError("can't create a directory for the gateways' settings in " + path);
+      throw PeerError("can't create a temporary directory for the gateways' settings");
     folder_ = path;
   }
   ~Run() {
