--- a/bench/action_stream/simulated_day.cpp
+++ b/bench/action_stream/simulated_day.cpp
@@ -43,7 +43,7 @@
     const Event event = queue_.top();
     queue_.pop();
     now_ = event.at;
-    play(event);
+    handle(event);
     if (submitted_requests_ == succession_at && event.kind == EventKind::kRequest) start_succession();
   }
   add(std::uint64_t{controller_.excluded_host_count(now_)});
@@ -59,7 +59,7 @@
   queue_.push(event);
 }
 
-void SimulatedDay::play(const Event& event) {
+void SimulatedDay::handle(const Event& event) {
   switch (event.kind) {
     case EventKind::kRequest:
       return request();
--- a/bench/action_stream/simulated_day.h
+++ b/bench/action_stream/simulated_day.h
@@ -68,7 +68,7 @@
   double draw() { return static_cast<double>(random_() >> 11) * 0x1.0p-53; }
   bool chance(double probability) { return probability > 0 && draw() < probability; }
   void push(cometfold::Ms at, Event event);
-  void play(const Event& event);
+  void handle(const Event& event);
   void request();
   void change_list();
   void replace_list();
--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -84,7 +84,7 @@
 }
 
 struct Result {
-  std::uint64_t done = 0, named = 0, answered = 0, broken = 0;
+  std::uint64_t completed = 0, routed = 0, immediate_responses = 0, failed = 0;
   std::vector<float> latency_ms;
 };
 
@@ -101,10 +101,10 @@
     result_ = {};
     const auto begin = Steady::now();
     stop_at_ = begin + to_duration(seconds);
-    again_ = true;
-    for (std::size_t i = 0; i < in_flight; ++i) start(Steady::now());
-    while (Steady::now() < stop_at_) turn(1);
-    again_ = false;
+    closed_loop_ = true;
+    for (std::size_t i = 0; i < in_flight; ++i) start_call(Steady::now());
+    while (Steady::now() < stop_at_) poll_connections(1);
+    closed_loop_ = false;
     const auto counted = result_;
     finish();
     return counted;
@@ -112,74 +112,74 @@
   // Calls at `rate` a second, whatever comes back.
   Result open_loop(double rate, double seconds) {
     result_ = {};
-    again_ = false;
+    closed_loop_ = false;
     std::exponential_distribution<double> gap(rate);
     const auto begin = Steady::now();
     double next = gap(random_);
     while (next < seconds) {
       const double now = seconds_since(begin);
       while (next <= now && next < seconds) {
-        start(begin + to_duration(next));
+        start_call(begin + to_duration(next));
         next += gap(random_);
       }
-      turn(0);
+      poll_connections(0);
     }
     finish();
     return result_;
   }
   // Opens `calls` calls and leaves them open after their decision.
-  void hold(std::size_t calls) {
-    hold_ = true;
+  void hold_open(std::size_t calls) {
+    keep_open_ = true;
     for (std::size_t i = 0; i < calls; ++i) {
-      start(Steady::now());
-      if (i % 50 == 0) turn(0);
+      start_call(Steady::now());
+      if (i % 50 == 0) poll_connections(0);
     }
-    while (decided_ < calls) turn(10);
+    while (decided_ < calls) poll_connections(10);
   }
 
  private:
   struct Call : http2::grpc::ClientCallEvents {
-    Call(Driver& d, Steady::time_point at) : owner(d), intended(at) {}
+    Call(Driver& d, Steady::time_point at) : driver(d), intended(at) {}
     void on_message(Ms, std::string_view message) override {
-      if (++heard > 1) return call->half_close();
-      ++owner.decided_;
-      owner.result_.latency_ms.push_back(static_cast<float>(seconds_since(intended) * 1000));
+      if (++messages_received > 1) return call->half_close();
+      ++driver.decided_;
+      driver.result_.latency_ms.push_back(static_cast<float>(seconds_since(intended) * 1000));
       // An immediate response ends the call; its first field is number 7, the routed one's number 1.
       if (!message.empty() && message[0] == 0x3a) {
-        ++owner.result_.answered;
+        ++driver.result_.immediate_responses;
         return;
       }
-      ++owner.result_.named;
-      if (!owner.hold_) call->send(owner.response_);
+      ++driver.result_.routed;
+      if (!driver.keep_open_) call->send(driver.response_);
     }
     void on_status(Ms, const http2::grpc::Status& status) override {
-      --owner.live_;
+      --driver.open_calls_;
       if (status.code == http2::grpc::Code::kOk) {
-        ++owner.result_.done;
+        ++driver.result_.completed;
       } else {
-        ++owner.result_.broken;
+        ++driver.result_.failed;
       }
-      if (owner.again_) ++owner.owed_;
+      if (driver.closed_loop_) ++driver.calls_to_start_;
     }
-    Driver& owner;
+    Driver& driver;
     Steady::time_point intended;
     http2::grpc::ClientCall* call = nullptr;
-    int heard = 0;
+    int messages_received = 0;
   };
 
   static Steady::duration to_duration(double seconds) {
     return std::chrono::duration_cast<Steady::duration>(std::chrono::duration<double>(seconds));
   }
-  void start(Steady::time_point intended) {
+  void start_call(Steady::time_point intended) {
     auto events = std::make_unique<Call>(*this, intended);
     Call* call = events.get();
     H2Peer& peer = *peers_[next_++ % peers_.size()];
     call->call = peer.call(kPath, std::move(events));
     if (!call->call) throw Hung("no stream to be had");
     call->call->send(request_);
-    ++live_;
+    ++open_calls_;
   }
-  void turn(int wait_ms) {
+  void poll_connections(int wait_ms) {
     std::vector<pollfd> fds;
     for (auto& p : peers_) {
       p->flush();
@@ -190,11 +190,11 @@
         if ((fds[i].revents & POLLIN) && !peers_[i]->take()) throw Hung("a connection ended");
       }
     }
-    for (; owed_ > 0; --owed_) start(Steady::now());
+    for (; calls_to_start_ > 0; --calls_to_start_) start_call(Steady::now());
   }
   void finish() {
     const auto begin = Steady::now();
-    while (live_ > 0 && seconds_since(begin) < 10) turn(10);
+    while (open_calls_ > 0 && seconds_since(begin) < 10) poll_connections(10);
   }
 
   std::mt19937_64 random_;
@@ -202,15 +202,15 @@
   std::vector<std::unique_ptr<H2Peer>> peers_;
   Result result_;
   Steady::time_point stop_at_;
-  std::size_t next_ = 0, live_ = 0, owed_ = 0, decided_ = 0;
-  bool again_ = false, hold_ = false;
+  std::size_t next_ = 0, open_calls_ = 0, calls_to_start_ = 0, decided_ = 0;
+  bool closed_loop_ = false, keep_open_ = false;
 };
 
 // A server in a process of its own, on the first core.
-class Target {
+class ServerProcess {
  public:
-  explicit Target(const std::vector<std::string>& command, const std::vector<std::string>& environment,
-                  const std::string& ready) {
+  explicit ServerProcess(const std::vector<std::string>& command, const std::vector<std::string>& environment,
+                         const std::string& ready) {
     pin(0, 0);
     child_ = std::make_unique<Child>(command, environment);
     pin(1, static_cast<int>(std::thread::hardware_concurrency()) - 1);
@@ -243,8 +243,8 @@
                          static_cast<std::size_t>(q * static_cast<double>(sorted.size())))];
 }
 
-struct Figures {
-  double saturated = 0, cpu_us = 0, p50 = 0, p99 = 0, p999 = 0, bytes_a_stream = 0, resident_kb = 0,
+struct Measurements {
+  double saturated = 0, cpu_us = 0, p50 = 0, p99 = 0, p999 = 0, bytes_per_stream = 0, resident_kb = 0,
          open_mb = 0;
   double rate = 0;
   Result at_third;
@@ -258,39 +258,39 @@
   std::size_t in_flight = 64, streams = 10'000;
 };
 
-Result all_threads(const Options& o, int port, const std::function<Result(Driver&, int)>& play) {
+Result run_on_all_threads(const Options& o, int port, const std::function<Result(Driver&, int)>& run) {
   std::vector<Result> results(static_cast<std::size_t>(o.threads));
   std::vector<std::thread> threads;
   for (int t = 0; t < o.threads; ++t) {
     threads.emplace_back([&, t] {
       Driver driver(port, o.connections, 77 + static_cast<std::uint64_t>(t));
-      results[static_cast<std::size_t>(t)] = play(driver, t);
+      results[static_cast<std::size_t>(t)] = run(driver, t);
     });
   }
   for (auto& t : threads) t.join();
   Result sum;
   for (auto& r : results) {
-    sum.done += r.done;
-    sum.named += r.named;
-    sum.answered += r.answered;
-    sum.broken += r.broken;
+    sum.completed += r.completed;
+    sum.routed += r.routed;
+    sum.immediate_responses += r.immediate_responses;
+    sum.failed += r.failed;
     sum.latency_ms.insert(sum.latency_ms.end(), r.latency_ms.begin(), r.latency_ms.end());
   }
   std::sort(sum.latency_ms.begin(), sum.latency_ms.end());
   return sum;
 }
 
-Figures measure(const Options& o, Target& target) {
-  Figures f;
-  all_threads(o, target.port(), [&](Driver& d, int) { return d.saturate(o.in_flight, 1); });  // warm
+Measurements measure(const Options& o, ServerProcess& target) {
+  Measurements f;
+  run_on_all_threads(o, target.port(), [&](Driver& d, int) { return d.saturate(o.in_flight, 1); });  // warm
   const double cpu = target.cpu_seconds();
-  const auto full =
-      all_threads(o, target.port(), [&](Driver& d, int) { return d.saturate(o.in_flight, o.seconds); });
-  f.saturated = static_cast<double>(full.done) / o.seconds;
-  f.cpu_us = (target.cpu_seconds() - cpu) / static_cast<double>(full.done) * 1e6;
+  const auto full = run_on_all_threads(o, target.port(),
+                                       [&](Driver& d, int) { return d.saturate(o.in_flight, o.seconds); });
+  f.saturated = static_cast<double>(full.completed) / o.seconds;
+  f.cpu_us = (target.cpu_seconds() - cpu) / static_cast<double>(full.completed) * 1e6;
   f.rate = f.saturated / 3;
-  f.at_third = all_threads(o, target.port(),
-                           [&](Driver& d, int) { return d.open_loop(f.rate / o.threads, o.seconds); });
+  f.at_third = run_on_all_threads(o, target.port(),
+                                  [&](Driver& d, int) { return d.open_loop(f.rate / o.threads, o.seconds); });
   f.p50 = quantile(f.at_third.latency_ms, 0.5);
   f.p99 = quantile(f.at_third.latency_ms, 0.99);
   f.p999 = quantile(f.at_third.latency_ms, 0.999);
@@ -298,17 +298,17 @@
 }
 
 // On a fresh process: what was used before is not given back.
-void measure_memory(const Options& o, Target& target, Figures& f) {
+void measure_memory(const Options& o, ServerProcess& target, Measurements& f) {
   {
-    Driver warm(target.port(), o.connections, 5);
-    warm.saturate(16, 0.2);
+    Driver warm_up(target.port(), o.connections, 5);
+    warm_up.saturate(16, 0.2);
   }
   f.resident_kb = target.resident_kb();
   Driver driver(target.port(), o.connections, 6);
-  driver.hold(o.streams);
-  const double with = target.resident_kb();
-  f.open_mb = with / 1024;
-  f.bytes_a_stream = (with - f.resident_kb) * 1024 / static_cast<double>(o.streams);
+  driver.hold_open(o.streams);
+  const double with_streams_kb = target.resident_kb();
+  f.open_mb = with_streams_kb / 1024;
+  f.bytes_per_stream = (with_streams_kb - f.resident_kb) * 1024 / static_cast<double>(o.streams);
 }
 
 // Connections that attack in turn, each as fast as it is let: resets, pings, half-open calls, large headers,
@@ -336,23 +336,23 @@
     const std::string call = literal(":method", "POST") + literal(":scheme", "http") +
                              literal(":path", kPath) + literal(":authority", "a") +
                              literal("content-type", "application/grpc");
-    std::string resets = preface, pings = preface, half = preface, large = preface;
+    std::string resets = preface, pings = preface, half_open = preface, large = preface;
     for (std::uint32_t i = 0; i < 5000; ++i) {
       const auto id = 2 * i + 1;
       resets += frame(1, 4, id, call) + frame(3, 0, id, std::string("\0\0\0\10", 4));
       pings += frame(6, 0, 0, "12345678");
-      half += frame(1, 4, id, call);
+      half_open += frame(1, 4, id, call);
     }
-    std::string bloated = call;
-    for (int i = 0; i < 60; ++i) bloated += literal("x-" + std::to_string(i), std::string(120, 'v'));
-    for (std::uint32_t i = 0; i < 200; ++i) large += frame(1, 4, 2 * i + 1, bloated + bloated);
+    std::string large_headers = call;
+    for (int i = 0; i < 60; ++i) large_headers += literal("x-" + std::to_string(i), std::string(120, 'v'));
+    for (std::uint32_t i = 0; i < 200; ++i) large += frame(1, 4, 2 * i + 1, large_headers + large_headers);
     const std::string noise(200'000, 'x');
-    const std::string* all[] = {&resets, &pings, &half, &large, &noise};
+    const std::string* payloads[] = {&resets, &pings, &half_open, &large, &noise};
     for (std::size_t n = 0; !stop.stop_requested(); ++n) {
       try {
         auto peer = Peer::connect(port_);
         ++connections_;
-        peer.send(*all[n % 5]);
+        peer.send(*payloads[n % 5]);
       } catch (const Hung&) {  // it was ended
       }
     }
@@ -363,14 +363,14 @@
 };
 
 // The latency of a good proxy without and with attackers beside it.
-void beside_attackers(const Options& o, Target& target, double rate) {
+void measure_with_attackers(const Options& o, ServerProcess& target, double rate) {
   const auto measured = [&](const char* what) {
-    const auto r = all_threads(o, target.port(),
-                               [&](Driver& d, int) { return d.open_loop(rate / o.threads, o.seconds); });
+    const auto r = run_on_all_threads(
+        o, target.port(), [&](Driver& d, int) { return d.open_loop(rate / o.threads, o.seconds); });
     auto latency = r.latency_ms;
     std::printf("%-28s %9.0f/s  p50 %.2f  p99 %.2f  p99.9 %.2f ms  broken %llu  resident %.1f MB\n", what,
                 rate, quantile(latency, 0.5), quantile(latency, 0.99), quantile(latency, 0.999),
-                static_cast<unsigned long long>(r.broken), target.resident_kb() / 1024);
+                static_cast<unsigned long long>(r.failed), target.resident_kb() / 1024);
   };
   measured("a good proxy alone");
   std::uint64_t attacks = 0;
@@ -420,30 +420,31 @@
   std::ofstream(folder / "config.json") << boost::json::serialize(gateway_config());
   std::ofstream(folder / "own.toml") << "[extproc]\nlisten = \"127.0.0.1:0\"\n";
   const auto processor = [&] {
-    return std::make_unique<Target>(
+    return std::make_unique<ServerProcess>(
         std::vector<std::string>{o.program, "--settings", (folder / "own.toml").string()},
         std::vector<std::string>{"EDGE_NAME=n0", "EDGE_LISTEN=127.0.0.1:0", "EDGE_DISCOVERY=127.0.0.1:9",
                                  "EDGE_CONFIG=" + (folder / "config.json").string()},
         "external processor");
   };
   const auto echo = [&](const std::string& program) {
-    return std::make_unique<Target>(std::vector<std::string>{program}, std::vector<std::string>{}, "echo");
+    return std::make_unique<ServerProcess>(std::vector<std::string>{program}, std::vector<std::string>{},
+                                           "echo");
   };
   if (attack_rate > 0) {
-    beside_attackers(o, *processor(), attack_rate);
+    measure_with_attackers(o, *processor(), attack_rate);
     std::filesystem::remove_all(folder);
     return 0;
   }
-  using Make = std::function<std::unique_ptr<Target>()>;
+  using Make = std::function<std::unique_ptr<ServerProcess>()>;
   std::vector<std::pair<std::string, Make>> targets{{"processor", processor},
                                                     {"http2", [&] { return echo(http2_echo); }}};
   if (std::filesystem::exists(grpc_echo)) targets.emplace_back("grpc", [&] { return echo(grpc_echo); });
   std::printf("%-10s %11s %9s %9s %8s %8s %9s %9s %10s %9s\n", "", "saturated/s", "us CPU", "offered/s",
               "p50 ms", "p99 ms", "p99.9 ms", "resident", "B/stream", "open MB");
-  std::map<std::string, Figures> all;
+  std::map<std::string, Measurements> all;
   for (const auto& [name, make] : targets) {
     if (!only.empty() && only != name) continue;
-    Figures f;
+    Measurements f;
     {
       const auto target = make();
       f = measure(o, *target);
@@ -453,11 +454,12 @@
       measure_memory(o, *target, f);
     }
     std::printf("%-10s %11.0f %9.1f %9.0f %8.2f %8.2f %9.2f %6.1f MB %10.0f %9.1f\n", name.c_str(),
-                f.saturated, f.cpu_us, f.rate, f.p50, f.p99, f.p999, f.resident_kb / 1024, f.bytes_a_stream,
+                f.saturated, f.cpu_us, f.rate, f.p50, f.p99, f.p999, f.resident_kb / 1024, f.bytes_per_stream,
                 f.open_mb);
-    if (name == "processor" && f.at_third.answered + f.at_third.broken > 0) {
+    if (name == "processor" && f.at_third.immediate_responses + f.at_third.failed > 0) {
       std::printf("           of these %zu were refused or failed, %zu broke\n",
-                  static_cast<std::size_t>(f.at_third.answered), static_cast<std::size_t>(f.at_third.broken));
+                  static_cast<std::size_t>(f.at_third.immediate_responses),
+                  static_cast<std::size_t>(f.at_third.failed));
     }
     std::fflush(stdout);
     all[name] = f;
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -97,7 +97,7 @@
   return row;
 }
 
-Row play(const Setup& s, const std::string& what) {
+Row run_round(const Setup& s, const std::string& what) {
   if (what.starts_with(kWithPeers)) {
     const Cluster cluster(what.substr(kWithPeers.size()), s.conf, s.peers);
     return measure(s, cluster.first().port(), cluster.first().pid());
@@ -119,23 +119,24 @@
   return all.empty() ? 0 : all[all.size() / 2];
 }
 
-void print_row(const std::string& what, const std::vector<Row>& rows, double floor) {
-  const auto of = [&](auto&& figure) {
+void print_row(const std::string& what, const std::vector<Row>& rows, double baseline_cpu_us) {
+  const auto median_of = [&](auto&& value) {
     std::vector<double> all;
-    for (const auto& r : rows) all.push_back(figure(r));
+    for (const auto& r : rows) all.push_back(value(r));
     return median(all);
   };
-  const double cpu = of([](auto& r) { return r.cpu_us; });
-  std::printf(
-      "%-28s %8.0f %8.0f %7.0f %7.0f %8.2f %8.2f %8.2f %9.1f %7.2f %7.1f %9.0f\n", what.c_str(),
-      of([](auto& r) { return static_cast<double>(r.load.offered) / r.load.seconds; }),
-      of([](auto& r) { return static_cast<double>(r.load.served) / r.load.seconds; }),
-      of([](auto& r) { return static_cast<double>(r.load.refused); }),
-      of([](auto& r) { return static_cast<double>(r.load.failed + r.load.unanswered + r.load.wrong); }),
-      of([](auto& r) { return r.load.percentile(0.5); }), of([](auto& r) { return r.load.percentile(0.99); }),
-      of([](auto& r) { return r.load.percentile(0.999); }), cpu, floor > 0 ? cpu / floor : 1.0,
-      of([](auto& r) { return r.peak_mb; }),
-      of([](auto& r) { return static_cast<double>(r.host_connections); }));
+  const double cpu = median_of([](auto& r) { return r.cpu_us; });
+  std::printf("%-28s %8.0f %8.0f %7.0f %7.0f %8.2f %8.2f %8.2f %9.1f %7.2f %7.1f %9.0f\n", what.c_str(),
+              median_of([](auto& r) { return static_cast<double>(r.load.offered) / r.load.seconds; }),
+              median_of([](auto& r) { return static_cast<double>(r.load.served) / r.load.seconds; }),
+              median_of([](auto& r) { return static_cast<double>(r.load.refused); }), median_of([](auto& r) {
+                return static_cast<double>(r.load.failed + r.load.unanswered + r.load.wrong);
+              }),
+              median_of([](auto& r) { return r.load.percentile(0.5); }),
+              median_of([](auto& r) { return r.load.percentile(0.99); }),
+              median_of([](auto& r) { return r.load.percentile(0.999); }), cpu,
+              baseline_cpu_us > 0 ? cpu / baseline_cpu_us : 1.0, median_of([](auto& r) { return r.peak_mb; }),
+              median_of([](auto& r) { return static_cast<double>(r.host_connections); }));
   std::fflush(stdout);
 }
 
@@ -186,11 +187,11 @@
       if (peers > 0) all.push_back(std::string(kWithPeers) + program);
       std::map<std::string, std::vector<Row>> rows;
       for (int round = 0; round < rounds; ++round) {
-        for (const auto& what : all) rows[what].push_back(play(setup, what));
+        for (const auto& what : all) rows[what].push_back(run_round(setup, what));
       }
-      std::vector<double> floor;
-      for (const auto& r : rows["relay"]) floor.push_back(r.cpu_us);
-      for (const auto& what : all) print_row(what, rows[what], median(floor));
+      std::vector<double> baseline_cpu_us;
+      for (const auto& r : rows["relay"]) baseline_cpu_us.push_back(r.cpu_us);
+      for (const auto& what : all) print_row(what, rows[what], median(baseline_cpu_us));
     }
     io.stop();
     return 0;
--- a/bench/http2_echo.cpp
+++ b/bench/http2_echo.cpp
@@ -17,7 +17,7 @@
 
 struct Stream {
   std::string in, out;
-  std::size_t at = 0;
+  std::size_t offset = 0;
   bool half_closed = false, responded = false, deferred = false;
 };
 
@@ -25,7 +25,7 @@
   int fd = -1;
   nghttp2_session* session = nullptr;
   std::string out;
-  std::size_t at = 0;
+  std::size_t offset = 0;
   std::unordered_map<std::int32_t, std::unique_ptr<Stream>> streams;
 };
 
@@ -35,19 +35,19 @@
           NGHTTP2_NV_FLAG_NO_COPY_NAME | NGHTTP2_NV_FLAG_NO_COPY_VALUE};
 }
 
-ssize_t read_out(nghttp2_session* session, std::int32_t id, std::uint8_t* into, std::size_t most,
-                 std::uint32_t* flags, nghttp2_data_source* source, void*) {
+ssize_t read_response(nghttp2_session* session, std::int32_t id, std::uint8_t* into, std::size_t max_bytes,
+                      std::uint32_t* flags, nghttp2_data_source* source, void*) {
   auto& s = *static_cast<Stream*>(source->ptr);
-  const std::size_t n = std::min(most, s.out.size() - s.at);
+  const std::size_t n = std::min(max_bytes, s.out.size() - s.offset);
   if (n == 0 && !s.half_closed) {
     s.deferred = true;
     return NGHTTP2_ERR_DEFERRED;
   }
-  std::memcpy(into, s.out.data() + s.at, n);
-  s.at += n;
-  if (s.at == s.out.size()) {
+  std::memcpy(into, s.out.data() + s.offset, n);
+  s.offset += n;
+  if (s.offset == s.out.size()) {
     s.out.clear();
-    s.at = 0;
+    s.offset = 0;
     if (s.half_closed) {
       *flags |= NGHTTP2_DATA_FLAG_EOF | NGHTTP2_DATA_FLAG_NO_END_STREAM;
       const auto status = nv("grpc-status", "0");
@@ -57,11 +57,11 @@
   return static_cast<ssize_t>(n);
 }
 
-void pump(Connection& c, std::int32_t id, Stream& s) {
+void respond(Connection& c, std::int32_t id, Stream& s) {
   if (!s.responded) {
     s.responded = true;
     const nghttp2_nv headers[] = {nv(":status", "200"), nv("content-type", "application/grpc")};
-    nghttp2_data_provider provider{{.ptr = &s}, read_out};
+    nghttp2_data_provider provider{{.ptr = &s}, read_response};
     nghttp2_submit_response(c.session, id, headers, 2, &provider);
   } else if (s.deferred) {
     s.deferred = false;
@@ -81,7 +81,7 @@
   if (!s) return 0;
   s->out.append(reinterpret_cast<const char*>(bytes),
                 size);  // messages come whole here: framing goes back as it came
-  pump(*static_cast<Connection*>(user), id, *s);
+  respond(*static_cast<Connection*>(user), id, *s);
   return 0;
 }
 int on_frame(nghttp2_session* session, const nghttp2_frame* frame, void* user) {
@@ -92,7 +92,7 @@
   auto* s = static_cast<Stream*>(nghttp2_session_get_stream_user_data(session, frame->hd.stream_id));
   if (!s) return 0;
   s->half_closed = true;
-  pump(*static_cast<Connection*>(user), frame->hd.stream_id, *s);
+  respond(*static_cast<Connection*>(user), frame->hd.stream_id, *s);
   return 0;
 }
 int on_close(nghttp2_session*, std::int32_t id, std::uint32_t, void* user) {
@@ -102,9 +102,9 @@
 
 bool flush(Connection& c, int epoll) {
   for (;;) {
-    if (c.at == c.out.size()) {
+    if (c.offset == c.out.size()) {
       c.out.clear();
-      c.at = 0;
+      c.offset = 0;
       while (c.out.size() < 65536) {
         const std::uint8_t* bytes = nullptr;
         const auto n = nghttp2_session_mem_send(c.session, &bytes);
@@ -113,14 +113,15 @@
       }
       if (c.out.empty()) return true;
     }
-    const auto n = ::send(c.fd, c.out.data() + c.at, c.out.size() - c.at, MSG_NOSIGNAL | MSG_DONTWAIT);
+    const auto n =
+        ::send(c.fd, c.out.data() + c.offset, c.out.size() - c.offset, MSG_NOSIGNAL | MSG_DONTWAIT);
     if (n < 0) {
       if (errno != EAGAIN) return false;
       epoll_event e{EPOLLIN | EPOLLOUT, {.ptr = &c}};
       ::epoll_ctl(epoll, EPOLL_CTL_MOD, c.fd, &e);
       return true;
     }
-    c.at += static_cast<std::size_t>(n);
+    c.offset += static_cast<std::size_t>(n);
   }
 }
 
@@ -128,14 +129,14 @@
 
 int main() {
   const int listener = ::socket(AF_INET, SOCK_STREAM, 0);
-  sockaddr_in at{};
-  at.sin_family = AF_INET;
-  at.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
-  socklen_t size = sizeof at;
-  ::bind(listener, reinterpret_cast<sockaddr*>(&at), size);
+  sockaddr_in address{};
+  address.sin_family = AF_INET;
+  address.sin_addr.s_addr = htonl(INADDR_LOOPBACK);
+  socklen_t size = sizeof address;
+  ::bind(listener, reinterpret_cast<sockaddr*>(&address), size);
   ::listen(listener, 128);
-  ::getsockname(listener, reinterpret_cast<sockaddr*>(&at), &size);
-  std::fprintf(stderr, "echo: %d\n", ntohs(at.sin_port));
+  ::getsockname(listener, reinterpret_cast<sockaddr*>(&address), &size);
+  std::fprintf(stderr, "echo: %d\n", ntohs(address.sin_port));
 
   nghttp2_session_callbacks* callbacks = nullptr;
   nghttp2_session_callbacks_new(&callbacks);
@@ -166,17 +167,17 @@
         flush(*c, epoll);
         continue;
       }
-      bool good = true;
+      bool usable = true;
       if (events[i].events & EPOLLOUT) {
         epoll_event in{EPOLLIN, {.ptr = c}};
         ::epoll_ctl(epoll, EPOLL_CTL_MOD, c->fd, &in);
       }
       if (events[i].events & EPOLLIN) {
-        const auto got = ::recv(c->fd, buffer, sizeof buffer, MSG_DONTWAIT);
-        good = got > 0 && nghttp2_session_mem_recv(c->session, reinterpret_cast<std::uint8_t*>(buffer),
-                                                   static_cast<std::size_t>(got)) >= 0;
+        const auto received = ::recv(c->fd, buffer, sizeof buffer, MSG_DONTWAIT);
+        usable = received > 0 && nghttp2_session_mem_recv(c->session, reinterpret_cast<std::uint8_t*>(buffer),
+                                                          static_cast<std::size_t>(received)) >= 0;
       }
-      if (!good || !flush(*c, epoll)) {
+      if (!usable || !flush(*c, epoll)) {
         ::close(c->fd);
         nghttp2_session_del(c->session);
         delete c;
--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -27,7 +27,7 @@
   return all;
 }
 
-struct Sends : ActionSink {
+struct SendRecorder : ActionSink {
   HostId host = 0;
   void send(RequestId, HostId h, Ms) override { host = h; }
   void cancel(RequestId, std::uint32_t) override {}
@@ -42,7 +42,7 @@
 
 void module_request(benchmark::State& state) {
   AdmissionController control(settings(), 7);
-  Sends out;
+  SendRecorder out;
   Ms now = 1000;
   control.start(now, out);
   control.on_host_list(now, HostListUpdate::kCached, hosts(state.range(0)), out);
@@ -57,10 +57,10 @@
 }
 BENCHMARK(module_request)->Arg(8)->Arg(64)->Arg(512);
 
-struct Nothing : engine::Payload {
+struct EmptyPayload : engine::Payload {
   std::size_t bytes() const override { return 0; }
 };
-struct Wire : engine::UpstreamTransport {
+struct FakeTransport : engine::UpstreamTransport {
   engine::AttemptId last = 0;
   engine::StartResult start(Ms, engine::AttemptId a, HostId, const engine::Payload&, Ms) override {
     last = a;
@@ -70,7 +70,7 @@
   bool withdraw(Ms, engine::AttemptId) override { return false; }
   void retire_host(Ms, HostId) override {}
 };
-struct Door : engine::DownstreamHandler {
+struct FakeDownstream : engine::DownstreamHandler {
   void on_served(Ms, engine::ResponseHandle, std::string_view) override {}
   void on_rejected(Ms, engine::ResponseHandle, Ms) override {}
   void on_failed(Ms, engine::ResponseHandle, engine::FailureReason) override {}
@@ -78,19 +78,20 @@
 
 void engine_request(benchmark::State& state) {
   engine::ControllerPolicy module(settings(), 7);
-  Wire wire;
-  Door door;
-  engine::Engine engine(module, wire, {}, [](std::string_view, std::string_view) {});
+  FakeTransport transport;
+  FakeDownstream downstream;
+  engine::Engine engine(module, transport, {}, [](std::string_view, std::string_view) {});
   Ms now = 1000;
   engine.start(now);
   engine.on_host_list(now, HostListUpdate::kCached, hosts(state.range(0)));
   std::uint64_t id = 0;
   for (auto _ : state) {
-    wire.last = 0;
-    engine::IncomingRequest ask{{0, 0, 0, ++id % 50, 0, 1, 2, false}, 2000, id, std::make_unique<Nothing>()};
-    RequestId name = 0;
-    engine.accept(now, door, {1, id}, std::move(ask), name);
-    if (wire.last != 0) engine.on_attempt_end(now + 1, wire.last, Outcome::kOk, "v", {});
+    transport.last = 0;
+    engine::IncomingRequest incoming{
+        {0, 0, 0, ++id % 50, 0, 1, 2, false}, 2000, id, std::make_unique<EmptyPayload>()};
+    RequestId request_id = 0;
+    engine.accept(now, downstream, {1, id}, std::move(incoming), request_id);
+    if (transport.last != 0) engine.on_attempt_end(now + 1, transport.last, Outcome::kOk, "v", {});
     if (const auto due = engine.next_timer(); due && *due <= now) engine.run_timers(now);
     now += 1;
   }
--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -39,7 +39,7 @@
 };
 
 // What the logs hold of a day.
-struct Day {
+struct DecisionLogs {
   AdmissionSettings settings;
   std::vector<LoggedRequest> requests;
   std::size_t gateways = 0;
@@ -108,31 +108,31 @@
   return logged;
 }
 
-void read_line(Day& day, std::size_t gateway, const std::string& line) {
+void read_line(DecisionLogs& logs, std::size_t gateway, const std::string& line) {
   constexpr std::string_view kMark = " decision: ";
   const auto mark = line.find(kMark);
   if (mark == std::string::npos) return;
   const Fields fields = fields_of(line.substr(mark + kMark.size()));
   if (fields.contains("customer")) {
     const Ms at = std::stod(line.substr(0, mark)) * 1000;
-    day.requests.push_back(read_request(fields, at, gateway));
+    logs.requests.push_back(read_request(fields, at, gateway));
   } else if (fields.contains("plan")) {
-    read_settings(fields, "plan", kPlanKeys, day.settings.plans);
+    read_settings(fields, "plan", kPlanKeys, logs.settings.plans);
   } else if (fields.contains("class")) {
-    read_settings(fields, "class", kClassKeys, day.settings.classes).idempotency = Idempotency::kIdempotent;
+    read_settings(fields, "class", kClassKeys, logs.settings.classes).idempotency = Idempotency::kIdempotent;
   }
 }
 
 // Marks the requests that are clients' retries: those soon after a rejection of an equal request. Where that
 // leaves more or fewer first requests than `first_requests`, chance decides; 0: the number is not known.
-void find_retries(Day& day, double first_requests) {
+void find_retries(DecisionLogs& logs, double first_requests) {
   constexpr Ms kMaxRetryDelayMs = 2500;
   constexpr Ms kMinRetryDelayMs = 20;
   std::map<std::tuple<CustomerId, std::uint32_t, long>, std::deque<Ms>> rejections;
   double rejected = 0;
   double unmarked = 0;
-  const auto all = static_cast<double>(day.requests.size());
-  for (auto& logged : day.requests) {
+  const auto all = static_cast<double>(logs.requests.size());
+  for (auto& logged : logs.requests) {
     const Request& request = logged.request;
     auto& earlier = rejections[{request.customer, request.class_index, std::lround(request.units * 1000)}];
     while (!earlier.empty() && logged.at - earlier.front() > kMaxRetryDelayMs) earlier.pop_front();
@@ -147,9 +147,9 @@
     if (!logged.is_retry) ++unmarked;
   }
   if (first_requests <= 0) first_requests = unmarked;
-  day.retry_fraction = rejected > 0 ? std::min(1.0, (all - first_requests) / rejected) : 0;
+  logs.retry_fraction = rejected > 0 ? std::min(1.0, (all - first_requests) / rejected) : 0;
   std::mt19937_64 random(11);
-  for (auto& logged : day.requests) {
+  for (auto& logged : logs.requests) {
     const double draw = static_cast<double>(random() >> 11) * 0x1.0p-53;
     if (unmarked > first_requests && !logged.is_retry) logged.is_retry = draw > first_requests / unmarked;
     if (unmarked < first_requests && logged.is_retry) {
@@ -158,9 +158,9 @@
   }
 }
 
-void complete_settings(Day& day) {
-  AdmissionSettings& settings = day.settings;
-  settings.gateway_count = static_cast<double>(day.gateways);
+void complete_settings(DecisionLogs& logs) {
+  AdmissionSettings& settings = logs.settings;
+  settings.gateway_count = static_cast<double>(logs.gateways);
   settings.hedging_allowed = true;
   settings.cancellation_allowed = true;
   settings.retry_after_allowed = true;
@@ -171,27 +171,27 @@
   settings.slow_start_duration_ms = 10'000;
   settings.overload_factor = 2;
   settings.overload_window_ms = 1000;
-  for (const auto& logged : day.requests) {
+  for (const auto& logged : logs.requests) {
     settings.max_request_units = std::max(settings.max_request_units, logged.request.units);
   }
 }
 
-Day read(const std::string& directory, double first_requests) {
-  Day day;
-  std::map<std::string, std::filesystem::path> logs;
+DecisionLogs read(const std::string& directory, double first_requests) {
+  DecisionLogs logs;
+  std::map<std::string, std::filesystem::path> log_files;
   for (const auto& entry : std::filesystem::directory_iterator(directory)) {
-    if (entry.path().extension() == ".log") logs[entry.path().stem()] = entry.path();
+    if (entry.path().extension() == ".log") log_files[entry.path().stem()] = entry.path();
   }
-  for (const auto& [name, path] : logs) {
+  for (const auto& [name, path] : log_files) {
     std::ifstream file(path);
-    for (std::string line; std::getline(file, line);) read_line(day, day.gateways, line);
-    ++day.gateways;
+    for (std::string line; std::getline(file, line);) read_line(logs, logs.gateways, line);
+    ++logs.gateways;
   }
-  std::stable_sort(day.requests.begin(), day.requests.end(),
+  std::stable_sort(logs.requests.begin(), logs.requests.end(),
                    [](const auto& left, const auto& right) { return left.at < right.at; });
-  find_retries(day, first_requests);
-  complete_settings(day);
-  return day;
+  find_retries(logs, first_requests);
+  complete_settings(logs);
+  return logs;
 }
 
 // One customer's token buckets over all gateways: after what was admitted, and as if all that fits had been.
@@ -207,19 +207,19 @@
 // Plays the logged first requests, and lets rejected ones be retried.
 class Replay {
  public:
-  Replay(Day& day, double cores, Ms service_time, double same_gateway_fraction)
-      : day_(day),
+  Replay(DecisionLogs& logs, double cores, Ms service_time, double same_gateway_fraction)
+      : logs_(logs),
         cores_(cores),
         service_time_(service_time),
         same_gateway_fraction_(same_gateway_fraction),
-        admissible_(day.settings.plans.size()),
+        admissible_(logs.settings.plans.size()),
         admitted_within_(admissible_),
         admitted_beyond_(admissible_),
-        fleet_(day.settings, day.gateways, hosts(),
-               [this](ModelFleet& fleet, HostId) { return fate_of(fleet); }) {
-    for (const auto& logged : day.requests) {
+        fleet_(logs.settings, logs.gateways, hosts(),
+               [this](ModelFleet& fleet, HostId) { return draw_fate(fleet); }) {
+    for (const auto& logged : logs.requests) {
       auto& account = accounts_[logged.request.customer];
-      account.tokens = account.ideal_tokens = day.settings.plans[logged.request.plan_index].quota_burst;
+      account.tokens = account.ideal_tokens = logs.settings.plans[logged.request.plan_index].quota_burst;
       account.gateways.push_back(logged.gateway);
     }
     fleet_.observer().on_first_send = [this](const Request& request) { on_sent(request); };
@@ -229,7 +229,7 @@
   }
 
   void run() {
-    for (const auto& logged : day_.requests) {
+    for (const auto& logged : logs_.requests) {
       if (logged.is_retry) continue;
       fleet_.schedule_at(logged.at, [this, &logged] {
         Account& account = refill(logged.request);
@@ -242,7 +242,7 @@
         fleet_.submit(logged.gateway, logged.request);
       });
     }
-    fleet_.wait(day_.requests.back().at + 3000 - fleet_.now());
+    fleet_.wait(logs_.requests.back().at + 3000 - fleet_.now());
   }
 
   void print() const {
@@ -252,7 +252,7 @@
     for (std::size_t plan = 0; plan < admissible_.size(); ++plan) {
       admissible += admissible_[plan];
       admitted_within += admitted_within_[plan];
-      overrun_cost += admitted_beyond_[plan] * day_.settings.plans[plan].over_quota_cost;
+      overrun_cost += admitted_beyond_[plan] * logs_.settings.plans[plan].over_quota_cost;
     }
     std::printf("price %.4f inside %.4f net %.4f tries %.2f;", overrun_cost / admissible,
                 admitted_within / admissible, (admitted_within - overrun_cost) / admissible,
@@ -260,7 +260,7 @@
     for (std::size_t plan = 0; plan < admissible_.size(); ++plan) {
       if (admissible_[plan] > 0)
         std::printf(" plan %zu %.3f/%.4f", plan, admitted_within_[plan] / admissible_[plan],
-                    admitted_beyond_[plan] * day_.settings.plans[plan].over_quota_cost / admissible);
+                    admitted_beyond_[plan] * logs_.settings.plans[plan].over_quota_cost / admissible);
     }
     double starved = 0;
     for (const auto& [id, account] : accounts_) {
@@ -278,18 +278,18 @@
     for (HostId id = 1; id <= 150; ++id) all.push_back(host(id));
     return all;
   }
-  AttemptFate fate_of(ModelFleet& fleet) {
+  AttemptFate draw_fate(ModelFleet& fleet) {
     double in_flight = 0;
     for (const auto& [id, value] : fleet.counts().in_flight_by_host) in_flight += value;
     return {Outcome::kOk, fleet.exponential(service_time_) * std::max(1.0, in_flight / cores_)};
   }
   double value_of(const Request& request) const {
-    return day_.settings.plans[request.plan_index].plan_weight *
-           day_.settings.classes[request.class_index].priority_weight * request.units;
+    return logs_.settings.plans[request.plan_index].plan_weight *
+           logs_.settings.classes[request.class_index].priority_weight * request.units;
   }
   Account& refill(const Request& request) {
     Account& account = accounts_[request.customer];
-    const auto& plan = day_.settings.plans[request.plan_index];
+    const auto& plan = logs_.settings.plans[request.plan_index];
     const double earned = plan.quota_rate * (fleet_.now() - account.refilled_at) / 1000;
     account.tokens = std::min(plan.quota_burst, account.tokens + earned);
     account.ideal_tokens = std::min(plan.quota_burst, account.ideal_tokens + earned);
@@ -299,7 +299,7 @@
   void on_sent(const Request& request) {
     ++attempts_;
     Account& account = refill(request);
-    if (day_.settings.plans[request.plan_index].quota_rate <= 0 || account.tokens + 1e-9 >= request.units) {
+    if (logs_.settings.plans[request.plan_index].quota_rate <= 0 || account.tokens + 1e-9 >= request.units) {
       account.tokens -= request.units;
       account.admitted += value_of(request);
       admitted_within_[request.plan_index] += value_of(request);
@@ -311,7 +311,7 @@
     ++attempts_;
     rejected_value_[static_cast<std::size_t>(reason)] += value_of(request);
     Account& account = refill(request);
-    if (fleet_.draw() >= day_.retry_fraction) return;
+    if (fleet_.draw() >= logs_.retry_fraction) return;
     const auto other =
         account
             .gateways[static_cast<std::size_t>(fleet_.draw() * static_cast<double>(account.gateways.size()))];
@@ -319,7 +319,7 @@
     fleet_.submit_later(std::clamp(after, 150.0, 800.0), gateway, request);
   }
 
-  Day& day_;
+  DecisionLogs& logs_;
   double cores_;
   Ms service_time_;
   double same_gateway_fraction_;
@@ -351,15 +351,16 @@
   app.add_option("--same", same_gateway_fraction, "part of those that come again to the same gateway");
   app.add_option("--again", retry_fraction, "part of the refused that come again; without it as in the logs");
   CLI11_PARSE(app, argc, argv);
-  Day day = read(directory, first_requests);
-  if (day.requests.empty()) {
+  DecisionLogs logs = read(directory, first_requests);
+  if (logs.requests.empty()) {
     std::fprintf(stderr, "%s: no decisions in it: are the logs written with [log] decisions = true?\n",
                  directory.c_str());
     return 1;
   }
-  if (retry_fraction >= 0) day.retry_fraction = retry_fraction;
-  std::printf("%zu gateways, %zu tries, again %.2f: ", day.gateways, day.requests.size(), day.retry_fraction);
-  Replay replay(day, cores, service_time, same_gateway_fraction);
+  if (retry_fraction >= 0) logs.retry_fraction = retry_fraction;
+  std::printf("%zu gateways, %zu tries, again %.2f: ", logs.gateways, logs.requests.size(),
+              logs.retry_fraction);
+  Replay replay(logs, cores, service_time, same_gateway_fraction);
   replay.run();
   replay.print();
 }
