--- a/Makefile
+++ b/Makefile
@@ -1,35 +1,36 @@
-# What developers and CI call. Each target installs what is missing first.
+# Entry points for developers and CI. Targets install missing dependencies first.
 .PHONY: run run-cluster run-extproc check install build tools explore bench clean
 
 install:
 	@tools/install.sh
 
-# Builds the tools and starts one gateway between stand-ins on loopback; Ctrl-C ends it all.
+# Builds the tools and runs one gateway between emulated hosts and discovery on loopback until Ctrl-C.
 run: tools
 	@build/cometfold-demo build/cometfold
 
-# The external processor between a stand-in proxy and stand-in hosts, a few requests, and the end.
+# Runs the external processor between an emulated proxy and emulated hosts for a few requests.
 run-extproc: tools
 	@build/proxy-emulator tour build/cometfold
 
-# Five gateways that know each other: one is killed, two are cut off, all heals; what each believes. Half a minute.
+# Runs a cluster of five gateways in which one is killed and two are partitioned and reconnected, and shows each
+# member's view. Takes half a minute.
 run-cluster: tools
 	@build/cometfold-cluster run examples/cluster/tour.toml --show --program build/cometfold
 
-# What the platform builds.
+# Builds the program as the platform does, with the deploy file's command.
 build: install
 	@sh -c "$$(sed -n 's/^build = "\(.*\)".*/\1/p' deploy/balancer.toml)"
 
-# And what developers use beside it.
+# Builds the program with the developers' tools.
 tools: install
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DCOMETFOLD_TOOLS=ON
 	cmake --build build -j4
 
-# All tests: the deploy file's build and programs as the platform starts them, then everything under sanitizers.
+# Runs all tests: the deploy file's build and commands as the platform runs them, then all tests under sanitizers.
 check: install
 	@tools/check.sh
 
-# The whole exploration: some minutes on two cores.
+# Runs the full state-space exploration, which takes some minutes on two cores.
 explore: tools
 	build/cometfold-explore --threads 2
 
--- a/bench/action_stream/main.cpp
+++ b/bench/action_stream/main.cpp
@@ -1,9 +1,9 @@
-// Prints a fingerprint of all that the decision module decides in each scenario of scenarios.cpp, for some
-// seeds. Two builds of the module that decide alike print alike.
+// Prints a fingerprint of all actions of the decision module in each scenario of scenarios.cpp, for several
+// seeds. Two builds of the module with the same behaviour print the same lines.
 //
-//   action_stream [REQUESTS]      of each scenario and seed; 6,000 without it
+//   action_stream [REQUESTS]      requests per scenario and seed, 6,000 by default
 //
-// Prints are comparable on one machine only: the last bit of exp and pow may differ between processors.
+// Fingerprints are comparable on one machine only: the last bit of exp and pow may differ between processors.
 #include <cstdint>
 #include <cstdio>
 #include <cstdlib>
--- a/bench/action_stream/scenarios.cpp
+++ b/bench/action_stream/scenarios.cpp
@@ -11,7 +11,7 @@
   return {300, 2000, worth, 0.3, repeat, group, 1500};
 }
 
-// Four gateways with all that the settings allow: the day that the first fingerprints were taken of.
+// Four gateways with all optional features enabled; the first fingerprints were taken with these settings.
 AdmissionSettings four_gateways() {
   AdmissionSettings s;
   s.classes.push_back(request_class(Idempotency::kIdempotent, IdempotencyScope::kNone, 1));
--- a/bench/action_stream/scenarios.h
+++ b/bench/action_stream/scenarios.h
@@ -1,5 +1,5 @@
-// The scenarios that action_stream plays: settings of the decision module and the traffic, hosts and faults
-// around it. Together they play each line of the module.
+// The scenarios that action_stream runs: settings of the decision module and the traffic, hosts and faults
+// around it. Together they execute every line of the module.
 #pragma once
 
 #include <cstddef>
@@ -10,27 +10,27 @@
 
 namespace action_stream {
 
-// How one gateway's surroundings behave. Probabilities are from 0 to 1, times in milliseconds.
+// The behaviour of one gateway's surroundings. Probabilities are from 0 to 1, times in milliseconds.
 struct Surroundings {
   cometfold::Ms start_ms = 14'400'000;  // the clock at the beginning
   cometfold::HostId hosts = 12;
   std::size_t customers = 40;         // of each plan
   double gateways_per_customer = 4;   // at most
   cometfold::Ms request_gap_ms = 40;  // at most, between two requests
-  double rush = 0.3;                  // of the gap, in every third stretch of four seconds
+  double rush = 0.3;                  // factor on the gap in every third period of four seconds
   double max_units = 4;
   cometfold::Ms service_ms = 200;         // the longest service time of an idle host
-  double slowdown_per_attempt = 0.2;      // part of the service time added by each attempt in flight
-  bool cancelling_ends_attempts = false;  // else it goes on
-  double silent_hosts = 0;                // part of the hosts that answer nothing for a while
+  double slowdown_per_attempt = 0.2;      // fraction of the service time added by each attempt in flight
+  bool cancelling_ends_attempts = false;  // else a cancelled attempt runs to its end
+  double silent_hosts = 0;                // fraction of the hosts that are silent for some time
   double error = 0.03;
   double connection_lost = 0.02;
   double overloaded = 0.03;
   double connect_failed = 0.01;
   double not_sent = 0;
-  double streamed = 0;  // part of the answers that come in pieces
+  double streamed = 0;  // probability that a response is streamed
   double client_disconnects = 0.02;
-  double client_retries = 0.1;  // requests marked as a client's retry
+  double client_retries = 0.1;  // probability that a request is marked as a client's retry
   double malformed = 0;
   bool overloaded_by_class = false;  // hosts reject attempts of the last class only
   bool overloaded_by_plan = false;   // hosts reject attempts of the last plan only
@@ -41,10 +41,10 @@
   double list_fails = 0;
   double list_is_snapshot = 0;
   double all_hosts_removed = 0;     // a snapshot without hosts
-  cometfold::Ms list_gap_ms = 700;  // at most, between two changes of the list
+  cometfold::Ms list_gap_ms = 700;  // at most, between two updates of the host list
 };
 
-// What happens to the module during the day.
+// What replaces or reconfigures the module during the day.
 enum class Succession {
   kNone,
   kHandOver,     // a successor imports the snapshot, and its predecessor exits some time later
--- a/bench/action_stream/simulated_day.cpp
+++ b/bench/action_stream/simulated_day.cpp
@@ -12,10 +12,10 @@
 
 namespace {
 
-constexpr Ms kRushPeriodMs = 4000;  // every third of these is a rush
+constexpr Ms kRushPeriodMs = 4000;  // every third of these periods is a rush
 constexpr Ms kFirstListChangeMs = 500;
-constexpr Ms kPredecessorLifetimeMs = 3000;  // after its successor has started
-constexpr Ms kSilenceMs = 3000;              // a silent host is so in every fifth of these
+constexpr Ms kPredecessorLifetimeMs = 3000;  // after the start of its successor
+constexpr Ms kSilenceMs = 3000;              // a silent host is silent in every fifth of these periods
 constexpr Ms kHealthCheckMs = 15;
 constexpr HostId kSlowHost = 3;
 constexpr double kNotANumber = std::numeric_limits<double>::quiet_NaN();
@@ -143,8 +143,7 @@
     if (chance(0.1)) host = entry(host.id, HostState::kReady, host.started_at > 0 ? 0 : now_);
     if (draw() < 0.9) snapshot.push_back(host);
   }
-  if (chance(0.2))
-    snapshot.push_back(HostEntry::removed(surroundings_.hosts + 1));  // a host that is not known
+  if (chance(0.2)) snapshot.push_back(HostEntry::removed(surroundings_.hosts + 1));  // an unknown host
   controller_.on_host_list(now_, HostListUpdate::kSnapshot, snapshot, *this);
 }
 
@@ -287,7 +286,7 @@
   count(kCancel, request << 12 | attempt, 0);
   if (!surroundings_.cancelling_ends_attempts) return;
   const HostId host = attempts_[request][attempt];
-  in_flight_[host] += 1;  // its end is played twice: here, and when it would have come
+  in_flight_[host] += 1;  // its end is handled twice: now, and at its original time
   AttemptResult end{request, attempt, host, Outcome::kCancelled, 1, false, {}, {}};
   push(now_ + 1, {.kind = EventKind::kAttemptEnd, .end = end});
 }
--- a/bench/action_stream/simulated_day.h
+++ b/bench/action_stream/simulated_day.h
@@ -1,6 +1,6 @@
-// One gateway's decision module on a simulated day: events drawn from a seed go in, and all that the module
-// decides goes into a fingerprint. Later events follow from the module's actions, so that two builds have
-// equal fingerprints only if they decide alike from the first event to the last.
+// Runs one gateway's decision module through a simulated day: its events are drawn from a seed, and all its
+// actions are hashed into a fingerprint. Later events depend on the module's actions, so that two builds have
+// equal fingerprints only if they act alike from the first event to the last.
 #pragma once
 
 #include <cstddef>
@@ -22,7 +22,7 @@
  public:
   SimulatedDay(const Scenario& scenario, std::uint64_t seed);
 
-  // Plays events until so many requests were submitted.
+  // Handles events until this many requests have been submitted.
   void run(std::size_t requests);
 
   std::uint64_t fingerprint() const { return fingerprint_; }
--- a/bench/extproc_bench.cpp
+++ b/bench/extproc_bench.cpp
@@ -1,9 +1,10 @@
-// The external processor under load, side by side in one run with (b) a bare nghttp2 echo and (c) a grpc++
-// echo, each on one core, driven by the same client on the others: decisions a second at saturation, latency
-// from the intended start at a third of it, CPU a decision, bytes of an open stream.
+// Benchmarks the external processor against two baselines in one run: a bare nghttp2 echo server and a grpc++
+// echo server. Each server runs on one core, with the same client on the other cores. Reports calls per
+// second at saturation, latency from the intended start at a third of that rate, CPU time per call and memory
+// per open stream.
 //
-// A call is what a proxy makes of a request: request_headers, the decision, response_headers, the answer, the
-// end. The echoes answer each message with itself.
+// A call has the messages that a proxy exchanges for one request: request_headers, the decision,
+// response_headers, its reply, half-close. The echo servers return each message unchanged.
 #include <poll.h>
 #include <sched.h>
 #include <time.h>
@@ -36,7 +37,7 @@
   return std::chrono::duration<double>(Steady::now() - then).count();
 }
 
-// What a proxy sends for a usual request.
+// The message that a proxy sends for a typical request.
 std::string request_message() {
   pb::ProcessingRequest m;
   const std::pair<const char*, const char*> headers[] = {
@@ -88,7 +89,7 @@
   std::vector<float> latency_ms;
 };
 
-// One thread of the client: some connections, each with its part of the calls.
+// One client thread, which distributes its calls over some connections.
 class Driver {
  public:
   Driver(int port, int connections, std::uint64_t seed)
@@ -109,7 +110,7 @@
     finish();
     return counted;
   }
-  // Calls at `rate` a second, whatever comes back.
+  // Starts calls at `rate` per second, independently of the replies.
   Result open_loop(double rate, double seconds) {
     result_ = {};
     closed_loop_ = false;
@@ -127,7 +128,7 @@
     finish();
     return result_;
   }
-  // Opens `calls` calls and leaves them open after their decision.
+  // Opens `calls` calls and keeps them open after their decision.
   void hold_open(std::size_t calls) {
     keep_open_ = true;
     for (std::size_t i = 0; i < calls; ++i) {
@@ -144,7 +145,7 @@
       if (++messages_received > 1) return call->half_close();
       ++driver.decided_;
       driver.result_.latency_ms.push_back(static_cast<float>(seconds_since(intended) * 1000));
-      // An immediate response ends the call; its first field is number 7, the routed one's number 1.
+      // An immediate response ends the call. Its field number is 7, that of a routed request's reply is 1.
       if (!message.empty() && message[0] == 0x3a) {
         ++driver.result_.immediate_responses;
         return;
@@ -175,7 +176,7 @@
     Call* call = events.get();
     H2Peer& peer = *peers_[next_++ % peers_.size()];
     call->call = peer.call(kPath, std::move(events));
-    if (!call->call) throw Hung("no stream to be had");
+    if (!call->call) throw Hung("no stream could be opened");
     call->call->send(request_);
     ++open_calls_;
   }
@@ -187,7 +188,8 @@
     }
     if (::poll(fds.data(), fds.size(), wait_ms) > 0) {
       for (std::size_t i = 0; i < fds.size(); ++i) {
-        if ((fds[i].revents & POLLIN) && !peers_[i]->take()) throw Hung("a connection ended");
+        if ((fds[i].revents & POLLIN) && !peers_[i]->take())
+          throw Hung("a connection was closed by the server");
       }
     }
     for (; calls_to_start_ > 0; --calls_to_start_) start_call(Steady::now());
@@ -206,7 +208,7 @@
   bool closed_loop_ = false, keep_open_ = false;
 };
 
-// A server in a process of its own, on the first core.
+// A server in its own process, pinned to the first core.
 class ServerProcess {
  public:
   explicit ServerProcess(const std::vector<std::string>& command, const std::vector<std::string>& environment,
@@ -297,7 +299,7 @@
   return f;
 }
 
-// On a fresh process: what was used before is not given back.
+// Needs a fresh process: memory that was used before is not returned to the system.
 void measure_memory(const Options& o, ServerProcess& target, Measurements& f) {
   {
     Driver warm_up(target.port(), o.connections, 5);
@@ -311,8 +313,8 @@
   f.bytes_per_stream = (with_streams_kb - f.resident_kb) * 1024 / static_cast<double>(o.streams);
 }
 
-// Connections that attack in turn, each as fast as it is let: resets, pings, half-open calls, large headers,
-// noise.
+// Opens attacking connections one after another, each as fast as the server accepts its bytes: stream resets,
+// pings, half-open calls, large headers, bytes that are not HTTP/2.
 class Attackers {
  public:
   explicit Attackers(int port) : port_(port), thread_([this](std::stop_token stop) { run(stop); }) {}
@@ -353,7 +355,7 @@
         auto peer = Peer::connect(port_);
         ++connections_;
         peer.send(*payloads[n % 5]);
-      } catch (const Hung&) {  // it was ended
+      } catch (const Hung&) {  // the server closed the connection
       }
     }
   }
@@ -362,24 +364,24 @@
   std::jthread thread_;
 };
 
-// The latency of a good proxy without and with attackers beside it.
+// Measures the latency of a well-behaved proxy without and with concurrent attackers.
 void measure_with_attackers(const Options& o, ServerProcess& target, double rate) {
   const auto measured = [&](const char* what) {
     const auto r = run_on_all_threads(
         o, target.port(), [&](Driver& d, int) { return d.open_loop(rate / o.threads, o.seconds); });
     auto latency = r.latency_ms;
-    std::printf("%-28s %9.0f/s  p50 %.2f  p99 %.2f  p99.9 %.2f ms  broken %llu  resident %.1f MB\n", what,
+    std::printf("%-28s %9.0f/s  p50 %.2f  p99 %.2f  p99.9 %.2f ms  failed %llu  resident %.1f MB\n", what,
                 rate, quantile(latency, 0.5), quantile(latency, 0.99), quantile(latency, 0.999),
                 static_cast<unsigned long long>(r.failed), target.resident_kb() / 1024);
   };
-  measured("a good proxy alone");
+  measured("a well-behaved proxy alone");
   std::uint64_t attacks = 0;
   {
     Attackers attackers(target.port());
-    measured("... with attackers beside it");
+    measured("... with attackers");
     attacks = attackers.connections();
   }
-  std::printf("%llu connections attacked\n", static_cast<unsigned long long>(attacks));
+  std::printf("%llu attacking connections\n", static_cast<unsigned long long>(attacks));
 }
 
 boost::json::object gateway_config() {
@@ -400,18 +402,18 @@
   o.threads = std::max(1, static_cast<int>(std::thread::hardware_concurrency()) - 1);
   std::string http2_echo = "build/http2_echo", grpc_echo = "build/grpc_echo", only;
   double attack_rate = 0;
-  CLI::App app{"The external processor beside a bare nghttp2 echo and a grpc++ echo"};
+  CLI::App app{"Benchmarks the external processor against a bare nghttp2 echo and a grpc++ echo"};
   app.add_option("--program", o.program);
   app.add_option("--http2-echo", http2_echo);
-  app.add_option("--grpc-echo", grpc_echo, "left out if it is not there");
+  app.add_option("--grpc-echo", grpc_echo, "skipped if the file does not exist");
   app.add_option("--seconds", o.seconds);
-  app.add_option("--threads", o.threads, "of the client");
-  app.add_option("--connections", o.connections, "of each thread");
-  app.add_option("--in-flight", o.in_flight, "calls of each thread at saturation");
-  app.add_option("--streams", o.streams, "left open to measure memory");
-  app.add_option("--only", only, "processor, http2 or grpc");
+  app.add_option("--threads", o.threads, "client threads");
+  app.add_option("--connections", o.connections, "connections per thread");
+  app.add_option("--in-flight", o.in_flight, "open calls per thread at saturation");
+  app.add_option("--streams", o.streams, "streams kept open to measure memory");
+  app.add_option("--only", only, "measure one server only: processor, http2 or grpc");
   app.add_option("--attackers-beside", attack_rate,
-                 "only this: a good proxy at this rate, without and with attackers beside it");
+                 "measure only a well-behaved proxy at this rate, without and with attackers");
   CLI11_PARSE(app, argc, argv);
 
   const auto folder =
@@ -457,7 +459,7 @@
                 f.saturated, f.cpu_us, f.rate, f.p50, f.p99, f.p999, f.resident_kb / 1024, f.bytes_per_stream,
                 f.open_mb);
     if (name == "processor" && f.at_third.immediate_responses + f.at_third.failed > 0) {
-      std::printf("           of these %zu were refused or failed, %zu broke\n",
+      std::printf("           of these %zu got an immediate response, %zu failed\n",
                   static_cast<std::size_t>(f.at_third.immediate_responses),
                   static_cast<std::size_t>(f.at_third.failed));
     }
--- a/bench/gateway_bench.cpp
+++ b/bench/gateway_bench.cpp
@@ -1,6 +1,6 @@
-// The gateway under an open-loop load between stand-ins, beside a plain relay under the same load and, if
-// named, another build of the gateway. Rounds of all are played in turn, so that a machine's moods meet all
-// alike.
+// Benchmarks the gateway under an open-loop load between emulated hosts and discovery, against a plain relay
+// under the same load and optionally another build of the gateway. Their rounds alternate, so that changes in
+// the machine's speed affect all of them alike.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <cstdio>
@@ -18,7 +18,7 @@
 
 using namespace cometfold::emulators;
 
-// Time on a core of a process's one thread so far, in microseconds: to the nanosecond, where stat counts
+// CPU time of a single-threaded process so far, in microseconds. schedstat counts nanoseconds, stat only
 // ticks of 10 ms.
 double cpu_us(pid_t pid) {
   std::ifstream file("/proc/" + std::to_string(pid) + "/schedstat");
@@ -51,7 +51,7 @@
   int peers = 0;
 };
 
-// Gateways that know each other, the first of them the one to be measured; the others have no clients.
+// Gateways that are peers of each other. The first one is measured; the others have no clients.
 class Cluster {
  public:
   Cluster(const std::string& program, const boost::json::object& conf, int others) {
@@ -65,7 +65,7 @@
           std::make_unique<Program>(program, conf, std::vector<std::string>{"--settings", files_.back()},
                                     std::vector<std::string>{"EDGE_NAME=n" + std::to_string(i)}));
     }
-    std::this_thread::sleep_for(std::chrono::seconds(3));  // to know each other
+    std::this_thread::sleep_for(std::chrono::seconds(3));  // until all know each other
   }
   ~Cluster() {
     for (const auto& file : files_) std::filesystem::remove(file);
@@ -143,7 +143,9 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Offered and served load, latency from the intended start, CPU and memory of the gateway."};
+  CLI::App app{
+      "Measures offered and served load, latency from the intended start, CPU time and memory of the "
+      "gateway."};
   std::string program = "build/cometfold", other, relay = "build/emulator", settings;
   std::vector<double> rates{250, 500, 1000, 2000};
   LoadPlan plan;
@@ -151,18 +153,20 @@
   int rounds = 3, host_count = 8, peers = 0;
   double sockets = 1024;
   app.add_option("--program", program, "the gateway")->check(CLI::ExistingFile);
-  app.add_option("--peer", other, "another build of it, measured beside")->check(CLI::ExistingFile);
-  app.add_option("--peers", peers, "measure it also with so many other gateways that it knows")
+  app.add_option("--peer", other, "another build of the gateway to compare with")->check(CLI::ExistingFile);
+  app.add_option("--peers", peers, "measure the gateway also with this many peers")
       ->check(CLI::Range(0, 100));
-  app.add_option("--settings", settings, "the gateways' own settings")->check(CLI::ExistingFile);
-  app.add_option("--stand-in", relay, "the stand-ins' program")->check(CLI::ExistingFile);
-  app.add_option("--rates", rates, "requests a second, one after another")->delimiter(',');
-  app.add_option("--seconds", plan.seconds, "of each round, beside a second to warm up");
-  app.add_option("--rounds", rounds, "medians are taken of so many")->check(CLI::Range(1, 99));
-  app.add_option("--hosts", host_count, "stand-in hosts")->check(CLI::Range(1, 500));
-  app.add_option("--mean-ms", behaviour.mean_ms, "a host's mean time to an answer");
-  app.add_option("--connections", plan.connections, "of clients, at most");
-  app.add_option("--sockets", sockets, "descriptors that the gateway is allowed");
+  app.add_option("--settings", settings, "the gateways' settings file")->check(CLI::ExistingFile);
+  app.add_option("--stand-in", relay, "the emulator program, which provides the relay")
+      ->check(CLI::ExistingFile);
+  app.add_option("--rates", rates, "requests per second; one measurement for each rate")->delimiter(',');
+  app.add_option("--seconds", plan.seconds, "duration of each round, after one second of warm-up");
+  app.add_option("--rounds", rounds, "rounds per rate, of which medians are reported")
+      ->check(CLI::Range(1, 99));
+  app.add_option("--hosts", host_count, "emulated hosts")->check(CLI::Range(1, 500));
+  app.add_option("--mean-ms", behaviour.mean_ms, "a host's mean response time");
+  app.add_option("--connections", plan.connections, "client connections, at most");
+  app.add_option("--sockets", sockets, "descriptors that the gateway may use");
   CLI11_PARSE(app, argc, argv);
   try {
     boost::asio::io_context io(1);
--- a/bench/grpc_echo.cpp
+++ b/bench/grpc_echo.cpp
@@ -1,5 +1,5 @@
-// The peer for the external processor's benchmark: a gRPC echo on grpc++ with its callback interface, for any
-// method. Prints "echo: PORT".
+// A baseline for the external processor's benchmark: a gRPC echo server on grpc++ with its callback API, for
+// any method. Prints "echo: PORT" to stderr.
 #include <grpcpp/generic/async_generic_service.h>
 #include <grpcpp/grpcpp.h>
 #include <grpcpp/impl/codegen/server_callback.h>
--- a/bench/http2_echo.cpp
+++ b/bench/http2_echo.cpp
@@ -1,5 +1,5 @@
-// The floor for the external processor's benchmark: a gRPC echo on nghttp2 with nothing round it. Each
-// message comes back as it is, and a call that is half closed ends well. Prints "echo: PORT".
+// The lower bound for the external processor's benchmark: a minimal gRPC echo server on nghttp2. Each message
+// is returned unchanged, and a half-closed call ends with status OK. Prints "echo: PORT" to stderr.
 #include <arpa/inet.h>
 #include <netinet/tcp.h>
 #include <nghttp2/nghttp2.h>
@@ -80,7 +80,7 @@
   auto* s = static_cast<Stream*>(nghttp2_session_get_stream_user_data(session, id));
   if (!s) return 0;
   s->out.append(reinterpret_cast<const char*>(bytes),
-                size);  // messages come whole here: framing goes back as it came
+                size);  // the bytes are returned with their gRPC framing
   respond(*static_cast<Connection*>(user), id, *s);
   return 0;
 }
--- a/bench/membership_baselines.cpp
+++ b/bench/membership_baselines.cpp
@@ -179,7 +179,7 @@
   gossip_.insert(name);
 }
 
-// Shuffles the list whenever all its members have had their turn.
+// Shuffles the list again after each full round.
 void Swim::ping_next() {
   acked_ = false;
   indirect_ = false;
--- a/bench/membership_baselines.h
+++ b/bench/membership_baselines.h
@@ -23,7 +23,7 @@
 using membership::Draw;
 using membership::MemberRecord;
 
-// Each member sends each other one a heartbeat; silence for a fixed time is a failure.
+// Each member sends a heartbeat to every other one; a member that is silent for a fixed time has failed.
 class Heartbeats : public MembershipProtocol {
  public:
   Heartbeats(MemberRecord self, std::vector<std::string> addresses, const Draw& draw);
@@ -53,9 +53,10 @@
   std::vector<MembershipEvent> events_;
 };
 
-// In each period a ping to the next member of a shuffled list, three indirect ones after a timeout, suspicion
-// for a fixed time, refutation, and gossip on pings and acks. All members know each other from the start. An
-// indirect ping is a ping with `incarnation_floor` 1, whose target is the first record's name.
+// In each period pings the next member of a shuffled list, and after a timeout sends three indirect pings.
+// Suspicion lasts a fixed time and can be refuted; gossip travels on pings and acks. All members know each
+// other from the start. An indirect ping is a ping with `incarnation_floor` 1, whose target is the first
+// record's name.
 class Swim : public MembershipProtocol {
  public:
   // `members`: names and addresses.
--- a/bench/membership_report.cpp
+++ b/bench/membership_report.cpp
@@ -1,6 +1,6 @@
-// How long members of a cluster take to detect a crash, in the model, against two simpler protocols (see
-// membership_baselines.h). All run with the same seeds over the same links; each row shows the time until a
-// crash is detected, how often a running member is declared failed, and the costs.
+// Measures in the network model how long members of a cluster take to detect a crash, and compares with two
+// simpler protocols (see membership_baselines.h). All run with the same seeds over the same links. Each row
+// shows the time until a crash is detected, how often a running member is declared failed, and the costs.
 #include <CLI/CLI.hpp>
 #include <algorithm>
 #include <chrono>
@@ -218,21 +218,21 @@
 }  // namespace
 
 int main(int argc, char** argv) {
-  CLI::App app{"Membership beside heartbeats and SWIM, in the model."};
+  CLI::App app{"Compares membership with heartbeats and SWIM in the network model."};
   std::vector<std::size_t> sizes{8, 48, 300};
   std::vector<std::string> protocols{"this", "swim", "heartbeats"};
   std::vector<double> losses{0, 0.05, 0.2, 0.4};
   double minutes = 2, slow = 0.05;
   int crashes = 4;
   std::uint64_t seed = 1;
-  app.add_option("--members", sizes, "sizes")->delimiter(',');
-  app.add_option("--protocols", protocols, "of this, swim, heartbeats")->delimiter(',');
-  app.add_option("--loss", losses, "parts of datagrams")->delimiter(',');
-  app.add_option("--minutes", minutes, "simulated, in which failures are false");
-  app.add_option("--crashes", crashes, "one after the other");
+  app.add_option("--members", sizes, "cluster sizes")->delimiter(',');
+  app.add_option("--protocols", protocols, "any of this, swim, heartbeats")->delimiter(',');
+  app.add_option("--loss", losses, "fractions of datagrams that are lost")->delimiter(',');
+  app.add_option("--minutes", minutes, "simulated time in which no member crashes, to count false failures");
+  app.add_option("--crashes", crashes, "number of crashes, one after another");
   app.add_option("--slow", slow,
-                 "part of members that handle all late by 300 ms in the mean; a row of its own");
-  app.add_option("--seed", seed, "of all that is drawn");
+                 "fraction of members that handle everything 300 ms late on average, in a separate row");
+  app.add_option("--seed", seed, "seed of all random numbers");
   CLI11_PARSE(app, argc, argv);
   print_header();
   const auto measure = [&](const std::string& protocol, std::size_t members, double loss,
--- a/bench/micro_bench.cpp
+++ b/bench/micro_bench.cpp
@@ -1,4 +1,4 @@
-// CPU time of one request in the decision module alone, and with the engine, without sockets.
+// Measures the CPU time of one request in the decision module alone and with the engine, without sockets.
 #include <benchmark/benchmark.h>
 
 #include <memory>
--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -1,5 +1,5 @@
-// Replays the requests of a fleet's decision logs through real decision modules, to measure what another rule
-// at the slices would admit beyond quotas and within them, before it is tried on sockets.
+// Replays the requests of a fleet's decision logs through real decision modules, to measure how much a
+// changed rule for slices would admit beyond and within quotas, before it is tested with real gateways.
 //
 //   quota_replay DIRECTORY [--cores N] [--work MS] [--requests N] [--again P] [--same P]
 //
@@ -38,7 +38,7 @@
   bool is_retry = false;  // probably a client's retry
 };
 
-// What the logs hold of a day.
+// The contents of a fleet's decision logs.
 struct DecisionLogs {
   AdmissionSettings settings;
   std::vector<LoggedRequest> requests;
@@ -48,7 +48,7 @@
 
 using Fields = std::map<std::string, std::string>;
 
-// The keys of plans and classes in the decision log.
+// The keys of plan and class settings in the decision log.
 template <class Settings>
 struct LogKey {
   const char* key;
@@ -80,7 +80,7 @@
   return fields;
 }
 
-// 0 if there is no such field.
+// The field's value, or 0 if there is no such field.
 double number_of(const Fields& fields, const char* key) {
   return fields.contains(key) ? std::stod(fields.at(key)) : 0.0;
 }
@@ -123,8 +123,9 @@
   }
 }
 
-// Marks the requests that are clients' retries: those soon after a rejection of an equal request. Where that
-// leaves more or fewer first requests than `first_requests`, chance decides; 0: the number is not known.
+// Marks the requests that are clients' retries: those soon after a rejection of an equal request. If that
+// leaves more or fewer first requests than `first_requests`, marks are set or cleared at random to match; 0
+// means that the number is not known.
 void find_retries(DecisionLogs& logs, double first_requests) {
   constexpr Ms kMaxRetryDelayMs = 2500;
   constexpr Ms kMinRetryDelayMs = 20;
@@ -194,17 +195,17 @@
   return logs;
 }
 
-// One customer's token buckets over all gateways: after what was admitted, and as if all that fits had been.
+// One customer's token buckets over all gateways: the real one, and an ideal one that admits all that fits.
 struct Account {
   double tokens = 0;
   double ideal_tokens = 0;
   Ms refilled_at = 0;
-  std::vector<std::size_t> gateways;  // each as often as the customer used it
+  std::vector<std::size_t> gateways;  // with repetitions, as often as the customer used each
   double admissible = 0;              // value of first requests that fit into the quota
   double admitted = 0;                // value admitted within the quota
 };
 
-// Plays the logged first requests, and lets rejected ones be retried.
+// Submits the logged first requests to a model fleet, and retries rejected ones.
 class Replay {
  public:
   Replay(DecisionLogs& logs, double cores, Ms service_time, double same_gateway_fraction)
@@ -325,7 +326,7 @@
   double same_gateway_fraction_;
   double attempts_ = 0;
   double first_requests_ = 0;
-  // Values, by plan.
+  // Sums of request values, by plan.
   std::vector<double> admissible_;
   std::vector<double> admitted_within_;
   std::vector<double> admitted_beyond_;
@@ -343,13 +344,14 @@
   double retry_fraction = -1;
   double first_requests = 0;
   double same_gateway_fraction = 0.37;
-  CLI::App app{"Plays a fleet's decision logs once more through real modules."};
-  app.add_option("directory", directory, "one log for each gateway")->required();
-  app.add_option("--cores", cores, "of all hosts together");
-  app.add_option("--work", service_time, "mean of a request, in milliseconds");
-  app.add_option("--requests", first_requests, "how many the clients had, where that is known");
-  app.add_option("--same", same_gateway_fraction, "part of those that come again to the same gateway");
-  app.add_option("--again", retry_fraction, "part of the refused that come again; without it as in the logs");
+  CLI::App app{"Replays a fleet's decision logs through real decision modules."};
+  app.add_option("directory", directory, "a directory with one log per gateway")->required();
+  app.add_option("--cores", cores, "cores of all hosts together");
+  app.add_option("--work", service_time, "mean service time of a request in milliseconds");
+  app.add_option("--requests", first_requests, "number of first requests of the clients, if known");
+  app.add_option("--same", same_gateway_fraction, "fraction of the retries that go to the same gateway");
+  app.add_option("--again", retry_fraction,
+                 "fraction of the rejected requests that are retried; by default as in the logs");
   CLI11_PARSE(app, argc, argv);
   DecisionLogs logs = read(directory, first_requests);
   if (logs.requests.empty()) {
