--- a/bench/quota_replay.cpp
+++ b/bench/quota_replay.cpp
@@ -179,11 +179,11 @@
 
 DecisionLogs read(const std::string& directory, double first_requests) {
   DecisionLogs logs;
-  std::map<std::string, std::filesystem::path> logs;
+  std::map<std::string, std::filesystem::path> log_files;
   for (const auto& entry : std::filesystem::directory_iterator(directory)) {
-    if (entry.path().extension() == ".log") logs[entry.path().stem()] = entry.path();
+    if (entry.path().extension() == ".log") log_files[entry.path().stem()] = entry.path();
   }
-  for (const auto& [name, path] : logs) {
+  for (const auto& [name, path] : log_files) {
     std::ifstream file(path);
     for (std::string line; std::getline(file, line);) read_line(logs, logs.gateways, line);
     ++logs.gateways;
