--- a/tests/deploy_frames.py
+++ b/tests/deploy_frames.py
@@ -44,7 +44,7 @@
 assert run_sim(good)[1] == out, "the same events must give the same actions"
 
 code, out, err = run_sim(good[:-7])
-assert code != 0 and err.count("\n") == 1 and "ends inside" in err, (code, err)
+assert code != 0 and err.count("\n") == 1 and "unexpected end of input" in err, (code, err)
 assert len(list(replies(out))) == 2, "a partial reply was written"
 bad = CONF.replace(b"siblings=2", b"siblings=x")
 code, out, err = run_sim(frame([switch, attach], bad))
